--- a/Makefile
+++ b/Makefile
@@ -24,4 +24,6 @@
 	$(BIN)/python -m benchmarks.lending
 
 check: setup
+	$(BIN)/ruff format --check .
+	$(BIN)/ruff check .
 	$(BIN)/mypy
--- a/benchmarks/budgets.py
+++ b/benchmarks/budgets.py
@@ -3,6 +3,7 @@
 
 `python -m benchmarks.budgets [--sizes 3x60,10x200,50x1000] [--plot FILE.png]`
 """
+
 from __future__ import annotations
 
 import argparse
@@ -18,7 +19,7 @@
 DRIFT = 0.02
 STEP = SECOND // 20
 MOVES_AT, DIES_AT, ENDS_AT = 30 * SECOND, 50 * SECOND, 70 * SECOND
-WHOLE = 1_000             # tokens a second
+WHOLE = 1_000  # tokens a second
 
 
 class Fleet:
@@ -102,13 +103,20 @@
             self.holders[name].drop()
             self.holders[name].lost()
             self.home[name] = ""
-            self.after(300_000, lambda name=name, at=at: self.home.__setitem__(name, others[at % len(others)]))
+            self.after(
+                300_000, lambda name=name, at=at: self.home.__setitem__(name, others[at % len(others)])
+            )
         return had
 
     def used(self) -> dict[str, int]:
         """Parts a second that each proxy spends now."""
-        found = {name: min(self.demand[name], self.holders[name].right(self.now, "again")) for name in self.names}
-        self.over = max(self.over, sum(holder.right(self.now, "again") for holder in self.holders.values()) - WHOLE * PARTS)
+        found = {
+            name: min(self.demand[name], self.holders[name].right(self.now, "again")) for name in self.names
+        }
+        self.over = max(
+            self.over,
+            sum(holder.right(self.now, "again") for holder in self.holders.values()) - WHOLE * PARTS,
+        )
         return found
 
 
@@ -120,12 +128,16 @@
             ideal = share_out(WHOLE * PARTS, fleet.demand)
             got = fleet.used()
             scale = sum(got.values()) / (WHOLE * PARTS)
-            found["unfair"] = sum(abs(got[name] - ideal[name] * scale) for name in ideal) / 2 / (WHOLE * PARTS)
+            found["unfair"] = (
+                sum(abs(got[name] - ideal[name] * scale) for name in ideal) / 2 / (WHOLE * PARTS)
+            )
             found["before"] = sum(got.values()) / (WHOLE * PARTS)
             fleet.demand = fleet.skewed(3)
         if fleet.now == DIES_AT:
             found["after_move"] = curve[-1][1]
-            fleet.kill(max(fleet.hubs, key=lambda name: (fleet.hubs[name].holder.right(fleet.now, "again"), name)))
+            fleet.kill(
+                max(fleet.hubs, key=lambda name: (fleet.hubs[name].holder.right(fleet.now, "again"), name))
+            )
         fleet.run(fleet.now + STEP)
         curve.append((fleet.now / SECOND, sum(fleet.used().values()) / (WHOLE * PARTS)))
     floor = fleet.plan.budgets["again"].floor / (WHOLE * PARTS)
@@ -150,10 +162,21 @@
     """Name, part of the whole that is used under the same demand, the greatest overspend, what it costs."""
     names = range(proxies)
     heavy = [n for n in names if n % 10 == 0]
-    demand = {n: (2 * WHOLE * 0.9 / len(heavy) if n % 10 == 0 else 2 * WHOLE * 0.1 / (proxies - len(heavy))) for n in names}
+    demand = {
+        n: (2 * WHOLE * 0.9 / len(heavy) if n % 10 == 0 else 2 * WHOLE * 0.1 / (proxies - len(heavy)))
+        for n in names
+    }
     equal = sum(min(demand[n], WHOLE / proxies) for n in names) / WHOLE
-    return [("fixed equal parts", equal, 0.0, "nothing"), ("each alone, no limit", 1.0, sum(demand.values()) / WHOLE - 1, "nothing"),
-            ("the store asked for each token", 1.0, 0.0, f"{2 * sum(demand.values()):,.0f} messages a second at the store")]
+    return [
+        ("fixed equal parts", equal, 0.0, "nothing"),
+        ("each alone, no limit", 1.0, sum(demand.values()) / WHOLE - 1, "nothing"),
+        (
+            "the store asked for each token",
+            1.0,
+            0.0,
+            f"{2 * sum(demand.values()):,.0f} messages a second at the store",
+        ),
+    ]
 
 
 def main() -> None:
@@ -162,30 +185,46 @@
     parser.add_argument("--seeds", type=int, default=3)
     parser.add_argument("--plot", default="")
     args = parser.parse_args()
-    print("pilots x proxies | used before / 2 leases after the move / at its end | 95% after the move, after a death (s) | unfair | over |"
-          " messages, CPU ms a pilot and s | CPU ms the store and s")
+    print(
+        "pilots x proxies | used before / 2 leases after the move / at its end | 95% after the move, after a death (s) | unfair | over |"
+        " messages, CPU ms a pilot and s | CPU ms the store and s"
+    )
     curves = {}
     for size in args.sizes.split(","):
         pilots, proxies = map(int, size.split("x"))
         runs = [play(pilots, proxies, seed) for seed in range(1, args.seeds + 1)]
-        worst = {name: (min if name in ("before", "two_leases", "after_move") else max)(run[name] for run in runs)
-                 for name in runs[0] if name != "curve"}
+        worst = {
+            name: (min if name in ("before", "two_leases", "after_move") else max)(run[name] for run in runs)
+            for name in runs[0]
+            if name != "curve"
+        }
         curves[size] = runs[0]["curve"]
-        print(f"{size} | {worst['before']:.3f} / {worst['two_leases']:.3f} / {worst['after_move']:.3f} | {worst['moved_in']}, {worst['again_in']} "
-              f"| {worst['unfair']:.3f} | {max(0, worst['over'])} | {worst['messages']:.1f}, {worst['cpu_pilot'] * 1e3:.2f} "
-              f"| {worst['cpu_store'] * 1e3:.2f}", flush=True)
+        print(
+            f"{size} | {worst['before']:.3f} / {worst['two_leases']:.3f} / {worst['after_move']:.3f} | {worst['moved_in']}, {worst['again_in']} "
+            f"| {worst['unfair']:.3f} | {max(0, worst['over'])} | {worst['messages']:.1f}, {worst['cpu_pilot'] * 1e3:.2f} "
+            f"| {worst['cpu_store'] * 1e3:.2f}",
+            flush=True,
+        )
     for name, used, over, cost in plain(200):
         print(f"{name}: used {used:.3f}, over {over:.2f} of the whole, costs {cost}")
     if args.plot:
         import matplotlib
+
         matplotlib.use("Agg")
         from matplotlib import pyplot
+
         _, axes = pyplot.subplots(figsize=(8, 4))
         for size, curve in curves.items():
-            axes.plot([at for at, _ in curve], [used for _, used in curve], label=f"{size} (pilots x proxies)")
+            axes.plot(
+                [at for at, _ in curve], [used for _, used in curve], label=f"{size} (pilots x proxies)"
+            )
         axes.axvline(MOVES_AT / SECOND, linestyle=":", color="grey")
         axes.axvline(DIES_AT / SECOND, linestyle="--", color="grey")
-        axes.set(xlabel="s; dotted: demand moves, dashed: a pilot dies", ylabel="part of the whole in use", ylim=(0, 1.05))
+        axes.set(
+            xlabel="s; dotted: demand moves, dashed: a pilot dies",
+            ylabel="part of the whole in use",
+            ylim=(0, 1.05),
+        )
         axes.legend()
         pyplot.savefig(args.plot, dpi=110, bbox_inches="tight")
 
--- a/benchmarks/claims.py
+++ b/benchmarks/claims.py
@@ -5,6 +5,7 @@
 
     python -m benchmarks.claims [--seeds 20] [--jobs 4] [--rate 150]
 """
+
 from __future__ import annotations
 
 import argparse
@@ -29,7 +30,7 @@
     """Seconds from each new endpoint's start to its first op; those that got none count to the record's end."""
     found = []
     for name in sorted(os.listdir(folder)):
-        if name.startswith("record-e") and int(name[len("record-e"):-len(".jsonl")]) >= endpoints:
+        if name.startswith("record-e") and int(name[len("record-e") : -len(".jsonl")]) >= endpoints:
             with open(os.path.join(folder, name), "rb") as source:
                 rows = [msgspec.json.decode(line) for line in source if line.endswith(b"\n")]
             starts = [row[0] for row in rows if row[1] == "start"]
@@ -47,11 +48,19 @@
     if way.startswith("lot"):
         budgets = dataclasses.replace(budgets, claim_cold=False)
     faults = tuple(fault for fault in day.faults if not (way.endswith("dead") and fault.kind == "kill_pilot"))
-    day = dataclasses.replace(day, deployment=dataclasses.replace(day.deployment, budgets=budgets), faults=faults, rate=rate)
+    day = dataclasses.replace(
+        day, deployment=dataclasses.replace(day.deployment, budgets=budgets), faults=faults, rate=rate
+    )
     with tempfile.TemporaryDirectory() as folder:
         report = play(day, folder, seed, None, virtual=True, page=False)
-        return {"way": way, "seed": seed, "earned": report["service"]["earned_share"], "worst": report["service"]["worst_window"],
-                "first": first_ops(folder, day.endpoints), "broken": [rule["rule"] for rule in report["rules"] if not rule["held"]]}
+        return {
+            "way": way,
+            "seed": seed,
+            "earned": report["service"]["earned_share"],
+            "worst": report["service"]["worst_window"],
+            "first": first_ops(folder, day.endpoints),
+            "broken": [rule["rule"] for rule in report["rules"] if not rule["held"]],
+        }
 
 
 def main() -> None:
@@ -68,11 +77,16 @@
         mine = [by[way, seed] for seed in range(1, args.seeds + 1)]
         waits = sorted(wait for row in mine for wait in row["first"])
         broken = sorted({rule for row in mine for rule in row["broken"]})
-        print(f"{way:<20} earned {mean(row['earned'] for row in mine):.3f}, worst 5 s {mean(row['worst'] for row in mine):.3f}; new endpoints' first op "
-              f"after p50 {waits[len(waits) // 2]:.1f} s, p90 {waits[len(waits) * 9 // 10]:.1f} s, max {waits[-1]:.1f} s ({len(waits)}); "
-              f"rules broken: {', '.join(broken) or 'none'}")
+        print(
+            f"{way:<20} earned {mean(row['earned'] for row in mine):.3f}, worst 5 s {mean(row['worst'] for row in mine):.3f}; new endpoints' first op "
+            f"after p50 {waits[len(waits) // 2]:.1f} s, p90 {waits[len(waits) * 9 // 10]:.1f} s, max {waits[-1]:.1f} s ({len(waits)}); "
+            f"rules broken: {', '.join(broken) or 'none'}"
+        )
     for more in ("", ", none dead"):
-        apart = [by["claimed" + more, seed]["earned"] - by["lot" + more, seed]["earned"] for seed in range(1, args.seeds + 1)]
+        apart = [
+            by["claimed" + more, seed]["earned"] - by["lot" + more, seed]["earned"]
+            for seed in range(1, args.seeds + 1)
+        ]
         error = stdev(apart) / len(apart) ** 0.5 if len(apart) > 1 else 0.0
         print(f"claimed less lot{more}: {mean(apart):+.4f}, standard error {error:.4f}, {len(apart)} seeds")
 
--- a/benchmarks/ephemeral.py
+++ b/benchmarks/ephemeral.py
@@ -4,6 +4,7 @@
 
     python -m benchmarks.ephemeral [--seeds 20] [--jobs 6] [--days zk-losses,file-losses,list-losses] [--real] [--out FOLDER]
 """
+
 from __future__ import annotations
 
 import argparse
@@ -24,8 +25,24 @@
 
 def play(folder: str, day: str, seed: int, real: bool) -> str:
     out = os.path.join(folder, f"{day}-{seed}")
-    subprocess.run([sys.executable, "-m", "cedarshift", "rehearse", day, "--quiet", "--seed", str(seed), "--out", out,
-                    *([] if real else ["--virtual"])], stdout=subprocess.DEVNULL, stderr=subprocess.DEVNULL, check=False)
+    subprocess.run(
+        [
+            sys.executable,
+            "-m",
+            "cedarshift",
+            "rehearse",
+            day,
+            "--quiet",
+            "--seed",
+            str(seed),
+            "--out",
+            out,
+            *([] if real else ["--virtual"]),
+        ],
+        stdout=subprocess.DEVNULL,
+        stderr=subprocess.DEVNULL,
+        check=False,
+    )
     return out
 
 
@@ -36,24 +53,44 @@
     ends = [(row.at, names[row.who]) for row in rows if row.what == "died" and row.who in names]
     found = []
     for at, endpoint in ends:
-        until = min([row.at for row in rows if row.what == "start" and row.told[0] == endpoint and row.at > at] or [1 << 62])
+        until = min(
+            [row.at for row in rows if row.what == "start" and row.told[0] == endpoint and row.at > at]
+            or [1 << 62]
+        )
         told: dict[str, int] = {}
         for row in rows:
             if row.what == "told" and at <= row.at < until and row.told[0].startswith("p"):
                 for name, phase, _ in row.told[2]:
                     if name == endpoint and phase == "off":
                         told.setdefault(row.told[0], row.at)
-        drained = any(row.what == "told" and row.at < at and [endpoint, "fading"] in [told[:2] for told in row.told[2]] for row in rows)
+        drained = any(
+            row.what == "told" and row.at < at and [endpoint, "fading"] in [told[:2] for told in row.told[2]]
+            for row in rows
+        )
         if not told or drained:
             continue
         heard = max(told.values())
-        ordered = [row.at for row in rows if row.what == "order" and heard <= row.at < until
-                   and any(name == endpoint and weight <= 0 for _, name, weight, _ in row.told[5])]
-        sends = [row.at for row in rows if row.what == "send" and row.told[3] == endpoint and at <= row.at < until]
+        ordered = [
+            row.at
+            for row in rows
+            if row.what == "order"
+            and heard <= row.at < until
+            and any(name == endpoint and weight <= 0 for _, name, weight, _ in row.told[5])
+        ]
+        sends = [
+            row.at for row in rows if row.what == "send" and row.told[3] == endpoint and at <= row.at < until
+        ]
         last = max(sends, default=at)
-        found.append({"notice": (heard - at) / 1e6, "decided": (min(ordered) - heard) / 1e6 if ordered else 0.0,
-                      "ordered": (max(ordered) - heard) / 1e6 if ordered else 0.0, "last_after_told": max(0, last - heard) / 1e6,
-                      "last_after_end": (last - at) / 1e6, "sent_to_the_dead": float(len(sends))})
+        found.append(
+            {
+                "notice": (heard - at) / 1e6,
+                "decided": (min(ordered) - heard) / 1e6 if ordered else 0.0,
+                "ordered": (max(ordered) - heard) / 1e6 if ordered else 0.0,
+                "last_after_told": max(0, last - heard) / 1e6,
+                "last_after_end": (last - at) / 1e6,
+                "sent_to_the_dead": float(len(sends)),
+            }
+        )
     return found
 
 
@@ -73,7 +110,9 @@
     days, seeds = args.days.split(","), range(1, args.seeds + 1)
     with tempfile.TemporaryDirectory() as spare, ThreadPoolExecutor(args.jobs) as pool:
         folder = args.out or spare
-        runs = {(day, seed): pool.submit(play, folder, day, seed, args.real) for seed in seeds for day in days}
+        runs = {
+            (day, seed): pool.submit(play, folder, day, seed, args.real) for seed in seeds for day in days
+        }
         outs = {key: run.result() for key, run in runs.items()}
         reports: dict[tuple[str, int], Any] = {}
         rows: dict[str, list[dict[str, float]]] = defaultdict(list)
@@ -83,17 +122,29 @@
             rows[day] += losses(out)
     for day in days:
         earned = [reports[day, s]["service"]["earned_share"] for s in seeds]
-        broken = [f"{s}: {rule['rule']}" for s in seeds for rule in reports[day, s]["rules"] if not rule["held"]]
-        worst = max(rule["figures"]["last_send_after_s"] for s in seeds for rule in reports[day, s]["rules"] if rule["rule"] == "drains")
-        print(f"{day}: earned {mean(earned):.4f} ({min(earned):.3f} to {max(earned):.3f}), {args.seeds} seeds; rules "
-              f"{'held' if not broken else 'BROKEN ' + ', '.join(broken)}; last op sent {worst:.2f} s after the telling at most")
+        broken = [
+            f"{s}: {rule['rule']}" for s in seeds for rule in reports[day, s]["rules"] if not rule["held"]
+        ]
+        worst = max(
+            rule["figures"]["last_send_after_s"]
+            for s in seeds
+            for rule in reports[day, s]["rules"]
+            if rule["rule"] == "drains"
+        )
+        print(
+            f"{day}: earned {mean(earned):.4f} ({min(earned):.3f} to {max(earned):.3f}), {args.seeds} seeds; rules "
+            f"{'held' if not broken else 'BROKEN ' + ', '.join(broken)}; last op sent {worst:.2f} s after the telling at most"
+        )
         if rows[day]:
             print(f"  {len(rows[day])} endpoints killed      p50     p99     max")
         for name in rows[day][0] if rows[day] else ():
             values = [row[name] for row in rows[day]]
             print(f"  {name:<22} {at(values, 0.5):>7.3f} {at(values, 0.99):>7.3f} {max(values):>7.3f}")
     for day in days[1:]:
-        apart = [reports[days[0], s]["service"]["earned_share"] - reports[day, s]["service"]["earned_share"] for s in seeds]
+        apart = [
+            reports[days[0], s]["service"]["earned_share"] - reports[day, s]["service"]["earned_share"]
+            for s in seeds
+        ]
         error = stdev(apart) / len(apart) ** 0.5 if len(apart) > 1 else 0.0
         print(f"{days[0]} less {day}: {mean(apart):+.4f}, standard error {error:.4f}")
 
--- a/benchmarks/fixtures.py
+++ b/benchmarks/fixtures.py
@@ -1,4 +1,5 @@
 """What the benchmarks share: a deployment of a stated size in a folder, and agents on one loop that play its proxies."""
+
 from __future__ import annotations
 
 import json
@@ -61,8 +62,15 @@
 
 
 def write_list(folder: str, endpoints: int, fading: tuple[int, ...] = ()) -> None:
-    rows = [{"endpoint": f"10.0.0.{n}:7500", "phase": "fading" if n in fading else "on", "zone": "abcd"[n % 4], "start": "1"}
-            for n in range(endpoints)]
+    rows = [
+        {
+            "endpoint": f"10.0.0.{n}:7500",
+            "phase": "fading" if n in fading else "on",
+            "zone": "abcd"[n % 4],
+            "start": "1",
+        }
+        for n in range(endpoints)
+    ]
     with open(os.path.join(folder, "list.part"), "w") as out:
         json.dump({"endpoints": rows}, out)
     os.replace(os.path.join(folder, "list.part"), os.path.join(folder, "list.json"))
@@ -72,20 +80,41 @@
     pilot, admin, store = free_ports(loop, 3)
     path = os.path.join(folder, "bench.hcl")
     with open(path, "w") as out:
-        out.write(TEXT.format(slices=slices, pilot=pilot, admin=admin, store=store, lines_per_s=lines_per_s,
-                              waiting=10 * lines_per_s))
+        out.write(
+            TEXT.format(
+                slices=slices,
+                pilot=pilot,
+                admin=admin,
+                store=store,
+                lines_per_s=lines_per_s,
+                waiting=10 * lines_per_s,
+            )
+        )
     write_list(folder, endpoints)
     return load(path)
 
 
-def make_agents(loop: Loop, d: Deployment, count: int, observe: Optional[Callable[..., Any]] = None) -> list[Agent]:
+def make_agents(
+    loop: Loop, d: Deployment, count: int, observe: Optional[Callable[..., Any]] = None
+) -> list[Agent]:
     """`observe(agent's number, event, **fields)`."""
     made = []
     for n in range(count):
-        tables = Tables(d.slices, [OpKind(op.name, op.writes) for op in d.op_types], True, d.proxy.lease, True)
+        tables = Tables(
+            d.slices, [OpKind(op.name, op.writes) for op in d.op_types], True, d.proxy.lease, True
+        )
         told = (lambda event, n=n, **fields: observe(n, event, **fields)) if observe else None
-        made.append(Agent(loop, Badge("bench", "proxy", f"x{n}", "abcd"[n % 4]), {"p0": d.pilots[0].listen}, None, tables,
-                          random.Random(n).random, told))
+        made.append(
+            Agent(
+                loop,
+                Badge("bench", "proxy", f"x{n}", "abcd"[n % 4]),
+                {"p0": d.pilots[0].listen},
+                None,
+                tables,
+                random.Random(n).random,
+                told,
+            )
+        )
     return made
 
 
--- a/benchmarks/footprint.py
+++ b/benchmarks/footprint.py
@@ -5,6 +5,7 @@
 
     python -m benchmarks.footprint [--seconds 20]
 """
+
 from __future__ import annotations
 
 import argparse
@@ -31,7 +32,10 @@
 
 
 def figures(text: bytes) -> dict[str, float]:
-    return {name: float(value) for name, value in re.findall(r"^(cedarshift_\w+) ([\d.e+-]+)$", text.decode(), re.M)}
+    return {
+        name: float(value)
+        for name, value in re.findall(r"^(cedarshift_\w+) ([\d.e+-]+)$", text.decode(), re.M)
+    }
 
 
 def main() -> None:
@@ -52,8 +56,9 @@
 
         def start(name: str, *arguments: str) -> None:
             with open(f"{folder}/{name}.log", "ab") as log:
-                processes[name] = subprocess.Popen([sys.executable, "-m", "cedarshift", "--log", "json", *arguments],
-                                                   stdout=log, stderr=log)
+                processes[name] = subprocess.Popen(
+                    [sys.executable, "-m", "cedarshift", "--log", "json", *arguments], stdout=log, stderr=log
+                )
 
         def asked() -> Any:
             assert d.pilots[0].admin is not None
@@ -83,15 +88,19 @@
             yield from loop.sleep(args.seconds * 1_000_000)
             after = yield from asked()
             cpu = (after["cedarshift_cpu_seconds"] - before["cedarshift_cpu_seconds"]) / args.seconds
-            print(f"{PROXIES} proxies, {ENDPOINTS} endpoints, {SLICES} slices, sums of {OPS_PER_S} ops/s, {args.seconds} s")
-            print(f"pilot's CPU {100 * cpu:.1f}% of a core; memory at most {after['cedarshift_memory_peak_bytes'] / 2**20:.0f} MiB; "
-                  f"slowest step {1000 * after['cedarshift_slowest_step_seconds']:.0f} ms")
+            print(
+                f"{PROXIES} proxies, {ENDPOINTS} endpoints, {SLICES} slices, sums of {OPS_PER_S} ops/s, {args.seconds} s"
+            )
+            print(
+                f"pilot's CPU {100 * cpu:.1f}% of a core; memory at most {after['cedarshift_memory_peak_bytes'] / 2**20:.0f} MiB; "
+                f"slowest step {1000 * after['cedarshift_slowest_step_seconds']:.0f} ms"
+            )
             yield from restart()
 
         def restart() -> Any:
             processes["pilot"].kill()
             processes["pilot"].wait()
-            write_list(folder, ENDPOINTS, (0,))      # something to order as soon as it is in charge
+            write_list(folder, ENDPOINTS, (0,))  # something to order as soon as it is in charge
             first_order.clear()
             begun = loop.now()
             while any(a.links for a in agents):
@@ -102,8 +111,11 @@
             joined = loop.now()
             while not first_order:
                 yield from loop.sleep(5_000)
-            print(f"killed and started again: all {PROXIES} proxies joined after {(joined - begun) / 1e6:.2f} s, "
-                  f"first order at a proxy after {(first_order[0] - begun) / 1e6:.2f} s")
+            print(
+                f"killed and started again: all {PROXIES} proxies joined after {(joined - begun) / 1e6:.2f} s, "
+                f"first order at a proxy after {(first_order[0] - begun) / 1e6:.2f} s"
+            )
+
         agents = make_agents(loop, d, PROXIES, observe)
         try:
             loop.run(loop.spawn(play(), "play"))
--- a/benchmarks/generator.py
+++ b/benchmarks/generator.py
@@ -5,6 +5,7 @@
 
     python -m benchmarks.generator [--rates 1000,5000,20000] [--workers 4] [--length 5s]
 """
+
 from __future__ import annotations
 
 import argparse
@@ -35,9 +36,13 @@
 
 def held_up(path: str) -> str:
     """Plays it in a process of its own and stops one of its workers for two seconds."""
-    run = subprocess.Popen([sys.executable, "-m", "cedarshift", "load", path, "--quiet"], stdout=subprocess.PIPE, text=True)
+    run = subprocess.Popen(
+        [sys.executable, "-m", "cedarshift", "load", path, "--quiet"], stdout=subprocess.PIPE, text=True
+    )
     time.sleep(3.5)
-    children = subprocess.run(["ps", "-o", "pid=", "--ppid", str(run.pid)], capture_output=True, text=True).stdout.split()
+    children = subprocess.run(
+        ["ps", "-o", "pid=", "--ppid", str(run.pid)], capture_output=True, text=True
+    ).stdout.split()
     for number in children[:1]:
         os.kill(int(number), signal.SIGSTOP)
         time.sleep(2)
@@ -60,22 +65,31 @@
             plan = os.path.join(folder, f"plan-{n}.json")
             with open(plan, "w") as out:
                 json.dump({"name": f"e{n}", "address": place, "cores": 1000, "queue": 100_000}, out)
-            running.append(subprocess.Popen([sys.executable, "-m", "cedarshift.standins", "endpoint", plan, os.devnull]))
+            running.append(
+                subprocess.Popen([sys.executable, "-m", "cedarshift.standins", "endpoint", plan, os.devnull])
+            )
         try:
             time.sleep(0.5)
             targets = ", ".join(f'"{host}:{port}"' for host, port in places)
             path = os.path.join(folder, "load.hcl")
-            print(f"{'asked/s':>8} {'acked/s':>8} {'late p99 ms':>11} {'late max ms':>11} {'busiest worker':>14} {'p50 ms':>7} {'p99 ms':>7}  verdict")
+            print(
+                f"{'asked/s':>8} {'acked/s':>8} {'late p99 ms':>11} {'late max ms':>11} {'busiest worker':>14} {'p50 ms':>7} {'p99 ms':>7}  verdict"
+            )
             for rate in [int(one) for one in args.rates.split(",")]:
                 with open(path, "w") as out:
-                    out.write(FILE.format(targets=targets, rate=rate, length=args.length, workers=args.workers))
+                    out.write(
+                        FILE.format(targets=targets, rate=rate, length=args.length, workers=args.workers)
+                    )
                 got = play(path, lambda text: None)
                 acked = sum(counts.get("acked", 0) for counts in got["outcomes"].values())
                 busiest = max((one["busy"] for one in got["workers"]), default=0.0)
                 times = got["latency_ms"].get("tile-fetch", {"p50": 0.0, "p99": 0.0})
                 seconds = float(args.length.rstrip("s"))
-                print(f"{rate:>8} {acked / seconds:>8.0f} {got['late_ms']['p99']:>11.2f} {got['late_ms']['max']:>11.1f} {busiest:>14.2f} "
-                      f"{times['p50']:>7.2f} {times['p99']:>7.2f}  {'certified' if got['certified'] else got['faults'][0]}", flush=True)
+                print(
+                    f"{rate:>8} {acked / seconds:>8.0f} {got['late_ms']['p99']:>11.2f} {got['late_ms']['max']:>11.1f} {busiest:>14.2f} "
+                    f"{times['p50']:>7.2f} {times['p99']:>7.2f}  {'certified' if got['certified'] else got['faults'][0]}",
+                    flush=True,
+                )
             with open(path, "w") as out:
                 out.write(FILE.format(targets=targets, rate=500, length="6s", workers=2))
             print("one of two workers stopped for 2 s, 500 ops/s for 6 s:\n" + held_up(path))
--- a/benchmarks/handover.py
+++ b/benchmarks/handover.py
@@ -5,6 +5,7 @@
 
     python -m benchmarks.handover [--proxies 70] [--rounds 6]
 """
+
 from __future__ import annotations
 
 import argparse
@@ -44,6 +45,7 @@
                     began = shut.pop((n, number))
                     if begun[0]:
                         spans.append((loop.now() - began) / 1e6)
+
         begun = [0]
         agents = make_agents(loop, d, args.proxies, observe)
 
@@ -55,15 +57,23 @@
             for n in range(args.rounds):
                 write_list(folder, ENDPOINTS, tuple(range(n + 1)))
                 yield from loop.sleep(int(1.6 * d.proxy.in_flight_most))
+
         loop.run(loop.spawn(play(), "play"))
         acks = [us / 1e6 for us in pilot.in_force_us]
         settle = d.proxy.in_flight_most / 1e6
-        print(f"{args.proxies} proxies, {ENDPOINTS} endpoints, {SLICES} slices, {args.rounds} drains one after the other; "
-              f"channel {d.channel.lines_per_s:g} lines/s")
+        print(
+            f"{args.proxies} proxies, {ENDPOINTS} endpoints, {SLICES} slices, {args.rounds} drains one after the other; "
+            f"channel {d.channel.lines_per_s:g} lines/s"
+        )
         print(f"{'':<34}{'p50 s':>8}{'p99 s':>8}{'max s':>8}")
-        for name, values in (("decided to in force and acked", acks), ("writes closed at a proxy", spans),
-                             ("  above the settle time (floor)", [s - settle for s in spans])):
-            print(f"{name:<34}{percentile(values, 0.5):>8.3f}{percentile(values, 0.99):>8.3f}{max(values, default=0):>8.3f}")
+        for name, values in (
+            ("decided to in force and acked", acks),
+            ("writes closed at a proxy", spans),
+            ("  above the settle time (floor)", [s - settle for s in spans]),
+        ):
+            print(
+                f"{name:<34}{percentile(values, 0.5):>8.3f}{percentile(values, 0.99):>8.3f}{max(values, default=0):>8.3f}"
+            )
         print(f"settle time {settle:g} s; closings seen {len(spans)}; store commits {store.ledger.commits}")
 
 
--- a/benchmarks/lending.py
+++ b/benchmarks/lending.py
@@ -5,6 +5,7 @@
 
     python -m benchmarks.lending [--proxies 70] [--rounds 5]
 """
+
 from __future__ import annotations
 
 import argparse
@@ -50,11 +51,15 @@
                     pilot.lending.heard_heat(loop.now(), "fetch", SliceHeat(n, 0, 40 + k, n % 3, 1_000_000))
             for n in range(ENDPOINTS):
                 for k in range(24):
-                    pilot.lending.heard_sum(loop.now(), ZoneMet(f"10.0.0.{n}:7500", "abcd"[k % 4], 30 + k, n % 4, 150_000 + n,
-                                                                1_000_000))
+                    pilot.lending.heard_sum(
+                        loop.now(),
+                        ZoneMet(f"10.0.0.{n}:7500", "abcd"[k % 4], 30 + k, n % 4, 150_000 + n, 1_000_000),
+                    )
 
         def borrow() -> Any:
-            link, _ = yield from connect(loop, d.pilots[0].listen, Session(Badge("bench", "pilot", "p1")), 1_000_000)
+            link, _ = yield from connect(
+                loop, d.pilots[0].listen, Session(Badge("bench", "pilot", "p1")), 1_000_000
+            )
             while True:
                 version, number, chunks = "", 0, 1
                 while number < chunks:
@@ -77,13 +82,18 @@
                     write_list(folder, ENDPOINTS, tuple((n + k) % ENDPOINTS for k in range(2)))
                     yield from loop.sleep(int(1.6 * d.proxy.in_flight_most))
                 acks = [us / 1000 for us in pilot.in_force_us]
-                print(f"{name:<22} decided to acked: p50 {percentile(acks, 0.5):.1f} ms, p99 {percentile(acks, 0.99):.1f} ms, "
-                      f"max {max(acks):.1f} ms; longest step {loop.slowest / 1000:.1f} ms; {lent['chunks']} chunks", flush=True)
+                print(
+                    f"{name:<22} decided to acked: p50 {percentile(acks, 0.5):.1f} ms, p99 {percentile(acks, 0.99):.1f} ms, "
+                    f"max {max(acks):.1f} ms; longest step {loop.slowest / 1000:.1f} ms; {lent['chunks']} chunks",
+                    flush=True,
+                )
                 if not lent["chunks"]:
                     loop.spawn(borrow(), "borrower")
 
-        print(f"{args.proxies} proxies, {SLICES} slices ordered, {ENDPOINTS} endpoints and {LENT_SLICES} slices lent, "
-              f"a lender's share {learn.lend_share:g}")
+        print(
+            f"{args.proxies} proxies, {SLICES} slices ordered, {ENDPOINTS} endpoints and {LENT_SLICES} slices lent, "
+            f"a lender's share {learn.lend_share:g}"
+        )
         loop.run(loop.spawn(play(), "play"))
         for packed in (False, True):
             pilot.deployment = dataclasses.replace(d, learn=dataclasses.replace(learn, compress=packed))
@@ -98,8 +108,10 @@
                 held = unpack(chunk)
                 facts += len(held.endpoints) + len(held.slices)
             took = time.perf_counter() - begun
-            print(f"{'zstandard' if packed else 'plain':<10} {facts} facts in {len(plan.parts)} chunks, {size / 1024:.0f} KiB, "
-                  f"{size / facts:.0f} bytes a fact; built and read in {took:.2f} s, longest chunk {worst * 1000:.1f} ms")
+            print(
+                f"{'zstandard' if packed else 'plain':<10} {facts} facts in {len(plan.parts)} chunks, {size / 1024:.0f} KiB, "
+                f"{size / facts:.0f} bytes a fact; built and read in {took:.2f} s, longest chunk {worst * 1000:.1f} ms"
+            )
 
 
 if __name__ == "__main__":
--- a/benchmarks/member_baselines.py
+++ b/benchmarks/member_baselines.py
@@ -3,6 +3,7 @@
 They speak in Python objects; sizes are counted as a compact encoding would have them. None of them is a stand-in for another
 program: each is the textbook's rule in its plainest form.
 """
+
 from __future__ import annotations
 
 import math
@@ -12,8 +13,8 @@
 from cedarshift.judge.chance import Lcg
 from cedarshift.judge.roll import ALIVE, DEAD, SUSPECT, UNHEARD, Change
 
-BEAT_BYTES = 60           # of a heartbeat with its seal, as the product's head has
-RECORD_BYTES = 24         # of a member's state that rides along
+BEAT_BYTES = 60  # of a heartbeat with its seal, as the product's head has
+RECORD_BYTES = 24  # of a member's state that rides along
 Address = tuple[str, int]
 
 
@@ -30,8 +31,16 @@
 class Plain:
     """What the three share: names, addresses, a timer, an outbox with sizes."""
 
-    def __init__(self, me: str, addresses: dict[str, Address], period: int, start: int, seed: int, now: int,
-                 on_change: Callable[[int, Change], None]) -> None:
+    def __init__(
+        self,
+        me: str,
+        addresses: dict[str, Address],
+        period: int,
+        start: int,
+        seed: int,
+        now: int,
+        on_change: Callable[[int, Change], None],
+    ) -> None:
         self.me = me
         self.addresses = addresses
         self.names = sorted(addresses)
@@ -121,7 +130,7 @@
         mean = sum(gaps) / len(gaps)
         spread = max(0.1 * self.period, math.sqrt(sum((gap - mean) ** 2 for gap in gaps) / len(gaps)))
         tail = 0.5 * math.erfc((now - at - mean) / spread / math.sqrt(2))
-        return tail < 10 ** -self.PHI
+        return tail < 10**-self.PHI
 
 
 class Swim(Plain):
@@ -129,9 +138,9 @@
     nobody looks at its own health."""
 
     HELPERS = 3
-    SUSPICION = 3.0           # times log10 of the members, in periods
-    RETELL = 3                # times log2
-    ROOM = 40                 # records on a datagram
+    SUSPICION = 3.0  # times log10 of the members, in periods
+    RETELL = 3  # times log2
+    ROOM = 40  # records on a datagram
 
     def __init__(self, *args: Any) -> None:
         super().__init__(*args)
@@ -156,8 +165,10 @@
         return self.next_at if self.pressed else min(self.next_at, self.probe_at + 4 * self.period // 10)
 
     def tell(self, to: str, kind: str, nonce: int = 0, about: str = "") -> None:
-        chosen = sorted(self.queue, key=lambda name: -self.queue[name])[:self.ROOM]
-        records = [(name, *self.known[name]) for name in {*chosen, *([to] if to in self.known else []), self.me}]
+        chosen = sorted(self.queue, key=lambda name: -self.queue[name])[: self.ROOM]
+        records = [
+            (name, *self.known[name]) for name in {*chosen, *([to] if to in self.known else []), self.me}
+        ]
         for name in chosen:
             self.queue[name] -= 1
             if self.queue[name] <= 0:
@@ -185,8 +196,12 @@
     def tick(self, now: int) -> None:
         if not self.pressed and now >= self.probe_at + 4 * self.period // 10:
             self.pressed = True
-            others = [name for name in self.known if name not in (self.me, self.target) and self.known[name][1] < 2]
-            for helper in self.chance.sample(others, self.HELPERS) if not self.answered and self.target else ():
+            others = [
+                name for name in self.known if name not in (self.me, self.target) and self.known[name][1] < 2
+            ]
+            for helper in (
+                self.chance.sample(others, self.HELPERS) if not self.answered and self.target else ()
+            ):
                 self.tell(helper, "help", self.nonce, self.target or "")
         if now < self.next_at:
             return
@@ -205,7 +220,9 @@
     def next_target(self) -> Optional[str]:
         while True:
             if not self.order:
-                self.order = self.chance.shuffle([n for n, (_, state) in self.known.items() if n != self.me and state < 2])
+                self.order = self.chance.shuffle(
+                    [n for n, (_, state) in self.known.items() if n != self.me and state < 2]
+                )
                 if not self.order:
                     return None
             name = self.order.pop()
--- a/benchmarks/membership.py
+++ b/benchmarks/membership.py
@@ -8,6 +8,7 @@
 
     python -m benchmarks.membership [--sizes 8,64,256] [--seeds 3] [--plot FILE.png]
 """
+
 from __future__ import annotations
 
 import argparse
@@ -25,13 +26,27 @@
 
 WAYS: dict[str, Any] = {"cedarshift": None, "heartbeats": Heartbeats, "phi": Phi, "swim": Swim}
 DAYS = ("quiet", "loss1", "loss10", "loss30", "paused", "slow", "one-way", "half-killed")
-WARM, QUIET, FAULT, AFTER = 14, 20, 30, 16   # periods: coming up, measured in peace, under the day's fault, after the deaths
+WARM, QUIET, FAULT, AFTER = (
+    14,
+    20,
+    30,
+    16,
+)  # periods: coming up, measured in peace, under the day's fault, after the deaths
 
 
 def build(way: str, count: int, seed: int) -> Crowd:
     kind = WAYS[way]
-    return Crowd(count, seed, make=None if kind is None else (
-        lambda name, addresses, period, start, seed, now, on_change: kind(name, addresses, period, start, seed, now, on_change)))
+    return Crowd(
+        count,
+        seed,
+        make=None
+        if kind is None
+        else (
+            lambda name, addresses, period, start, seed, now, on_change: kind(
+                name, addresses, period, start, seed, now, on_change
+            )
+        ),
+    )
 
 
 def sums(crowd: Crowd) -> tuple[int, int]:
@@ -67,15 +82,35 @@
         some = set(draw.sample([name for name in names if name != one], max(1, count // 3)))
         crowd.cut("one-way", lambda s, t: s == one and t in some, FAULT * SECOND)
     crowd.run_for(FAULT)
-    wrong = [(when, who, change.name) for when, who, change in crowd.changes if when > at and change.after == DEAD
-             and change.name not in excused and who not in excused and who != change.name]
-    agreed = [one for when, who, one in wrong if way != "cedarshift"] if way != "cedarshift" else [
-        change.name for when, who, change in crowd.changes if when > at and change.after == DEAD and change.agreed
-        and change.name not in excused and who not in excused and who != change.name]
+    wrong = [
+        (when, who, change.name)
+        for when, who, change in crowd.changes
+        if when > at
+        and change.after == DEAD
+        and change.name not in excused
+        and who not in excused
+        and who != change.name
+    ]
+    agreed = (
+        [one for when, who, one in wrong if way != "cedarshift"]
+        if way != "cedarshift"
+        else [
+            change.name
+            for when, who, change in crowd.changes
+            if when > at
+            and change.after == DEAD
+            and change.agreed
+            and change.name not in excused
+            and who not in excused
+            and who != change.name
+        ]
+    )
     # The deaths.
     some = draw.sample(names, count // 2 if day == "half-killed" else max(1, count // 16))
     died, mark = crowd.now, len(crowd.changes)
-    already = {(who, one) for who in names for one in some if crowd.places[who].member.roll.states[one] == DEAD}
+    already = {
+        (who, one) for who in names for one in some if crowd.places[who].member.roll.states[one] == DEAD
+    }
     for one in some:
         crowd.kill(one)
     crowd.run_for(AFTER)
@@ -86,9 +121,21 @@
             first.setdefault((who, change.name), (when - died) / SECOND)
     found = sorted(first.values())
     missing = len(rest) * len(some) - len(first) - len([pair for pair in already if pair not in first])
-    return {"way": way, "size": count, "day": day, "seed": seed, "bytes": sent[0], "datagrams": sent[1],
-            "cpu_us": cpu * 1e6 / QUIET / count, "wrong": len({(who, one) for _, who, one in wrong}), "agreed": len(set(agreed)),
-            "found": found, "agreement": max(found, default=0.0), "missing": missing, "real_s": time.process_time() - begun}
+    return {
+        "way": way,
+        "size": count,
+        "day": day,
+        "seed": seed,
+        "bytes": sent[0],
+        "datagrams": sent[1],
+        "cpu_us": cpu * 1e6 / QUIET / count,
+        "wrong": len({(who, one) for _, who, one in wrong}),
+        "agreed": len(set(agreed)),
+        "found": found,
+        "agreement": max(found, default=0.0),
+        "missing": missing,
+        "real_s": time.process_time() - begun,
+    }
 
 
 def heal(task: tuple[int, int]) -> tuple[int, int, Optional[float]]:
@@ -113,28 +160,34 @@
     one = rows[0]
     found = sorted(t for row in rows for t in row["found"])
     hours = len(rows) * (QUIET + FAULT) / 3600
-    return (f"{one['size']:>5} {one['day']:<12} {one['way']:<11} p50 {percentile(found, .5):5.1f}  p99 {percentile(found, .99):5.1f}  "
-            f"max {max(found, default=0):5.1f}  missing {sum(row['missing'] for row in rows):>5}  "
-            f"wrong {sum(row['wrong'] for row in rows):>6} ({sum(row['agreed'] for row in rows)} members agreed; in {hours:.2f} h)  "
-            f"bytes {sum(row['bytes'] for row in rows) / len(rows):8.0f}  datagrams {sum(row['datagrams'] for row in rows) / len(rows):6.1f}  "
-            f"cpu {sum(row['cpu_us'] for row in rows) / len(rows):6.0f} us")
+    return (
+        f"{one['size']:>5} {one['day']:<12} {one['way']:<11} p50 {percentile(found, 0.5):5.1f}  p99 {percentile(found, 0.99):5.1f}  "
+        f"max {max(found, default=0):5.1f}  missing {sum(row['missing'] for row in rows):>5}  "
+        f"wrong {sum(row['wrong'] for row in rows):>6} ({sum(row['agreed'] for row in rows)} members agreed; in {hours:.2f} h)  "
+        f"bytes {sum(row['bytes'] for row in rows) / len(rows):8.0f}  datagrams {sum(row['datagrams'] for row in rows) / len(rows):6.1f}  "
+        f"cpu {sum(row['cpu_us'] for row in rows) / len(rows):6.0f} us"
+    )
 
 
 def plot(rows: list[dict[str, Any]], path: str) -> None:
     """Detection (p99) and bytes by size, one line a way, one column a day."""
     import matplotlib
+
     matplotlib.use("Agg")
     from matplotlib import pyplot
+
     days = [day for day in DAYS if any(row["day"] == day for row in rows)]
     sizes = sorted({row["size"] for row in rows})
-    figure, axes = pyplot.subplots(3, len(days), figsize=(3 * len(days), 8), squeeze=False, sharey="row", sharex=True)
+    figure, axes = pyplot.subplots(
+        3, len(days), figsize=(3 * len(days), 8), squeeze=False, sharey="row", sharex=True
+    )
     for column, day in enumerate(days):
         for way in WAYS:
             series: list[list[Optional[float]]] = [[], [], []]
             for size in sizes:
                 got = [row for row in rows if (row["way"], row["day"], row["size"]) == (way, day, size)]
                 found = sorted(t for row in got for t in row["found"])
-                series[0].append(percentile(found, .99) if found else None)
+                series[0].append(percentile(found, 0.99) if found else None)
                 series[1].append(sum(row["wrong"] for row in got) + 0.5 if got else None)
                 series[2].append(sum(row["bytes"] for row in got) / len(got) if got else None)
             for at in range(3):
@@ -144,7 +197,9 @@
         axes[2][column].set_yscale("log")
         axes[2][column].set_xscale("log")
         axes[2][column].set_xlabel("members")
-    for at, label in enumerate(("found dead, p99 (periods)", "wrong removals + 0.5", "bytes a member and period")):
+    for at, label in enumerate(
+        ("found dead, p99 (periods)", "wrong removals + 0.5", "bytes a member and period")
+    ):
         axes[at][0].set_ylabel(label)
     axes[0][0].legend(fontsize=7)
     figure.tight_layout()
@@ -157,24 +212,40 @@
     parser.add_argument("--days", default=",".join(DAYS))
     parser.add_argument("--ways", default=",".join(WAYS))
     parser.add_argument("--seeds", type=int, default=3)
-    parser.add_argument("--heals", action="store_true", help="the time to equal views after a heal, and nothing else")
+    parser.add_argument(
+        "--heals", action="store_true", help="the time to equal views after a heal, and nothing else"
+    )
     parser.add_argument("--jobs", type=int, default=None)
     parser.add_argument("--json", default="")
     parser.add_argument("--plot", default="")
     args = parser.parse_args()
-    tasks = [(way, int(size), day, seed) for size in args.sizes.split(",") for day in args.days.split(",")
-             for way in args.ways.split(",") for seed in range(1, args.seeds + 1)]
+    tasks = [
+        (way, int(size), day, seed)
+        for size in args.sizes.split(",")
+        for day in args.days.split(",")
+        for way in args.ways.split(",")
+        for seed in range(1, args.seeds + 1)
+    ]
     if args.heals:
         with multiprocessing.Pool(args.jobs) as pool:
-            for size, seed, took in pool.imap_unordered(heal, [(int(size), seed) for size in args.sizes.split(",")
-                                                               for seed in range(1, args.seeds + 1)], 1):
-                print(f"{size:>5} members, seed {seed}: equal views {took} periods after the heal", flush=True)
+            for size, seed, took in pool.imap_unordered(
+                heal,
+                [(int(size), seed) for size in args.sizes.split(",") for seed in range(1, args.seeds + 1)],
+                1,
+            ):
+                print(
+                    f"{size:>5} members, seed {seed}: equal views {took} periods after the heal", flush=True
+                )
         return 0
     rows: list[dict[str, Any]] = []
     with multiprocessing.Pool(args.jobs) as pool:
         for row in pool.imap(play, tasks, 1):
             rows.append(row)
-            same = [one for one in rows if (one["way"], one["size"], one["day"]) == (row["way"], row["size"], row["day"])]
+            same = [
+                one
+                for one in rows
+                if (one["way"], one["size"], one["day"]) == (row["way"], row["size"], row["day"])
+            ]
             if len(same) == args.seeds:
                 print(line(same), flush=True)
     if args.json:
--- a/benchmarks/orders.py
+++ b/benchmarks/orders.py
@@ -6,6 +6,7 @@
 
     python -m benchmarks.orders [--proxies 10,70,300] [--turns 200]
 """
+
 from __future__ import annotations
 
 import argparse
@@ -24,7 +25,7 @@
 from cedarshift.loop import listen
 from cedarshift.loop.epoll import real_loop
 
-LINES = 8                 # lines a turn: a busy hand-over
+LINES = 8  # lines a turn: a busy hand-over
 TURNS = 200
 
 
@@ -35,6 +36,7 @@
 
 # ---- the peers, one process for all, driven by epoll on raw sockets
 
+
 def peers(port: int, count: int, handshake: bool, stop: Any) -> None:
     poll, socks, buffers = select.epoll(), {}, {}
     for n in range(count):
@@ -48,7 +50,7 @@
         for number, _ in poll.poll(0.1):
             try:
                 data = socks[number].recv(65_536)
-            except ConnectionResetError:     # the pusher has measured enough
+            except ConnectionResetError:  # the pusher has measured enough
                 data = b""
             if not data:
                 poll.unregister(number)
@@ -60,9 +62,9 @@
                 length = struct.unpack_from(">I", buffer)[0]
                 if len(buffer) < 4 + length:
                     break
-                if buffer[4] == 17:          # an order: its mark is not needed, the sequence stands for it
-                    acks += encode(m.Ack(_mark(bytes(buffer[HEAD.size:4 + length]))))
-                del buffer[:4 + length]
+                if buffer[4] == 17:  # an order: its mark is not needed, the sequence stands for it
+                    acks += encode(m.Ack(_mark(bytes(buffer[HEAD.size : 4 + length]))))
+                del buffer[: 4 + length]
             try:
                 socks[number].sendall(acks)
             except (BrokenPipeError, ConnectionResetError):
@@ -76,6 +78,7 @@
     global DECODER
     if DECODER is None:
         import msgspec
+
         DECODER = msgspec.msgpack.Decoder(m.Order)
     return DECODER.decode(body).mark
 
@@ -89,6 +92,7 @@
 
 # ---- the three pushers: each returns the seconds from the first send of a turn to its last ack, for every turn
 
+
 def by_loop(count: int, turns: int, started: Callable[[int], None]) -> list[float]:
     loop = real_loop()
     door = listen(loop, ("127.0.0.1", 0))
@@ -114,13 +118,14 @@
         for turn in range(turns):
             begun = time.perf_counter()
             state["left"] = count
-            for link in links:               # as the pilot does: rows packed once, head and sequence each
+            for link in links:  # as the pilot does: rows packed once, head and sequence each
                 link.send_frame(encode_order(turn + 1, 0, rows, pack_rows([]), turn))
             while state["left"] > 0:
                 state["waker"] = loop.waker()
                 yield
                 state["waker"] = None
             took.append(time.perf_counter() - begun)
+
     make = lambda: Session(Badge("bench", "pilot", "p0"), lambda hello: m.Welcome(1), b"")  # noqa: E731
     loop.spawn(serve(loop, door, make, talk, lambda event, **fields: None), "accept")
     started(door.address[1])
@@ -147,6 +152,7 @@
                         done.set()
             except asyncio.CancelledError:
                 pass
+
         server = await asyncio.start_server(one, "127.0.0.1", 0)
         started(server.sockets[0].getsockname()[1])
         while len(writers) < count:
@@ -161,6 +167,7 @@
             await done.wait()
             took.append(time.perf_counter() - begun)
         server.close()
+
     asyncio.run(main())
     return took
 
@@ -200,34 +207,52 @@
         worker = multiprocessing.Process(target=peers, args=(port, count, handshake, stop))
         worker.start()
         workers.append(worker)
+
     took = sorted(push(count, turns, started))
     stop.set()
     for worker in workers:
         worker.join()
     messages = count * turns
-    return {"p50": took[len(took) // 2] * 1e3, "p99": took[len(took) * 99 // 100] * 1e3, "max": took[-1] * 1e3,
-            "us_a_message": sum(took) / messages * 1e6, "lines_per_s": messages * LINES / sum(took)}
+    return {
+        "p50": took[len(took) // 2] * 1e3,
+        "p99": took[len(took) * 99 // 100] * 1e3,
+        "max": took[-1] * 1e3,
+        "us_a_message": sum(took) / messages * 1e6,
+        "lines_per_s": messages * LINES / sum(took),
+    }
 
 
 def main() -> None:
     parser = argparse.ArgumentParser()
     parser.add_argument("--proxies", default="10,70,300")
     parser.add_argument("--turns", type=int, default=TURNS)
-    parser.add_argument("--rounds", type=int, default=3, help="the best of so many rounds counts: the machine is shared")
+    parser.add_argument(
+        "--rounds", type=int, default=3, help="the best of so many rounds counts: the machine is shared"
+    )
     args = parser.parse_args()
-    print(f"orders of {LINES} lines, {args.turns} turns, best of {args.rounds} rounds; from the first send to the last ack")
-    print(f"{'proxies':>8} {'pushed by':<14} {'p50 ms':>8} {'p99 ms':>8} {'max ms':>8} {'us/message':>11} {'lines/s':>10} {'x floor':>8}")
+    print(
+        f"orders of {LINES} lines, {args.turns} turns, best of {args.rounds} rounds; from the first send to the last ack"
+    )
+    print(
+        f"{'proxies':>8} {'pushed by':<14} {'p50 ms':>8} {'p99 ms':>8} {'max ms':>8} {'us/message':>11} {'lines/s':>10} {'x floor':>8}"
+    )
     for count in (int(n) for n in args.proxies.split(",")):
         best: dict[str, dict[str, float]] = {}
         for _ in range(args.rounds):
-            for name, push, handshake in (("bare sockets", by_bare_sockets, False), ("asyncio", by_asyncio, False),
-                                          ("cedarshift", by_loop, True)):
+            for name, push, handshake in (
+                ("bare sockets", by_bare_sockets, False),
+                ("asyncio", by_asyncio, False),
+                ("cedarshift", by_loop, True),
+            ):
                 got = measure(name, push, count, args.turns, handshake)
                 if name not in best or got["us_a_message"] < best[name]["us_a_message"]:
                     best[name] = got
         for name, got in best.items():
-            print(f"{count:>8} {name:<14} {got['p50']:>8.2f} {got['p99']:>8.2f} {got['max']:>8.2f} {got['us_a_message']:>11.1f} "
-                  f"{got['lines_per_s']:>10.0f} {got['us_a_message'] / best['bare sockets']['us_a_message']:>8.2f}", flush=True)
+            print(
+                f"{count:>8} {name:<14} {got['p50']:>8.2f} {got['p99']:>8.2f} {got['max']:>8.2f} {got['us_a_message']:>11.1f} "
+                f"{got['lines_per_s']:>10.0f} {got['us_a_message'] / best['bare sockets']['us_a_message']:>8.2f}",
+                flush=True,
+            )
 
 
 if __name__ == "__main__":
--- a/benchmarks/overload.py
+++ b/benchmarks/overload.py
@@ -12,6 +12,7 @@
 Each figure is a mean over the seeds with its 95% interval (Student's t). Goodput: ops acked in time, a second, once the load has stood
 for six seconds.
 """
+
 from __future__ import annotations
 
 import argparse
@@ -31,9 +32,9 @@
 from cedarshift.rehearsal.run import play
 
 WAYS = ("fleet", "alone", "none", "throttle", "oracle")
-CAN = 120.0               # ops a second of nine endpoints with four cores and 0.3 s an op
-BASE = 60.0               # before the load comes
-BEGIN, STANDS, END = 5, 11, 27   # s: the load comes; it has stood; it ends
+CAN = 120.0  # ops a second of nine endpoints with four cores and 0.3 s an op
+BASE = 60.0  # before the load comes
+BEGIN, STANDS, END = 5, 11, 27  # s: the load comes; it has stood; it ends
 ORACLE = 0.95
 T_95 = {2: 12.71, 3: 4.30, 4: 3.18, 5: 2.78, 6: 2.57, 7: 2.45, 8: 2.36, 9: 2.31, 10: 2.26}
 
@@ -54,8 +55,12 @@
         worths = [Worth(op.name, op.earnings, 1.0) for op in deployment.op_types]
         whole = sum(day.shares.values())
         mix = [day.shares[op.name] / whole for op in deployment.op_types]
-        changes.update(proxy_kind="fixed", let_in=tuple(shares(min(1.0, ORACLE * CAN / rate), merit(worths), mix)))
-    return dataclasses.replace(day, rate=BASE, length=END * 1_000_000, faults=(burst,), deployment=deployment, **changes)
+        changes.update(
+            proxy_kind="fixed", let_in=tuple(shares(min(1.0, ORACLE * CAN / rate), merit(worths), mix))
+        )
+    return dataclasses.replace(
+        day, rate=BASE, length=END * 1_000_000, faults=(burst,), deployment=deployment, **changes
+    )
 
 
 def one(task: tuple[str, float, int]) -> dict[str, Any]:
@@ -85,38 +90,71 @@
             in_time[name] += row.told[2] <= ops[name].target_latency
     span, earned = END - 1 - STANDS, sum(ops[name].earnings * count for name, count in in_time.items())
     took.sort()
-    return {"way": way, "times": times, "seed": seed, "goodput": sum(in_time.values()) / span, "earned": earned / span,
-            "by_type": {name: in_time[name] / max(1, asked[name]) for name in ops},
-            "repeats": sum(count - 1 for count in tries.values()) / max(1, sum(asked.values())),
-            "p99_ms": took[int(len(took) * 0.99)] / 1000 if took else 0.0,
-            "broken": [rule["rule"] for rule in report["rules"] if not rule["held"] and rule["rule"] != "overload"]}
+    return {
+        "way": way,
+        "times": times,
+        "seed": seed,
+        "goodput": sum(in_time.values()) / span,
+        "earned": earned / span,
+        "by_type": {name: in_time[name] / max(1, asked[name]) for name in ops},
+        "repeats": sum(count - 1 for count in tries.values()) / max(1, sum(asked.values())),
+        "p99_ms": took[int(len(took) * 0.99)] / 1000 if took else 0.0,
+        "broken": [
+            rule["rule"] for rule in report["rules"] if not rule["held"] and rule["rule"] != "overload"
+        ],
+    }
 
 
 def with_interval(values: list[float]) -> tuple[float, float]:
     mean = statistics.mean(values)
-    return mean, T_95.get(len(values), 2.0) * statistics.stdev(values) / len(values) ** 0.5 if len(values) > 1 else 0.0
+    return mean, T_95.get(len(values), 2.0) * statistics.stdev(values) / len(values) ** 0.5 if len(
+        values
+    ) > 1 else 0.0
 
 
 def line(rows: list[dict[str, Any]]) -> str:
-    figures = {key: with_interval([row[key] for row in rows]) for key in ("goodput", "earned", "repeats", "p99_ms")}
+    figures = {
+        key: with_interval([row[key] for row in rows]) for key in ("goodput", "earned", "repeats", "p99_ms")
+    }
     kinds = {name: with_interval([row["by_type"][name] for row in rows]) for name in rows[0]["by_type"]}
     broken = Counter(rule for row in rows for rule in row["broken"])
-    return (f"{rows[0]['times']:>4}x {rows[0]['way']:<9} goodput {figures['goodput'][0]:6.1f} ±{figures['goodput'][1]:5.1f}  "
-            f"earned {figures['earned'][0]:6.1f} ±{figures['earned'][1]:5.1f}  "
-            + "  ".join(f"{name} {mean:.3f} ±{half:.3f}" for name, (mean, half) in kinds.items())
-            + f"  repeats {figures['repeats'][0]:.3f}  p99 {figures['p99_ms'][0]:5.0f} ms" + (f"  BROKEN {dict(broken)}" if broken else ""))
+    return (
+        f"{rows[0]['times']:>4}x {rows[0]['way']:<9} goodput {figures['goodput'][0]:6.1f} ±{figures['goodput'][1]:5.1f}  "
+        f"earned {figures['earned'][0]:6.1f} ±{figures['earned'][1]:5.1f}  "
+        + "  ".join(f"{name} {mean:.3f} ±{half:.3f}" for name, (mean, half) in kinds.items())
+        + f"  repeats {figures['repeats'][0]:.3f}  p99 {figures['p99_ms'][0]:5.0f} ms"
+        + (f"  BROKEN {dict(broken)}" if broken else "")
+    )
 
 
 def plot(rows: list[dict[str, Any]], path: str) -> None:
     import matplotlib
+
     matplotlib.use("Agg")
     from matplotlib import pyplot
+
     figure, axes = pyplot.subplots(1, 3, figsize=(13, 4))
     loads = sorted({row["times"] for row in rows})
-    for axis, key, title in zip(axes, ("goodput", "earned", "repeats"), ("acked in time, ops a second", "earned a second", "repeats for each op")):
+    for axis, key, title in zip(
+        axes,
+        ("goodput", "earned", "repeats"),
+        ("acked in time, ops a second", "earned a second", "repeats for each op"),
+    ):
         for way in WAYS:
-            found = [with_interval([row[key] for row in rows if (row["way"], row["times"]) == (way, times)] or [0.0]) for times in loads]
-            axis.errorbar(loads, [mean for mean, _ in found], [half for _, half in found], marker="o", capsize=3, label=way)
+            found = [
+                with_interval(
+                    [row[key] for row in rows if (row["way"], row["times"]) == (way, times)] or [0.0]
+                )
+                for times in loads
+            ]
+            axis.errorbar(
+                loads,
+                [mean for mean, _ in found],
+                [half for _, half in found],
+                marker="o",
+                capsize=3,
+                label=way,
+            )
         axis.set_title(title)
         axis.set_xlabel("load, of what can be carried")
     axes[0].legend(fontsize=8)
@@ -133,7 +171,12 @@
     parser.add_argument("--plot", default="")
     parser.add_argument("--json", default="")
     args = parser.parse_args()
-    tasks = [(way, float(times), seed) for times in args.loads.split(",") for way in args.ways.split(",") for seed in range(1, args.seeds + 1)]
+    tasks = [
+        (way, float(times), seed)
+        for times in args.loads.split(",")
+        for way in args.ways.split(",")
+        for seed in range(1, args.seeds + 1)
+    ]
     rows: list[dict[str, Any]] = []
     with multiprocessing.Pool(args.jobs) as pool:
         for row in pool.imap(one, tasks, 1):
--- a/benchmarks/roster.py
+++ b/benchmarks/roster.py
@@ -6,6 +6,7 @@
 
     python -m benchmarks.roster [--sizes 100,1000,10000] [--herd 300]
 """
+
 from __future__ import annotations
 
 import argparse
@@ -34,8 +35,8 @@
 
 PATH = "/bench"
 SECOND = 1_000_000
-WINDOW = 200              # creates in flight while the tree is filled
-DRAIN = 50                # one node in so many changes
+WINDOW = 200  # creates in flight while the tree is filled
+DRAIN = 50  # one node in so many changes
 
 
 def member(n: int, phase: str = "on") -> bytes:
@@ -43,8 +44,15 @@
 
 
 def client_of(loop: Loop, places: list[tuple[str, int]]) -> ZooClient:
-    return ZooClient(loop, places, 20 * SECOND, random.Random(1).random, lambda state: None, lambda event: None,
-                     lambda event, **fields: None)
+    return ZooClient(
+        loop,
+        places,
+        20 * SECOND,
+        random.Random(1).random,
+        lambda state: None,
+        lambda event: None,
+        lambda event, **fields: None,
+    )
 
 
 def connected(loop: Loop, client: ZooClient) -> Coroutine:
@@ -55,7 +63,7 @@
 def many(loop: Loop, client: ZooClient, requests: list[tuple[int, Any]]) -> Coroutine:
     """Posts all of them, a window at a time."""
     for start in range(0, len(requests), WINDOW):
-        calls = [client.post(op, body) for op, body in requests[start:start + WINDOW]]
+        calls = [client.post(op, body) for op, body in requests[start : start + WINDOW]]
         for call in calls:
             yield from call.wait()
 
@@ -68,8 +76,14 @@
         pass
     got = yield from client.call(r.GET_CHILDREN2, r.Watched(PATH, False))
     yield from many(loop, client, [(r.DELETE, r.Delete(f"{PATH}/{name}", -1)) for name in got.children])
-    yield from many(loop, client, [(r.CREATE, r.Create(f"{PATH}/member_{n:06d}", member(n), OPEN_ACL, r.EPHEMERAL))
-                                   for n in range(count)])
+    yield from many(
+        loop,
+        client,
+        [
+            (r.CREATE, r.Create(f"{PATH}/member_{n:06d}", member(n), OPEN_ACL, r.EPHEMERAL))
+            for n in range(count)
+        ],
+    )
 
 
 def read(places: list[tuple[str, int]], count: int, recursive: bool) -> dict[str, Any]:
@@ -81,40 +95,61 @@
     def tell(kind: str, entries: list[Any]) -> None:
         told_at.append(loop.now())
         listed.update({e.endpoint: e.phase for e in entries})
+
     before = resource.getrusage(resource.RUSAGE_SELF).ru_maxrss
     begun = loop.now()
-    source = EphemeralSource(loop, EphemeralTerms(tuple(places), PATH, 20 * SECOND, "serverset", "", recursive, False, SECOND, ()),
-                             False, random.Random(2).random, SavedList(""), tell, lambda event, **fields: None)
+    source = EphemeralSource(
+        loop,
+        EphemeralTerms(tuple(places), PATH, 20 * SECOND, "serverset", "", recursive, False, SECOND, ()),
+        False,
+        random.Random(2).random,
+        SavedList(""),
+        tell,
+        lambda event, **fields: None,
+    )
     found: dict[str, Any] = {}
 
     def main() -> Coroutine:
         while len(listed) < count:
             yield from loop.sleep(1_000)
         client = source.client
-        found.update(first_ms=(told_at[-1] - begun) / 1e3, calls=client.counts["calls"], kib=client.counts["bytes_read"] / 1024,
-                     memory_mib=(resource.getrusage(resource.RUSAGE_SELF).ru_maxrss - before) / 1024,
-                     slowest_step_ms=loop.slowest / 1e3)
+        found.update(
+            first_ms=(told_at[-1] - begun) / 1e3,
+            calls=client.counts["calls"],
+            kib=client.counts["bytes_read"] / 1024,
+            memory_mib=(resource.getrusage(resource.RUSAGE_SELF).ru_maxrss - before) / 1024,
+            slowest_step_ms=loop.slowest / 1e3,
+        )
         calls, size = client.counts["calls"], client.counts["bytes_read"]
         print("ready", flush=True)
         while sum(phase == "fading" for phase in listed.values()) < max(1, count // DRAIN):
             yield from loop.sleep(1_000)
-        found.update(changed_at=told_at[-1], change_calls=client.counts["calls"] - calls,
-                     change_kib=(client.counts["bytes_read"] - size) / 1024)
+        found.update(
+            changed_at=told_at[-1],
+            change_calls=client.counts["calls"] - calls,
+            change_kib=(client.counts["bytes_read"] - size) / 1024,
+        )
+
     loop.run(loop.spawn(main(), "main"))
     source.stop()
     return found
 
 
-def measure(loop: Loop, filler: ZooClient, places: list[tuple[str, int]], count: int, recursive: bool) -> dict[str, Any]:
+def measure(
+    loop: Loop, filler: ZooClient, places: list[tuple[str, int]], count: int, recursive: bool
+) -> dict[str, Any]:
     loop.run(loop.spawn(fill(loop, filler, count), "fill"))
-    reader = subprocess.Popen([sys.executable, "-m", "benchmarks.roster", "--read", json.dumps([places, count, recursive])],
-                              stdout=subprocess.PIPE, text=True)
+    reader = subprocess.Popen(
+        [sys.executable, "-m", "benchmarks.roster", "--read", json.dumps([places, count, recursive])],
+        stdout=subprocess.PIPE,
+        text=True,
+    )
     assert reader.stdout is not None
     waiting = os.dup(reader.stdout.fileno())
     os.set_blocking(waiting, False)
 
     def change() -> Coroutine:
-        while True:                          # the filler's own session must be kept alive meanwhile
+        while True:  # the filler's own session must be kept alive meanwhile
             try:
                 if os.read(waiting, 64):
                     break
@@ -122,9 +157,16 @@
                 pass
             yield from loop.sleep(5_000)
         begun = loop.now()
-        yield from many(loop, filler, [(r.SET_DATA, r.SetData(f"{PATH}/member_{n:06d}", member(n, "fading"), -1))
-                                       for n in range(max(1, count // DRAIN))])
+        yield from many(
+            loop,
+            filler,
+            [
+                (r.SET_DATA, r.SetData(f"{PATH}/member_{n:06d}", member(n, "fading"), -1))
+                for n in range(max(1, count // DRAIN))
+            ],
+        )
         return begun
+
     begun = loop.run(loop.spawn(change(), "change"))
     found = json.loads(reader.communicate(timeout=60)[0].splitlines()[-1])
     os.close(waiting)
@@ -137,17 +179,28 @@
 
     def quiet(event: str, **fields: Any) -> None:
         pass
-    source = EphemeralSource(loop, EphemeralTerms(tuple(places), PATH, 20 * SECOND, "serverset", "", True, False, SECOND, ()), False,
-                             random.Random(2).random, SavedList(""), lambda kind, entries: listed.update(
-                                 {e.endpoint: e.phase for e in entries}), quiet)
+
+    source = EphemeralSource(
+        loop,
+        EphemeralTerms(tuple(places), PATH, 20 * SECOND, "serverset", "", True, False, SECOND, ()),
+        False,
+        random.Random(2).random,
+        SavedList(""),
+        lambda kind, entries: listed.update({e.endpoint: e.phase for e in entries}),
+        quiet,
+    )
     terms = RegisterTerms(tuple(places), PATH, 20 * SECOND, "serverset", "bench", ())
 
     def main() -> Coroutine:
         while not source.primed:
             yield from loop.sleep(1_000)
         begun, calls = loop.now(), source.client.counts["calls"]
-        made = [Registration(loop, terms, Member(f"herd:{n + 1}", "on", 1.0, "north", "b"), random.Random(n).random, quiet)
-                for n in range(count)]
+        made = [
+            Registration(
+                loop, terms, Member(f"herd:{n + 1}", "on", 1.0, "north", "b"), random.Random(n).random, quiet
+            )
+            for n in range(count)
+        ]
         while sum(name.startswith("herd") for name in listed) < count:
             yield from loop.sleep(1_000)
         took, calls = (loop.now() - begun) / 1e3, source.client.counts["calls"] - calls
@@ -155,6 +208,7 @@
             one.stop()
         source.stop()
         return took, calls
+
     return loop.run(loop.spawn(main(), "herd"))
 
 
@@ -175,24 +229,39 @@
         plan = {"addresses": places, "control": control, "read_path": "", "form": "serverset", "seed": 1}
         with open(os.path.join(folder, "plan.json"), "w") as out:
             json.dump(plan, out)
-        ensemble = subprocess.Popen([sys.executable, "-m", "cedarshift.standins", "ensemble", out.name,
-                                     os.path.join(folder, "record.jsonl")])
+        ensemble = subprocess.Popen(
+            [
+                sys.executable,
+                "-m",
+                "cedarshift.standins",
+                "ensemble",
+                out.name,
+                os.path.join(folder, "record.jsonl"),
+            ]
+        )
         try:
             time.sleep(0.5)
             filler = client_of(loop, places)
-            print(f"{'nodes':>6} {'watch':<10} {'first ms':>9} {'calls':>6} {'KiB':>7} {'MiB':>6} {'trips':>6} {'step ms':>8}   "
-                  f"{'2% change ms':>12} {'calls':>6} {'KiB':>7}")
+            print(
+                f"{'nodes':>6} {'watch':<10} {'first ms':>9} {'calls':>6} {'KiB':>7} {'MiB':>6} {'trips':>6} {'step ms':>8}   "
+                f"{'2% change ms':>12} {'calls':>6} {'KiB':>7}"
+            )
             for count in [int(size) for size in args.sizes.split(",")]:
                 for recursive in (True, False):
                     got = measure(loop, filler, places, count, recursive)
                     trips = 3 + int(recursive) + -(-count // IN_FLIGHT)
-                    print(f"{count:>6} {'recursive' if recursive else 'one-shot':<10} {got['first_ms']:>9.1f} {got['calls']:>6} "
-                          f"{got['kib']:>7.0f} {got['memory_mib']:>6.1f} {trips:>6} {got['slowest_step_ms']:>8.1f}   "
-                          f"{got['change_ms']:>12.1f} {got['change_calls']:>6} {got['change_kib']:>7.1f}", flush=True)
+                    print(
+                        f"{count:>6} {'recursive' if recursive else 'one-shot':<10} {got['first_ms']:>9.1f} {got['calls']:>6} "
+                        f"{got['kib']:>7.0f} {got['memory_mib']:>6.1f} {trips:>6} {got['slowest_step_ms']:>8.1f}   "
+                        f"{got['change_ms']:>12.1f} {got['change_calls']:>6} {got['change_kib']:>7.1f}",
+                        flush=True,
+                    )
             loop.run(loop.spawn(fill(loop, filler, 0), "empty"))
             took, calls = herd(loop, places, args.herd)
-            print(f"a herd of {args.herd} that registers at once: a true list after {took:.0f} ms, {calls} calls of the reader; "
-                  "members, reader and their sessions in one process")
+            print(
+                f"a herd of {args.herd} that registers at once: a true list after {took:.0f} ms, {calls} calls of the reader; "
+                "members, reader and their sessions in one process"
+            )
         finally:
             ensemble.kill()
             ensemble.wait()
--- a/benchmarks/turns.py
+++ b/benchmarks/turns.py
@@ -13,6 +13,7 @@
 
     python -m benchmarks.turns --former REV --rough 1-200
 """
+
 from __future__ import annotations
 
 import argparse
@@ -31,24 +32,42 @@
 from typing import Any, Optional
 
 import cedarshift.brain
-from cedarshift.interface import Entry, OpType, Terms
 from benchmarks.fixtures import percentile
+from cedarshift.interface import Entry, OpType, Terms
 
-SECOND = 10_000           # tenths of a millisecond
+SECOND = 10_000  # tenths of a millisecond
 ZONES = ("a", "b", "c", "d")
 BEGIN = 100_000 * SECOND  # the day's begin: clocks of machines do not start at nought
 DRAIN_AT = BEGIN + 10 * SECOND
-PERIOD = 2 * SECOND       # between two sums of a zone
-OPS_A_SLICE = 6           # ops of a slice in a period, on average
+PERIOD = 2 * SECOND  # between two sums of a zone
+OPS_A_SLICE = 6  # ops of a slice in a period, on average
 
 
 def terms(slices: int, proxies: int) -> Terms:
     """Of the first users' platform, with a channel that grows with the proxies: heads fill 0.3 of it, as theirs do."""
     lines_per_s = 40.0 * proxies
-    return Terms(op_types=(OpType("fetch", 20_000, 60_000, False, False), OpType("order", 20_000, 30_000, True, False)),
-                 zones=ZONES, slices=slices, single_owner=True, seed=7, lines_per_message=16, lines_waiting_most=55 * proxies,
-                 lines_per_s=lines_per_s, transit_most=5_000, connect_most=2_000, report_period=PERIOD, lease=8_000,
-                 in_flight_most=30_000, drain_grace=80_000, warm_within=150_000, cold_share=0.18, tip_multiple=3.0)
+    return Terms(
+        op_types=(
+            OpType("fetch", 20_000, 60_000, False, False),
+            OpType("order", 20_000, 30_000, True, False),
+        ),
+        zones=ZONES,
+        slices=slices,
+        single_owner=True,
+        seed=7,
+        lines_per_message=16,
+        lines_waiting_most=55 * proxies,
+        lines_per_s=lines_per_s,
+        transit_most=5_000,
+        connect_most=2_000,
+        report_period=PERIOD,
+        lease=8_000,
+        in_flight_most=30_000,
+        drain_grace=80_000,
+        warm_within=150_000,
+        cold_share=0.18,
+        tip_multiple=3.0,
+    )
 
 
 class Day:
@@ -59,12 +78,12 @@
         self.endpoints, self.slices, self.proxies = endpoints, slices, proxies
         self.pilot = module.Pilot(terms(slices, proxies))
         self.owner = {n: f"e{n % endpoints:05d}" for n in range(slices)}
-        self.due: list[tuple[int, int, str, Any]] = []   # (at, number, kind, what)
+        self.due: list[tuple[int, int, str, Any]] = []  # (at, number, kind, what)
         self.drawn = 0
         self.digest = hashlib.blake2b(digest_size=16)
         self.decided = 0
-        self.turns: list[float] = []         # s; the cost of each pull of all decisions
-        self.inputs: list[float] = []        # s; the cost of all that was told at one time
+        self.turns: list[float] = []  # s; the cost of each pull of all decisions
+        self.inputs: list[float] = []  # s; the cost of all that was told at one time
 
     def at(self, when: int, kind: str, what: Any) -> None:
         self.drawn += 1
@@ -96,7 +115,9 @@
                 if kind == "sums":
                     begun += self.sums(now, what)
                 elif kind == "drain":
-                    self.pilot.on_list(now, "changes", [self.entry(n, "fading") for n in range(0, self.endpoints, 5)])
+                    self.pilot.on_list(
+                        now, "changes", [self.entry(n, "fading") for n in range(0, self.endpoints, 5)]
+                    )
                 elif kind == "trouble":
                     self.trouble(now)
                 elif kind == "acks":
@@ -125,8 +146,14 @@
         for n in range(self.endpoints):
             tries = self.chance.randrange(5, 30)
             slow = 6.0 if n % 37 == 3 else 1.0
-            met.append((f"e{n:05d}", tries, self.chance.randrange(3) if slow > 1 else 0,
-                        int(slow * self.chance.randrange(1_500, 4_500))))
+            met.append(
+                (
+                    f"e{n:05d}",
+                    tries,
+                    self.chance.randrange(3) if slow > 1 else 0,
+                    int(slow * self.chance.randrange(1_500, 4_500)),
+                )
+            )
         for n in range(ZONES.index(zone), self.slices, 4):
             for op_type in ("fetch", "order"):
                 heat.append((n, op_type, self.chance.randrange(2 * OPS_A_SLICE)))
@@ -161,11 +188,21 @@
         super().__init__(module, draw.randrange(2, 24), draw.randrange(4, 90), draw.randrange(1, 20))
         self.chance = draw
         pilots = draw.randrange(1, 4)
-        self.pilot = module.Pilot(dataclasses.replace(
-            terms(self.slices, self.proxies), pilots=pilots, place=draw.randrange(pilots), seed=seed,
-            gone_binds=draw.random() < 0.5, asks_list=draw.random() < 0.5, levels=draw.choice(("fraction", "none")),
-            single_owner=draw.random() < 0.8, report_period=draw.choice((5_000, PERIOD, 50_000)),
-            lines_waiting_most=draw.choice((25, 60, 400)) * self.proxies, ask_within=100_000))
+        self.pilot = module.Pilot(
+            dataclasses.replace(
+                terms(self.slices, self.proxies),
+                pilots=pilots,
+                place=draw.randrange(pilots),
+                seed=seed,
+                gone_binds=draw.random() < 0.5,
+                asks_list=draw.random() < 0.5,
+                levels=draw.choice(("fraction", "none")),
+                single_owner=draw.random() < 0.8,
+                report_period=draw.choice((5_000, PERIOD, 50_000)),
+                lines_waiting_most=draw.choice((25, 60, 400)) * self.proxies,
+                ask_within=100_000,
+            )
+        )
         self.lossy = {(draw.choice(ZONES), draw.choice(ZONES)) for _ in range(draw.randrange(3))}
         self.failing: set[int] = set()
         self.joined = set(range(self.proxies))
@@ -192,7 +229,9 @@
             pilot.on_list(now, "update", [self.entry(one, self.phases[one]) for one in sorted(some)])
         elif kind == 3:
             named = [one for one in range(self.endpoints) if draw.random() < 0.8]
-            pilot.on_list(now, draw.choice(("replace", "unavailable")), [self.entry(one, "on") for one in named])
+            pilot.on_list(
+                now, draw.choice(("replace", "unavailable")), [self.entry(one, "on") for one in named]
+            )
         elif kind == 4:
             self.failing ^= {n}
         elif kind == 5:
@@ -224,7 +263,9 @@
             self.pilot.on_met(now, f"e{n:05d}", zone, tries, aborted, took, PERIOD)
         for n in range(self.slices):
             if draw.random() < 0.3:
-                self.pilot.on_heat(now, n, draw.choice(("fetch", "order")), draw.randrange(80), draw.randrange(5), PERIOD)
+                self.pilot.on_heat(
+                    now, n, draw.choice(("fetch", "order")), draw.randrange(80), draw.randrange(5), PERIOD
+                )
         self.at(now + PERIOD, "sums", zone)
         return 0.0
 
@@ -248,7 +289,9 @@
 
 def former(rev: str) -> ModuleType:
     """The module as it was at a commit."""
-    text = subprocess.run(["git", "show", f"{rev}:cedarshift/brain.py"], check=True, capture_output=True).stdout
+    text = subprocess.run(
+        ["git", "show", f"{rev}:cedarshift/brain.py"], check=True, capture_output=True
+    ).stdout
     with tempfile.TemporaryDirectory() as folder:
         path = os.path.join(folder, "former_brain.py")
         with open(path, "wb") as out:
@@ -275,9 +318,12 @@
     inputs = 1_000 * sum(day.inputs)
     share = (sum(ms) + inputs) / (1_000 * seconds)
     owned = sum(s.state == "owned" for s in day.pilot.slices.values())
-    print(f"{name:>10} {size[0]:>6} x {size[1]:>6} x {size[2]:>4}: turns p50 {percentile(ms, 0.5):7.2f} ms  "
-          f"p99 {percentile(ms, 0.99):7.2f}  longest {max(ms):7.2f}  inputs {inputs / seconds:6.2f} ms/s  "
-          f"share of a core {100 * share:5.1f}%  decisions {day.decided}, slices owned {owned}", flush=True)
+    print(
+        f"{name:>10} {size[0]:>6} x {size[1]:>6} x {size[2]:>4}: turns p50 {percentile(ms, 0.5):7.2f} ms  "
+        f"p99 {percentile(ms, 0.99):7.2f}  longest {max(ms):7.2f}  inputs {inputs / seconds:6.2f} ms/s  "
+        f"share of a core {100 * share:5.1f}%  decisions {day.decided}, slices owned {owned}",
+        flush=True,
+    )
     return day.digest.hexdigest(), day.decided
 
 
@@ -296,7 +342,9 @@
         endpoints, slices, proxies = (int(part) for part in text.split("x"))
         found = [measure("now", cedarshift.brain, (endpoints, slices, proxies), args.seconds)]
         if args.former:
-            found.append(measure(args.former[:10], former(args.former), (endpoints, slices, proxies), args.seconds))
+            found.append(
+                measure(args.former[:10], former(args.former), (endpoints, slices, proxies), args.seconds)
+            )
             alike = alike and found[0] == found[1]
             print(f"{'':>10} decisions {'alike, one by one' if found[0] == found[1] else 'DIFFER'}")
     return 0 if alike else 1
--- a/cedarshift/agent/__init__.py
+++ b/cedarshift/agent/__init__.py
@@ -1,4 +1,5 @@
 """What a plain proxy needs: tables and leases held, picks, acks of marks, sums, and redials. Counts, never decides."""
+
 from cedarshift.agent.client import Agent
 from cedarshift.agent.tables import NoPick, Pick, Tables
 
--- a/cedarshift/agent/client.py
+++ b/cedarshift/agent/client.py
@@ -1,4 +1,5 @@
 """The agent's streams: one to each pilot, redialled with jittered waits; beats, acks, sums; the store at the start."""
+
 from __future__ import annotations
 
 from collections import Counter
@@ -14,11 +15,11 @@
 from cedarshift.loop import Loop, StreamBroken, TimedOut
 from cedarshift.loop.core import Coroutine, Waker
 
-DIAL_TIMEOUT = 1_000_000      # us for a connect and its handshake
-REDIAL_FIRST = 100_000        # us
+DIAL_TIMEOUT = 1_000_000  # us for a connect and its handshake
+REDIAL_FIRST = 100_000  # us
 REDIAL_MOST = 2_000_000
-SILENCE = 4                   # leases without a word after which a pilot's stream counts as broken
-SILENCE_LEAST = 2_000_000     # us; with short leases, a slow moment must not break streams
+SILENCE = 4  # leases without a word after which a pilot's stream counts as broken
+SILENCE_LEAST = 2_000_000  # us; with short leases, a slow moment must not break streams
 
 
 class Tally:
@@ -33,9 +34,17 @@
 class Agent:
     """`chance()` gives [0, 1); `challenge()` fresh bytes for a handshake. `observe(event, **fields)` hears what came on the streams, for a record."""
 
-    def __init__(self, loop: Loop, badge: Badge, pilots: dict[str, tuple[str, int]],
-                 store: Optional[tuple[str, int]], tables: Tables, chance: Callable[[], float],
-                 observe: Optional[Callable[..., None]] = None, challenge: Callable[[], bytes] = lambda: b"") -> None:
+    def __init__(
+        self,
+        loop: Loop,
+        badge: Badge,
+        pilots: dict[str, tuple[str, int]],
+        store: Optional[tuple[str, int]],
+        tables: Tables,
+        chance: Callable[[], float],
+        observe: Optional[Callable[..., None]] = None,
+        challenge: Callable[[], bytes] = lambda: b"",
+    ) -> None:
         self.loop = loop
         self.shares = ProxyShares(1 + int(chance() * (1 << 52)), loop.now())
         self.gate = ProxyGate(chance)
@@ -48,11 +57,11 @@
         self.chance = chance
         self.observe = observe or (lambda event, **fields: None)
         self.tallies: dict[str, Tally] = {}
-        self.open: dict[str, Counter[str]] = {}   # by pilot: tries under way at each endpoint
-        self.frozen_until = 0                # applying a message takes time, in which nothing is picked
-        self.changed: list[Waker] = []       # ops that wait for an owner
+        self.open: dict[str, Counter[str]] = {}  # by pilot: tries under way at each endpoint
+        self.frozen_until = 0  # applying a message takes time, in which nothing is picked
+        self.changed: list[Waker] = []  # ops that wait for an owner
         self.links: dict[str, Link] = {}
-        if tables.slices:                    # each slice has a pilot of its own, so all are listened to
+        if tables.slices:  # each slice has a pilot of its own, so all are listened to
             self.tasks = [loop.spawn(self._follow([name]), f"agent {name}") for name in pilots]
         else:
             self.tasks = [loop.spawn(self._follow(list(pilots)), "agent")]
@@ -173,8 +182,10 @@
         tally = self.tallies[name] = Tally(self.loop.now())
         self.observe("joined", pilot=name)
         beats: dict[int, int] = {}
-        helpers = [self.loop.spawn(self._beat(name, link, beats, welcome.beat_every), f"agent {name} beat"),
-                   self.loop.spawn(self._report(name, link, tally, welcome.report_every), f"agent {name} report")]
+        helpers = [
+            self.loop.spawn(self._beat(name, link, beats, welcome.beat_every), f"agent {name} beat"),
+            self.loop.spawn(self._report(name, link, tally, welcome.report_every), f"agent {name} report"),
+        ]
         silence = max(SILENCE_LEAST, SILENCE * welcome.lease)
         got = first
         try:
@@ -209,7 +220,7 @@
         elif isinstance(message, m.Order):
             rows = len(message.lines) + len(message.levels)
             self.observe("order", pilot=name, order=message)
-            if cost and rows:                # the proxy stands still for the stated cost a line
+            if cost and rows:  # the proxy stands still for the stated cost a line
                 self.frozen_until = max(now, self.frozen_until) + cost * rows
                 yield from self.loop.sleep(self.frozen_until - now)
             self.tables.on_order(name, message)
@@ -233,11 +244,14 @@
 
     def _beat(self, name: str, link: Link, beats: dict[int, int], every: int) -> Coroutine:
         """Asks for the lease; each answer counts from when it was asked."""
-        n, wait = 0, int(every * self.chance())   # the second beat at a phase of its own: joiners after a restart came together
+        n, wait = (
+            0,
+            int(every * self.chance()),
+        )  # the second beat at a phase of its own: joiners after a restart came together
         while not link.closed:
             n += 1
             beats[n] = self.loop.now()
-            beats.pop(n - 64, None)          # so many without an answer: the old ones bring no lease any more
+            beats.pop(n - 64, None)  # so many without an answer: the old ones bring no lease any more
             try:
                 link.send(self.shares.on_beat(self.loop.now(), name, m.Beat(n)))
             except StreamBroken:
@@ -246,19 +260,25 @@
             wait = every
 
     def _report(self, name: str, link: Link, tally: Tally, every: int) -> Coroutine:
-        wait = int(every * (0.5 + self.chance() / 2))   # the first sums early, each proxy's at a phase of its own
+        wait = int(
+            every * (0.5 + self.chance() / 2)
+        )  # the first sums early, each proxy's at a phase of its own
         while not link.closed:
             yield from self.loop.sleep(wait)
             wait = every
             span = self.loop.now() - tally.since
             tally.since = self.loop.now()
             loads, under_way = self.gate.loads(self.loop.now(), name), self.open.get(name, Counter())
-            for end in (+under_way if name in self.gate.counting else ()):
+            for end in +under_way if name in self.gate.counting else ():
                 tally.met.setdefault(end, [0, 0, 0, 0])
-            met = [m.Met(end, tries, bad, took // max(1, tries - bad), span, full, under_way[end])
-                   for end, (tries, bad, took, full) in sorted(tally.met.items())]
-            heat = [m.Heat(number, kind, ops, lost, span)
-                    for (number, kind), (ops, lost) in sorted(tally.heat.items())]
+            met = [
+                m.Met(end, tries, bad, took // max(1, tries - bad), span, full, under_way[end])
+                for end, (tries, bad, took, full) in sorted(tally.met.items())
+            ]
+            heat = [
+                m.Heat(number, kind, ops, lost, span)
+                for (number, kind), (ops, lost) in sorted(tally.heat.items())
+            ]
             tally.met.clear()
             tally.heat.clear()
             shuns = self.tables.shunned(self.loop.now()) if name in self.gate.counting else []
@@ -276,8 +296,9 @@
         while True:
             asked = 0
             try:
-                link, _ = yield from connect(self.loop, address, Session(self.badge, challenge=self.challenge()),
-                                             DIAL_TIMEOUT)
+                link, _ = yield from connect(
+                    self.loop, address, Session(self.badge, challenge=self.challenge()), DIAL_TIMEOUT
+                )
                 link.send(m.ReadTables(1))
                 for message in (yield from link.receive(self.loop.now() + DIAL_TIMEOUT)):
                     if isinstance(message, m.Tables):
--- a/cedarshift/agent/gate.py
+++ b/cedarshift/agent/gate.py
@@ -3,6 +3,7 @@
 Where no pilot of the deployment asks for loads everything passes and nothing is counted. What a pilot told holds for a few seconds:
 a proxy that hears nothing more lets all in again, and the pilots' levels in the tables hold as ever.
 """
+
 from __future__ import annotations
 
 from typing import Callable, NamedTuple, Optional
@@ -11,19 +12,28 @@
 from cedarshift.codec import messages as m
 from cedarshift.judge.overload import AGAIN, WAIT, shares
 
-TOLD_FOR = 3_000_000      # us that an answer holds; while anything is taken away it is told anew at each look of the pilot
-REPEATS_SAVED = 10.0      # repeats that fresh ops may save up, so that a quiet hour buys no storm
-QUICK_FOR = 3_000_000     # us that an endpoint's own acks tell how long another would take
-QUICK_LEAST = 3           # acks before that
-QUICK_WEIGHT = 0.2        # of a new ack
-LATE_PART = 0.8           # of what acks take now; an op with less time left would not be acked in time
+TOLD_FOR = 3_000_000  # us that an answer holds; while anything is taken away it is told anew at each look of the pilot
+REPEATS_SAVED = 10.0  # repeats that fresh ops may save up, so that a quiet hour buys no storm
+QUICK_FOR = 3_000_000  # us that an endpoint's own acks tell how long another would take
+QUICK_LEAST = 3  # acks before that
+QUICK_WEIGHT = 0.2  # of a new ack
+LATE_PART = 0.8  # of what acks take now; an op with less time left would not be acked in time
 
 
-FIELDS = ("fresh", "repeats", "let_in", "acked", "aborted", "full", "took")   # of a Load; "took": of all the acked
+FIELDS = (
+    "fresh",
+    "repeats",
+    "let_in",
+    "acked",
+    "aborted",
+    "full",
+    "took",
+)  # of a Load; "took": of all the acked
 
 
 class Turned(NamedTuple):
     """An op that is rejected here. `again`: "no", "later" (after `wait` us) or "elsewhere" (another proxy may have it)."""
+
     reason: str
     again: str
     wait: int
@@ -47,6 +57,7 @@
 
 class Held(NamedTuple):
     """What a pilot told, when, and this proxy's part of it."""
+
     at: int
     told: m.Told
     fair: list[float]
@@ -58,9 +69,9 @@
 
     def __init__(self, chance: Callable[[], float]) -> None:
         self.chance = chance
-        self.counting: dict[str, int] = {}   # pilots that ask for loads -> since when the present ones count
+        self.counting: dict[str, int] = {}  # pilots that ask for loads -> since when the present ones count
         self.told: dict[str, Held] = {}
-        self.tallies: dict[str, dict[int, list[int]]] = {}   # by pilot and op type, in the order of FIELDS
+        self.tallies: dict[str, dict[int, list[int]]] = {}  # by pilot and op type, in the order of FIELDS
         self.repeats = REPEATS_SAVED
         self.admitted = Thinning()
         self.quick: dict[str, Quick] = {}
@@ -85,7 +96,11 @@
     def answer(self, now: int, pilot: str) -> Optional[m.Told]:
         """What the pilot told, as long as that holds and takes anything away."""
         held = self.told.get(pilot)
-        return held.told if held is not None and now - held.at <= TOLD_FOR and held.told.state != "calm" else None
+        return (
+            held.told
+            if held is not None and now - held.at <= TOLD_FOR and held.told.state != "calm"
+            else None
+        )
 
     def answered(self, now: int, pilot: str) -> bool:
         return self.answer(now, pilot) is not None
@@ -98,7 +113,9 @@
         found = []
         for kind, tally in sorted(self.tallies.pop(pilot, {}).items()):
             fresh, repeats, let_in, acked, aborted, full, took = tally
-            found.append(m.Load(kind, fresh, repeats, let_in, acked, aborted, full, took // max(1, acked), span))
+            found.append(
+                m.Load(kind, fresh, repeats, let_in, acked, aborted, full, took // max(1, acked), span)
+            )
         return found
 
     # ---- ops
@@ -117,7 +134,9 @@
                 told = self.answer(now, pilot)
                 self.repeats = min(REPEATS_SAVED, self.repeats + (told.again if told is not None else AGAIN))
 
-    def admit(self, now: int, pilot: str, endpoint: str, kind: int, left: int, fresh: bool) -> Optional[Turned]:
+    def admit(
+        self, now: int, pilot: str, endpoint: str, kind: int, left: int, fresh: bool
+    ) -> Optional[Turned]:
         """None: it may be sent. `left`: us of its op timeout. What is asked is spent."""
         counts = self._tally(pilot, kind)
         if counts is None:
@@ -125,7 +144,7 @@
         told = self.answer(now, pilot)
         if self._too_late(now, endpoint, left):
             return self._turn("late", "no", told)
-        if not fresh:                        # its part of the fleet's was paid for by fresh ops, and is not shed again
+        if not fresh:  # its part of the fleet's was paid for by fresh ops, and is not shed again
             if self.repeats < 1.0:
                 return self._turn("repeats", "no", told)
             self.repeats -= 1.0
@@ -136,8 +155,12 @@
 
     def _too_late(self, now: int, endpoint: str, left: int) -> bool:
         quick = self.quick.get(endpoint)
-        return (quick is not None and quick.count >= QUICK_LEAST and now - quick.at <= QUICK_FOR
-                and left < LATE_PART * quick.took)
+        return (
+            quick is not None
+            and quick.count >= QUICK_LEAST
+            and now - quick.at <= QUICK_FOR
+            and left < LATE_PART * quick.took
+        )
 
     def _let_in(self, pilot: str, endpoint: str, kind: int, told: m.Told) -> bool:
         if kind >= len(told.mix):
--- a/cedarshift/agent/shares.py
+++ b/cedarshift/agent/shares.py
@@ -1,4 +1,5 @@
 """A proxy's shares, one set from each pilot that it is joined to, and what it spends of them. Free of I/O."""
+
 from __future__ import annotations
 
 from typing import Optional
@@ -9,7 +10,7 @@
 from cedarshift.judge.budgets import ASK_LEAST, ASKS_A_LEASE, Holder, Share
 from cedarshift.judge.spending import Bucket, Wishes
 
-FRESH_MOST = 10.0         # tokens that fresh ops may save up for repeats, so that a quiet hour buys no storm
+FRESH_MOST = 10.0  # tokens that fresh ops may save up for repeats, so that a quiet hour buys no storm
 
 
 class ProxyShares:
@@ -18,7 +19,7 @@
     def __init__(self, life: int, now: int) -> None:
         self.life = life
         self.terms: dict[str, m.BudgetOf] = {}
-        self.names: dict[str, str] = {}      # use -> budget
+        self.names: dict[str, str] = {}  # use -> budget
         self.holders: dict[str, Holder] = {}
         self.buckets: dict[tuple[str, str], Bucket] = {}
         self.wishes: dict[str, Wishes] = {}
@@ -26,7 +27,7 @@
         self.asked_at: dict[str, int] = {}
         self.ask_every: dict[str, int] = {}  # by pilot, after the span of what it gave last
         self.of_fresh: dict[str, float] = {}
-        self.told: dict[str, list[m.BudgetOf]] = {}   # by pilot, of those that are joined
+        self.told: dict[str, list[m.BudgetOf]] = {}  # by pilot, of those that are joined
 
     # ---- streams
 
@@ -36,8 +37,10 @@
         self.told[pilot] = terms
         self.asked_at.pop(pilot, None)
         self.ask_every.pop(pilot, None)
-        if changed:                          # a pilot's terms change with its life: it knows no number of this one's
-            self.holders[pilot] = Holder({one.name: 0 for one in terms}, self.life, max([one.drift for one in terms], default=0.0))
+        if changed:  # a pilot's terms change with its life: it knows no number of this one's
+            self.holders[pilot] = Holder(
+                {one.name: 0 for one in terms}, self.life, max([one.drift for one in terms], default=0.0)
+            )
             self.buckets = {key: bucket for key, bucket in self.buckets.items() if key[1] != pilot}
             self.buckets.update({(one.name, pilot): Bucket(one.burst, one.drift, now) for one in terms})
         if terms:
@@ -81,8 +84,12 @@
         holder = self.holders.get(pilot)
         if holder is None or not answer.era:
             return
-        if holder.hear(now, answer.ask, answer.era, [Share(*msgspec.structs.astuple(one)) for one in answer.shares]):
-            spans = [share.span for share in answer.shares]   # asks ride on beats, so they are made a little sooner than they must
+        if holder.hear(
+            now, answer.ask, answer.era, [Share(*msgspec.structs.astuple(one)) for one in answer.shares]
+        ):
+            spans = [
+                share.span for share in answer.shares
+            ]  # asks ride on beats, so they are made a little sooner than they must
             self.ask_every[pilot] = max(ASK_LEAST, min(spans, default=0) // (ASKS_A_LEASE + 1))
             for name in holder.floors:
                 self.buckets[name, pilot].grant(now, holder.right(now, name), holder.until(now, name))
--- a/cedarshift/agent/tables.py
+++ b/cedarshift/agent/tables.py
@@ -4,6 +4,7 @@
 of that slice runs, counted from when the proxy *asked* for it. And a line under an older epoch than the one held is
 refused, whoever sends it and however late: a former pilot can't bring a former owner back.
 """
+
 from __future__ import annotations
 
 from dataclasses import dataclass, field
@@ -14,43 +15,47 @@
 from cedarshift.codec.messages import Charge, Held, Level, Line, Order, Snapshot
 
 ALL_TABLES = 65_535
-AVOID = 3_000_000         # us; how long an endpoint is avoided after a run of the proxy's own failures
-TRIALS_FOR = 3_000_000    # us that what a pilot told of trials holds; it is told anew each second
-LEAVE_FOR = 1_000_000     # us that a leave to try a shut endpoint holds
-SHUNNED_MOST = 32         # told in one message; more at a time are not single endpoints' matter
+AVOID = 3_000_000  # us; how long an endpoint is avoided after a run of the proxy's own failures
+TRIALS_FOR = 3_000_000  # us that what a pilot told of trials holds; it is told anew each second
+LEAVE_FOR = 1_000_000  # us that a leave to try a shut endpoint holds
+SHUNNED_MOST = 32  # told in one message; more at a time are not single endpoints' matter
 
 
 class OpKind(NamedTuple):
     """What the proxy must know of an op type."""
+
     name: str
     writes: bool
 
 
 class Pick(NamedTuple):
     endpoint: str
-    pilot: str            # who gets the sums of it
+    pilot: str  # who gets the sums of it
     epoch: int
 
 
 class NoPick(NamedTuple):
     """The op was not sent anywhere. `waits`: it may be held a little, since an owner may come soon."""
-    reason: str           # "no-owner", "closed", "level", "lease"
+
+    reason: str  # "no-owner", "closed", "level", "lease"
     waits: bool = False
 
 
 @dataclass
 class Holding:
     """A slice as this proxy knows it."""
+
     epoch: int = 0
-    pilot: str = ""       # in charge, as far as known; "" where only the store was read
+    pilot: str = ""  # in charge, as far as known; "" where only the store was read
     owner: str = ""
     levels: list[Level] = field(default_factory=list)
-    writes_until: Optional[int] = None   # set when it left its pilot's charge
+    writes_until: Optional[int] = None  # set when it left its pilot's charge
 
 
 @dataclass
 class View:
     """What one pilot has told."""
+
     joined: bool = False
     lease_until: int = 0
     seq: int = 0
@@ -63,8 +68,15 @@
 class Tables:
     """`lease` in us; `even` picks evenly by weight in place of by chance; `chance()` gives [0, 1)."""
 
-    def __init__(self, slices: int, op_types: list[OpKind], single_owner: bool, lease: int, even: bool,
-                 outlier_after: int = 0) -> None:
+    def __init__(
+        self,
+        slices: int,
+        op_types: list[OpKind],
+        single_owner: bool,
+        lease: int,
+        even: bool,
+        outlier_after: int = 0,
+    ) -> None:
         self.slices = slices
         self.op_types = op_types
         self.single_owner = single_owner
@@ -76,11 +88,15 @@
         self.admitted = Thinning()
         self.failures: dict[str, int] = {}
         self.avoided: dict[str, int] = {}
-        self.may_probe: Optional[Callable[[], bool]] = None   # asked before an avoided endpoint is tried again
-        self.trials: dict[str, tuple[int, dict[str, float]]] = {}   # by pilot: when it was told, shares of endpoints on trial
-        self.leave: dict[str, int] = {}      # shut endpoints that may be tried once -> until when
-        self.answered: Optional[Callable[[int, str], bool]] = None   # whether a pilot's answer to overload holds
-        self.stale = 0                       # lines refused for an older epoch
+        self.may_probe: Optional[Callable[[], bool]] = None  # asked before an avoided endpoint is tried again
+        self.trials: dict[
+            str, tuple[int, dict[str, float]]
+        ] = {}  # by pilot: when it was told, shares of endpoints on trial
+        self.leave: dict[str, int] = {}  # shut endpoints that may be tried once -> until when
+        self.answered: Optional[Callable[[int, str], bool]] = (
+            None  # whether a pilot's answer to overload holds
+        )
+        self.stale = 0  # lines refused for an older epoch
 
     # ---- what pilots and the store tell
 
@@ -127,7 +143,7 @@
         if holding is None:
             raise OutOfOrder(f"slice {row.slice}, there are {self.slices}")
         if row.epoch < holding.epoch or (row.epoch == holding.epoch and not pilot):
-            self.stale += 1                  # a former pilot's, or the store's of before
+            self.stale += 1  # a former pilot's, or the store's of before
             return
         holding.epoch, holding.pilot, holding.owner = row.epoch, pilot, row.owner
         holding.levels, holding.writes_until = list(row.levels), None
@@ -162,7 +178,9 @@
         if holding is None:
             raise OutOfOrder(f"slice {line.table}, there are {self.slices}")
         if line.epoch > holding.epoch:
-            raise OutOfOrder(f"a line of slice {line.table} under epoch {line.epoch}, given under {holding.epoch}")
+            raise OutOfOrder(
+                f"a line of slice {line.table} under epoch {line.epoch}, given under {holding.epoch}"
+            )
         if line.epoch < holding.epoch or pilot != holding.pilot:
             self.stale += 1
         elif line.weight > 0:
@@ -213,12 +231,20 @@
         trials = self._on_trial(now, name)
         if trials and not self.op_types[op_type].writes and (tried := self._leave_for(now, view)):
             return Pick(tried, name, 0)
-        fit = {end: w * trials.get(end, 1.0) for end, w in view.lines.items()
-               if (trials[end] > 0 if end in trials else self.avoided.get(end, 0) <= now)} or view.lines
+        fit = {
+            end: w * trials.get(end, 1.0)
+            for end, w in view.lines.items()
+            if (trials[end] > 0 if end in trials else self.avoided.get(end, 0) <= now)
+        } or view.lines
         endpoint = self._evenly(view, fit) if self.even else self._by_chance(fit, chance)
-        if endpoint in self.avoided and endpoint not in trials and self.may_probe is not None and not self.may_probe():
+        if (
+            endpoint in self.avoided
+            and endpoint not in trials
+            and self.may_probe is not None
+            and not self.may_probe()
+        ):
             sound = {end: w for end, w in view.lines.items() if end not in self.avoided}
-            if sound:                        # without another one it is tried all the same: an op needs somewhere to go
+            if sound:  # without another one it is tried all the same: an op needs somewhere to go
                 endpoint = self._evenly(view, sound) if self.even else self._by_chance(sound, chance)
         return Pick(endpoint, name, 0)
 
@@ -291,7 +317,7 @@
         if self.slices:
             holding = self.held[slice_id]
             view = self.views.get(holding.pilot)
-            levels = (view.levels if view else []) + holding.levels    # the table's own comes last and decides
+            levels = (view.levels if view else []) + holding.levels  # the table's own comes last and decides
         else:
             levels = next((view.levels for view in self.views.values() if view.joined), [])
         return next((lv.retries for lv in reversed(levels) if not lv.mask or lv.mask >> op_type & 1), 0)
@@ -301,7 +327,7 @@
         if not aborted:
             self.failures.pop(endpoint, None)
             if self.avoided.get(endpoint, now) < now:
-                del self.avoided[endpoint]   # its trial has gone well
+                del self.avoided[endpoint]  # its trial has gone well
         elif self.outlier_after:
             self.failures[endpoint] = self.failures.get(endpoint, 0) + 1
             if self.failures[endpoint] >= self.outlier_after:
--- a/cedarshift/agent/thinning.py
+++ b/cedarshift/agent/thinning.py
@@ -1,9 +1,10 @@
 """Lets a part of what comes pass, evenly: the golden sequence, so that a part holds over few ops and for each key by itself. No I/O."""
+
 from __future__ import annotations
 
 from typing import Hashable
 
-GOLDEN = 0.6180339887     # its multiples fill the unit interval most evenly (Weyl; Knuth, volume 3, 6.4)
+GOLDEN = 0.6180339887  # its multiples fill the unit interval most evenly (Weyl; Knuth, volume 3, 6.4)
 
 
 class Thinning:
--- a/cedarshift/brain.py
+++ b/cedarshift/brain.py
@@ -3,6 +3,7 @@
 The host builds Pilot(terms), calls an on_... method for each thing learnt, which only updates what is known,
 then next_decision(now) until it returns None. A decision is a plain tuple, verb first. Types, verbs and units
 are in cedarshift/interface.py; the mechanism is told in docs/design.md."""
+
 from __future__ import annotations
 
 import math
@@ -18,44 +19,44 @@
 from cedarshift.observations import EMPTY, HOLD, OWNED, REVOKING, SETTLING, Endpoint, Proxy, Slice, rendezvous
 
 # Constants: unit, then the reason for the size.
-BEAT = 250                # 0.1 ms; how often a pilot looks at what is due: small beside any lease or grace
-WEIGH_EVERY = 2_000       # 0.1 ms; rates and warmth change slowly beside this
-CHECK_EVERY = 20_000      # 0.1 ms; the mover's pace: jams grow within seconds, so under the design's 5 s
-MARGIN = 0.2              # share over the mean at which an endpoint counts as hot: the design's figure
-CHECKS_RUNNING = 2        # checks; the design's two, so that one late report moves nothing
-MOVES_A_TURN = 2          # slices; the design's figure, in a small fleet
-MOVES_PART = 8            # endpoints to a move a turn in a larger fleet: hot slices come several at a time
-MOVES_A_SOURCE = 2        # slices that one hot endpoint gives up a turn: more would overshoot on late sums
-STRAINED = 0.08           # share of ops aborted beyond the middle endpoint's: an endpoint worth relieving
-WORTH_MOVING = 0.4        # share of the tightest target latency; under it a hot endpoint is in time
-LATE = 15_000             # 0.1 ms; how late a sum may come; one begun sooner after a move tells of before
-RECENT = 4                # report periods over which figures are worked out; fewer is noise, more is late
-RECENT_LEAST = 40_000     # 0.1 ms; with short periods, less time than this holds too few ops
-QUICK_LEAST = 4           # sums with acks; fewer say little of an endpoint's speed
-SPEED_MOST = 2.0          # times as fast as the middle endpoint, or as slow; more is chance or a queue
-WAY_LEAST = 40            # ops; what fewer say of the way from a zone to a zone is chance
-WAY_LOST = 0.2            # share of ops lost more than on the best way; less is chance in a few dozen ops
-WAY_LATE = 0.3            # share of the tightest target latency that acks take longer than on the best way
-SICK_SHARE = 0.75         # share of ops aborted; what loses a third of all ops seldom reaches it by chance
-SICK_LEAST = 12           # ops; fewer tell nothing of a share, and each endpoint is judged again and again
-SICK_MOST = 0.34          # share of endpoints; when more look bad at once the cause is not the endpoint
-SICK_SLOW = 0.7           # share of the tightest target latency; slower acks beside the aborts tell overload
-SICK_HOLD = 150_000       # 0.1 ms; no slices for a sick endpoint, doubled for each time it was sick again
-COLD_FIRST = 0.5          # share of a cold budget given first: how fast the machine is shows only in its sums
-SERVED_WELL = 1.75        # acked share of all that comes by the tipping multiple: less shrinks cold budgets
-SERVED_LEAST = 0.1        # share; sums that came apart in time must not shrink a cold budget to nothing
-COLD_SHED = 0.6           # share of the tipping load past which a restarted owner gives slices up
-LEVEL_STEP = 0.05         # added to the level a check; full again within some ten checks
-LEVEL_SHARE = 0.85        # what is left of the level after a check under overload
-LEVEL_LEAST = 0.6         # the level never goes below: deeper cuts reject what would be acked
-OVERLOAD = 0.7            # share of the tightest target latency that the middle endpoint takes under overload
-ASK_AGAIN = 10_000        # 0.1 ms; first wait after a failed list call, doubled up to a quarter of the bound
-RENEW = 8                 # longest waits after which a subscription that seems sound is asked for again
-ALL_CLASSES = 0           # the mask that stands for all classes
-ALL_TABLES = 65535        # the table number that stands for all
-FORGET = 600_000          # 0.1 ms; longer than a machine takes to restart; what was known is old by then
-PATIENCE_PART = 2         # of the time that a proxy may be without a line: the rest is for the way of the order through a slow channel
-ACK_WAYS = 2              # longest ways to a proxy after which an acknowledgement that has not come is asked for again
+BEAT = 250  # 0.1 ms; how often a pilot looks at what is due: small beside any lease or grace
+WEIGH_EVERY = 2_000  # 0.1 ms; rates and warmth change slowly beside this
+CHECK_EVERY = 20_000  # 0.1 ms; the mover's pace: jams grow within seconds, so under the design's 5 s
+MARGIN = 0.2  # share over the mean at which an endpoint counts as hot: the design's figure
+CHECKS_RUNNING = 2  # checks; the design's two, so that one late report moves nothing
+MOVES_A_TURN = 2  # slices; the design's figure, in a small fleet
+MOVES_PART = 8  # endpoints to a move a turn in a larger fleet: hot slices come several at a time
+MOVES_A_SOURCE = 2  # slices that one hot endpoint gives up a turn: more would overshoot on late sums
+STRAINED = 0.08  # share of ops aborted beyond the middle endpoint's: an endpoint worth relieving
+WORTH_MOVING = 0.4  # share of the tightest target latency; under it a hot endpoint is in time
+LATE = 15_000  # 0.1 ms; how late a sum may come; one begun sooner after a move tells of before
+RECENT = 4  # report periods over which figures are worked out; fewer is noise, more is late
+RECENT_LEAST = 40_000  # 0.1 ms; with short periods, less time than this holds too few ops
+QUICK_LEAST = 4  # sums with acks; fewer say little of an endpoint's speed
+SPEED_MOST = 2.0  # times as fast as the middle endpoint, or as slow; more is chance or a queue
+WAY_LEAST = 40  # ops; what fewer say of the way from a zone to a zone is chance
+WAY_LOST = 0.2  # share of ops lost more than on the best way; less is chance in a few dozen ops
+WAY_LATE = 0.3  # share of the tightest target latency that acks take longer than on the best way
+SICK_SHARE = 0.75  # share of ops aborted; what loses a third of all ops seldom reaches it by chance
+SICK_LEAST = 12  # ops; fewer tell nothing of a share, and each endpoint is judged again and again
+SICK_MOST = 0.34  # share of endpoints; when more look bad at once the cause is not the endpoint
+SICK_SLOW = 0.7  # share of the tightest target latency; slower acks beside the aborts tell overload
+SICK_HOLD = 150_000  # 0.1 ms; no slices for a sick endpoint, doubled for each time it was sick again
+COLD_FIRST = 0.5  # share of a cold budget given first: how fast the machine is shows only in its sums
+SERVED_WELL = 1.75  # acked share of all that comes by the tipping multiple: less shrinks cold budgets
+SERVED_LEAST = 0.1  # share; sums that came apart in time must not shrink a cold budget to nothing
+COLD_SHED = 0.6  # share of the tipping load past which a restarted owner gives slices up
+LEVEL_STEP = 0.05  # added to the level a check; full again within some ten checks
+LEVEL_SHARE = 0.85  # what is left of the level after a check under overload
+LEVEL_LEAST = 0.6  # the level never goes below: deeper cuts reject what would be acked
+OVERLOAD = 0.7  # share of the tightest target latency that the middle endpoint takes under overload
+ASK_AGAIN = 10_000  # 0.1 ms; first wait after a failed list call, doubled up to a quarter of the bound
+RENEW = 8  # longest waits after which a subscription that seems sound is asked for again
+ALL_CLASSES = 0  # the mask that stands for all classes
+ALL_TABLES = 65535  # the table number that stands for all
+FORGET = 600_000  # 0.1 ms; longer than a machine takes to restart; what was known is old by then
+PATIENCE_PART = 2  # of the time that a proxy may be without a line: the rest is for the way of the order through a slow channel
+ACK_WAYS = 2  # longest ways to a proxy after which an acknowledgement that has not come is asked for again
 MARKS = BARRIERS
 
 
@@ -89,29 +90,31 @@
         self.patience = terms.empty_for / PATIENCE_PART if terms.empty_for else math.inf
         self.ack_within = ACKS_PAUSE + ACK_WAYS * terms.transit_most
         self.slices: dict[int, Slice] = {}
-        self.mark = Lcg(terms.seed).draw(MARKS)   # the first one by chance: no mark of a life before
-        self.newcomers: set[int] = set()     # proxies joined since then: no mark has reached them
-        self.beat = 0                        # nonce of the alarm that counts
+        self.mark = Lcg(terms.seed).draw(MARKS)  # the first one by chance: no mark of a life before
+        self.newcomers: set[int] = set()  # proxies joined since then: no mark has reached them
+        self.beat = 0  # nonce of the alarm that counts
         self.ask_at, self.ask_wait = 0, ASK_AGAIN
-        self.check_at = 0                    # when the mover and the level look next
-        self.planned: dict[int, str] = {}    # slice -> target: moves of the newest check that have not gone out yet
+        self.check_at = 0  # when the mover and the level look next
+        self.planned: dict[
+            int, str
+        ] = {}  # slice -> target: moves of the newest check that have not gone out yet
         self.level, self.level_sent = 1.0, 1.0
         self.laid: dict[tuple[int, str], bool] = {}
-        self.ways, self.ways_to = {}, {}     # what ways lose and delay; the same by the endpoints' zone
-        self.ordered: Optional[list[Slice]] = None   # all slices by number; None: one came or went
-        self.roomy: Optional[list[tuple]] = None   # who may take slices, worked out once a turn
-        self.rights: dict[str, float] = {}   # empty: nobody divides them; the lot gives cold endpoints
+        self.ways, self.ways_to = {}, {}  # what ways lose and delay; the same by the endpoints' zone
+        self.ordered: Optional[list[Slice]] = None  # all slices by number; None: one came or went
+        self.roomy: Optional[list[tuple]] = None  # who may take slices, worked out once a turn
+        self.rights: dict[str, float] = {}  # empty: nobody divides them; the lot gives cold endpoints
         self.news, self.weighed_at = True, 0  # the list, the charge or the orders changed since the weigh-up
-        self.held: dict[str, list[Slice]] = {}   # the slices that each endpoint owns
-        self.mean_rate = 1e-3                # ops of a slice in 0.1 ms, until sums come
+        self.held: dict[str, list[Slice]] = {}  # the slices that each endpoint owns
+        self.mean_rate = 1e-3  # ops of a slice in 0.1 ms, until sums come
         self.counts = DecisionCounts()
-        self.out, self.fresh = deque(), False   # decisions to hand out; a beat or a list came since the last
+        self.out, self.fresh = deque(), False  # decisions to hand out; a beat or a list came since the last
 
     # ---- inputs: only what is known changes here
 
     def on_list(self, now: int, kind: str, entries: list[Entry]) -> None:
         self.fresh = self.news = True
-        if kind == "unavailable":            # an unreachable list is not an empty one: the old one stands
+        if kind == "unavailable":  # an unreachable list is not an empty one: the old one stands
             self.ask_at, self.ask_wait = now + self.ask_wait, min(self.ask_most, 2 * self.ask_wait)
             return
         if kind != "restored":
@@ -120,7 +123,7 @@
             known = self.endpoints.setdefault(e.endpoint, Endpoint(e.endpoint))
             self._set_phase(known, e.phase, now - e.late)
             if e.started and e.started != known.started:
-                known.forget()               # a new process: what the old one did tells nothing
+                known.forget()  # a new process: what the old one did tells nothing
                 known.sick_until = 0
             known.size, known.zone = e.size, e.zone
             known.started = e.started if e.started is not None else known.started
@@ -139,13 +142,13 @@
     def on_given(self, now: int, slice_id: int, given: bool) -> None:
         self.news = True
         self.slices.pop(slice_id, None)
-        self.planned.pop(slice_id, None)     # if it comes back, with an owner that nothing was decided for
+        self.planned.pop(slice_id, None)  # if it comes back, with an owner that nothing was decided for
         self.ordered = None
         if given:
             s = self.slices[slice_id] = Slice(slice_id, now)
             # No line held: a hand-over was cut off, so the lease and the settle time are waited out.
             s.state = REVOKING if self.single else EMPTY
-            self.level_sent = 1.0            # levels are reset at a giving
+            self.level_sent = 1.0  # levels are reset at a giving
 
     def on_held(self, now: int, slice_id: int, endpoint: str, shut: bool = False) -> None:
         """`shut`: the line was held with every class closed, unless the slice was another pilot's since: it is revoked anew."""
@@ -153,16 +156,18 @@
         if s:
             s.state, s.owner, s.line = OWNED, endpoint, True
             s.closed = s.shut = shut
-            if endpoint not in self.endpoints:   # in a store's line but in no list: as good as gone
+            if endpoint not in self.endpoints:  # in a store's line but in no list: as good as gone
                 self.endpoints[endpoint] = Endpoint(endpoint)
                 self._set_phase(self.endpoints[endpoint], "off", now)
 
     def on_ack(self, now: int, proxy: int, mark: int, took: int) -> None:
         p = self.proxies.get(proxy)
         batch = self.channel.batch(mark)
-        in_force_at = min(now, batch.ordered_at + took) if batch else now   # it took effect before it was heard
+        in_force_at = (
+            min(now, batch.ordered_at + took) if batch else now
+        )  # it took effect before it was heard
         if p and self.stops.on_ack(now, p, mark, in_force_at) and batch:
-            batch.waiting -= batch.lines     # its message has left the channel
+            batch.waiting -= batch.lines  # its message has left the channel
             self.channel.newest_took = took
         self.channel.left_before(mark)
 
@@ -173,8 +178,9 @@
         if silent >= max(self.ack_within, ACK_WAYS * self.channel.newest_took):
             self.channel.all_left()
 
-    def on_met(self, now: int, endpoint: str, zone: str, tries: int, aborted: int, took: int,
-               span: int) -> None:
+    def on_met(
+        self, now: int, endpoint: str, zone: str, tries: int, aborted: int, took: int, span: int
+    ) -> None:
         if endpoint in self.endpoints and tries > 0:
             self.endpoints[endpoint].hear((now, tries, aborted, took, span, zone))
 
@@ -183,12 +189,12 @@
             self.slices[slice_id].hear((now, ops, span, unanswered, op_type))
 
     def on_warned(self, now: int, endpoint: str, until: int) -> None:
-        if endpoint in self.endpoints:       # a peer found it sick; what it does here is judged as ever
+        if endpoint in self.endpoints:  # a peer found it sick; what it does here is judged as ever
             self.news, known = True, self.endpoints[endpoint]
             known.sick_until = max(known.sick_until, until)
 
     def on_rights(self, now: int, rights: dict[str, float]) -> None:
-        self.rights = rights                 # the fleet's: endpoints to warm, "*": others; "": moves
+        self.rights = rights  # the fleet's: endpoints to warm, "*": others; "": moves
 
     def on_alarm(self, now: int, nonce: int) -> None:
         self.fresh = self.fresh or nonce == self.beat
@@ -236,7 +242,7 @@
         self._weigh_ways(now)
         self.met = {e.name: self._met(e, now) for e in self.live}
         shares = sorted(aborted / tries for tries, aborted, _ in self.met.values() if tries) or [0.0]
-        self.usual = shares[len(shares) // 2]    # share of ops that abort at the middle endpoint
+        self.usual = shares[len(shares) // 2]  # share of ops that abort at the middle endpoint
         self._look_for_sick(now)
         self._weigh_slices(now)
         self._forget(now)
@@ -271,8 +277,11 @@
     def _forget(self, now: int) -> None:
         """An endpoint gone for long, that no slice names, is forgotten: where each start has a new id they
         pile up."""
-        gone = [e.name for e in self.endpoints.values()
-                if e.phase in ("off", "dropped") and now - e.told_at > FORGET]
+        gone = [
+            e.name
+            for e in self.endpoints.values()
+            if e.phase in ("off", "dropped") and now - e.told_at > FORGET
+        ]
         named = {name for s in self.slices.values() for name in (s.owner, s.target)} if gone else set()
         for name in set(gone) - named - self.standing:
             del self.endpoints[name]
@@ -297,8 +306,11 @@
             for origin, part in e.fares.items():
                 got.setdefault((origin, e.zone), []).append(part)
         summed = {way: [sum(column) for column in zip(*parts)] for way, parts in got.items()}
-        fare = {way: (tries, aborted, time / acked if acked else 0.0)
-                for way, (tries, aborted, acked, time) in summed.items() if tries}
+        fare = {
+            way: (tries, aborted, time / acked if acked else 0.0)
+            for way, (tries, aborted, acked, time) in summed.items()
+            if tries
+        }
         self.acked = sum(tries - aborted for tries, aborted, _ in fare.values())
         for zone in {z for _, z in fare}:
             share = {o: (m[1] / m[0], m[2]) for (o, z), m in fare.items() if z == zone and m[0] >= WAY_LEAST}
@@ -313,7 +325,7 @@
         """Tries, aborted ops and mean time of the acked ones over the last periods."""
         if now > e.holds:
             e.look(now, self.recent)
-        if e.zone not in self.ways_to and e.holds - self.recent - e.longest >= after:   # all begun by then
+        if e.zone not in self.ways_to and e.holds - self.recent - e.longest >= after:  # all begun by then
             tries, aborted, acked, time = e.total
             return tries, aborted, time / acked if acked else 0.0
         got = self._since(e.samples, now - self.recent)
@@ -346,9 +358,15 @@
         Slow acks tell overload: to take all its slices would pass the load on. The held ones count, so no
         chain of judgements empties the fleet. Harm: a sound one whose ops fail by the clients' fault."""
         met = {e.name: self._last_met(e, now) for e in self.live if now >= e.sick_until}
-        bad = [e for e in self.live if e.name in met and (m := met[e.name])[0] >= SICK_LEAST
-               and m[1] > SICK_SHARE * m[0] and max(m[2], self.met[e.name][2]) < SICK_SLOW * self.tight
-               and not self._serves_a_type(e, now)]
+        bad = [
+            e
+            for e in self.live
+            if e.name in met
+            and (m := met[e.name])[0] >= SICK_LEAST
+            and m[1] > SICK_SHARE * m[0]
+            and max(m[2], self.met[e.name][2]) < SICK_SLOW * self.tight
+            and not self._serves_a_type(e, now)
+        ]
         if len(bad) + len(self.live) - len(met) <= SICK_MOST * len(self.live):
             for e in bad:
                 e.sick_until = now + (SICK_HOLD << min(e.strikes, 3))
@@ -372,7 +390,7 @@
         e = self.endpoints.get(name or "")
         return e is None or e.phase in ("fading", "off")
 
-    def _told(self, s: Slice) -> float:      # from when on the grace runs for its owner, if that must be left
+    def _told(self, s: Slice) -> float:  # from when on the grace runs for its owner, if that must be left
         e = self.endpoints.get(s.owner or "")
         return max(e.told_at, s.given_at) if e and self._must_leave(e.name) else math.inf
 
@@ -392,7 +410,7 @@
         fair = self.whole * self.unit * min(e.part, self.mean_size)
         first = 1.0 if e.gained_at > e.started else COLD_FIRST
         if first == 1.0 and now > e.gained_at and not self._met(e, now, e.gained_at)[0]:
-            return 0.0                       # what it was given last has not shown in its sums yet
+            return 0.0  # what it was given last has not shown in its sums yet
         return first * min(1.0, COLD_SHED * self.tip) * warmth * fair * self.served
 
     def _with_room(self, s: Slice, now: int) -> Optional[str]:
@@ -400,14 +418,20 @@
         rate, burden = self.rate[s.number], self.burden
         if self.roomy is None:
             self.roomy = self._roomy(now)
-        fit = [(rendezvous(e.name, s.number, e.part), e.name) for e, room in self.roomy
-               if burden.get(e.name, 0.0) + rate <= (self._room_at(e, now) if room is None else room)]
+        fit = [
+            (rendezvous(e.name, s.number, e.part), e.name)
+            for e, room in self.roomy
+            if burden.get(e.name, 0.0) + rate <= (self._room_at(e, now) if room is None else room)
+        ]
         return max(fit)[1] if fit else None
 
     def _roomy(self, now: int) -> list[tuple[Endpoint, Optional[float]]]:
         """Who may take slices, and up to what burden; None for a cold one, whose room changes as it gains."""
-        return [(e, self._room_at(e, now) if self._warmth(e, now) >= 1.0 else None) for e in self.live
-                if now >= e.sick_until and not self._strained(self.met[e.name])]
+        return [
+            (e, self._room_at(e, now) if self._warmth(e, now) >= 1.0 else None)
+            for e in self.live
+            if now >= e.sick_until and not self._strained(self.met[e.name])
+        ]
 
     def _choose(self, s: Slice, now: int) -> Optional[str]:
         """With no room anywhere the least burdened warm endpoint takes an orphan, then a cold or sick one."""
@@ -418,8 +442,11 @@
 
     def hand_over_waits(self, now: int) -> list[HandOverWait]:
         """Slices in the middle of a hand-over, those first that have been without a line for longest. For the log."""
-        waits = [HandOverWait(s.number, s.state, now - s.since, 0 if s.line or s.held else now - s.empty_since)
-                 for s in self._sorted_slices() if s.state != OWNED]
+        waits = [
+            HandOverWait(s.number, s.state, now - s.since, 0 if s.line or s.held else now - s.empty_since)
+            for s in self._sorted_slices()
+            if s.state != OWNED
+        ]
         return sorted(waits, key=lambda wait: (-wait.without_line, -wait.age))
 
     def awaited(self, slice_id: int) -> list[int]:
@@ -474,7 +501,12 @@
 
     def _wants_hold(self, s: Slice, now: int) -> bool:
         """Whether a slice has been without a line for as long as a hand-over may wait for the proxies."""
-        return self.can_close and s.owner in self.endpoints and not s.held and self._without_line_for_long(s, now)
+        return (
+            self.can_close
+            and s.owner in self.endpoints
+            and not s.held
+            and self._without_line_for_long(s, now)
+        )
 
     def _without_line_for_long(self, s: Slice, now: int) -> bool:
         return not s.line and now - s.empty_since >= self.patience
@@ -484,12 +516,14 @@
         if not s.owner or self._unfit(s.owner, now) or not (s.line or s.state == SETTLING):
             return False
         stalled = s.state == REVOKING and now - s.since >= self.patience
-        return (stalled or s.target is None or self._unfit(s.target, now)) and self._warmth(self.endpoints[s.owner], now) >= 1.0
+        return (stalled or s.target is None or self._unfit(s.target, now)) and self._warmth(
+            self.endpoints[s.owner], now
+        ) >= 1.0
 
     def _due(self, now: int) -> list[tuple[int, int, str, Optional[str]]]:
         """(urgency, slice, step, endpoint): what a rule asks for, then grants, then revokes, then moves."""
         due: list[tuple[int, int, str, Optional[str]]] = []
-        stopped: dict[tuple, Optional[int]] = {}   # slices revoked by one turn have stopped together
+        stopped: dict[tuple, Optional[int]] = {}  # slices revoked by one turn have stopped together
         fit = {e.name for e in self.live if now >= e.sick_until}
         told: dict[int, float] = {}
         for s in [s for s in self._sorted_slices() if s.state != OWNED or s.owner not in fit or s.shut]:
@@ -514,7 +548,7 @@
                 if s.line and overdue:
                     due.append((0, n, "clear", None))
                 elif self._may_go_back(s, now):
-                    due.append((1, n, "grant", s.owner))   # the abort
+                    due.append((1, n, "grant", s.owner))  # the abort
                 elif self._wants_hold(s, now):
                     due.append((0, n, "hold", None))
             elif s.state == EMPTY:
@@ -541,9 +575,14 @@
         it would be to drop the checks that led to it, and under a release no turn finds the channel without unacked lines."""
         if now >= self.check_at:
             self._plan_moves(now)
-        return [(3, number, "move", target) for number, target in self.planned.items()
-                if (s := self.slices.get(number)) and s.state == OWNED and not self._unfit(target, now)
-                and not self._unfit(s.owner, now)]
+        return [
+            (3, number, "move", target)
+            for number, target in self.planned.items()
+            if (s := self.slices.get(number))
+            and s.state == OWNED
+            and not self._unfit(target, now)
+            and not self._unfit(s.owner, now)
+        ]
 
     def _plan_moves(self, now: int) -> None:
         """Plans anew the moves that may go until the next check."""
@@ -553,15 +592,21 @@
         load = {e.name: load for e in self.live if (load := self._load(e, now)) is not None}
         mean = sum(load.values()) / max(1, len(load))
         even = max(1e-9, sum(self.rate.values())) / max(1, len(self.live))
-        empty = sum(e.name not in self.burden for e in self.live) // self.pilots   # its share of those
+        empty = sum(e.name not in self.burden for e in self.live) // self.pilots  # its share of those
         most = max(MOVES_A_TURN, len(self.live) // MOVES_PART, empty)
         most = min(most, self.rights.get("", math.inf) - sum(bool(s.target) for s in self.slices.values()))
         self.planned = {}
         moving = {name for s in self.slices.values() if s.state != OWNED for name in (s.target, s.owner)}
-        idle = [e for e in self.live if e.name not in moving and now - e.changed_at >= LATE + self.recent
-                and not self._unfit(e.name, now) and self._warmth(e, now) >= 1.0
-                and not self._strained(self.met[e.name])]
-        coolest: Optional[Endpoint] = None   # of the idle ones, until a slice is given to it
+        idle = [
+            e
+            for e in self.live
+            if e.name not in moving
+            and now - e.changed_at >= LATE + self.recent
+            and not self._unfit(e.name, now)
+            and self._warmth(e, now) >= 1.0
+            and not self._strained(self.met[e.name])
+        ]
+        coolest: Optional[Endpoint] = None  # of the idle ones, until a slice is given to it
         for e in sorted(self.live, key=lambda e: (-load.get(e.name, mean), e.name)):
             full = self.burden.get(e.name, 0.0) > self.unit * e.part * (1 + MARGIN)
             hot = self._strained(self.met[e.name]) and (full or load.get(e.name, mean) > mean * (1 + MARGIN))
@@ -570,8 +615,11 @@
             if e.hot_checks < CHECKS_RUNNING:
                 continue
             moved, e.kept = 0, KeptReason.RECENTLY_MOVED
-            own = [s for s in self.held.get(e.name, ()) if s.state == OWNED
-                   and now - s.moved_at >= HOLD and now - s.given_at >= self.lease]
+            own = [
+                s
+                for s in self.held.get(e.name, ())
+                if s.state == OWNED and now - s.moved_at >= HOLD and now - s.given_at >= self.lease
+            ]
             own.sort(key=lambda s: (-self.rate[s.number], s.number))
             for s in own:
                 # Its part is its ops at the fleet's usual cost: a jammed source's own tell of its queue.
@@ -587,7 +635,7 @@
                 e.kept = None if cool or moved else KeptReason.NO_TARGET
                 if cool:
                     self.planned[s.number] = cool
-                    load[cool] = load.get(cool, mean) + part   # so that not all go to one
+                    load[cool] = load.get(cool, mean) + part  # so that not all go to one
                     coolest = None
                     self.burden[cool] = self.burden.get(cool, 0.0) + self.rate[s.number]
                     moved += 1
@@ -625,10 +673,13 @@
         if channel.crowded(now, joined, self._lines_due(due), self.stops.heard_at):
             self.counts.waits_for_acks += 1
             return
-        if now - channel.sent_at >= 2 * channel.even:   # so that a drain seldom meets a turn just gone
+        if now - channel.sent_at >= 2 * channel.even:  # so that a drain seldom meets a turn just gone
             due += self._check(now)
-        revoked = {(s.mark, s.since, s.given_at): s for s in self._sorted_slices()
-                   if s.state == REVOKING and s.mark is not None}.values()
+        revoked = {
+            (s.mark, s.since, s.given_at): s
+            for s in self._sorted_slices()
+            if s.state == REVOKING and s.mark is not None
+        }.values()
         unmarked = channel.fits_barrier(joined) and self._barrier_is_due(revoked, now)
         if self.can_level and self.slices and abs(self.level - self.level_sent) >= LEVEL_STEP / 2:
             due.append((3, -1, "level", None))
@@ -649,7 +700,7 @@
             channel.send(now, self.mark, joined, len(lines))
             self.newcomers.clear()
         else:
-            self.mark = (self.mark - 1) % MARKS   # nothing fitted: an unsent mark would use up the ring
+            self.mark = (self.mark - 1) % MARKS  # nothing fitted: an unsent mark would use up the ring
 
     def _barrier_is_due(self, revoked: Collection[Slice], now: int) -> bool:
         """Whether a barrier goes out by itself: for proxies that have joined since the last one, or as an acknowledgement may be lost."""
@@ -661,7 +712,9 @@
 
     def _lines_due(self, due: list[tuple]) -> int:
         """Lines a proxy that a batch needs for all that a rule asks for and all grants, its barrier among them."""
-        return 1 + sum(self._lines_of(step, self.slices[number]) for urgency, number, step, _ in due if urgency <= 1)
+        return 1 + sum(
+            self._lines_of(step, self.slices[number]) for urgency, number, step, _ in due if urgency <= 1
+        )
 
     def _lines_of(self, step: str, s: Slice) -> int:
         """Lines a proxy that a step of a slice's hand-over takes, as `_step` gives them at most."""
@@ -715,6 +768,6 @@
                 self._turn(now)
             else:
                 self._lay_tables(now)
-            self.beat += 1                   # an alarm asked for earlier is passed over
+            self.beat += 1  # an alarm asked for earlier is passed over
             self.out.append(("wake", BEAT, self.beat))
         return self.out.popleft() if self.out else None
--- a/cedarshift/budgets/desk.py
+++ b/cedarshift/budgets/desk.py
@@ -1,4 +1,5 @@
 """The store's side: hears asks, keeps what changes, then answers; tells of each division that moved something."""
+
 from __future__ import annotations
 
 from typing import Any, Callable, Union
@@ -13,21 +14,33 @@
 from cedarshift.link import Link
 from cedarshift.loop import Loop
 
-TIDY_EVERY = 64           # asks between two looks for rows of lives that are over
-CLAIMS = ("", "", 0)      # their row in the ledger, under no budget's name
-WAITING_MOST = 1_000      # asks that wait for one write; a pilot asks four times a lease
+TIDY_EVERY = 64  # asks between two looks for rows of lives that are over
+CLAIMS = ("", "", 0)  # their row in the ledger, under no budget's name
+WAITING_MOST = 1_000  # asks that wait for one write; a pilot asks four times a lease
 
 
-def open_desk(loop: Loop, terms: Any, pilots: int, era: int, ledger: Union[ShareLedger, MemoryShares]) -> ShareDesk:
+def open_desk(
+    loop: Loop, terms: Any, pilots: int, era: int, ledger: Union[ShareLedger, MemoryShares]
+) -> ShareDesk:
     """`terms`: a deployment's `BudgetTerms`, for so many pilots."""
-    return ShareDesk(loop, plan_of(terms.named, pilots), terms.lease, era, ledger, loop.report, terms.claim_cold)
+    return ShareDesk(
+        loop, plan_of(terms.named, pilots), terms.lease, era, ledger, loop.report, terms.claim_cold
+    )
 
 
 class ShareDesk:
     """`era` names this life of the store. `hear` only takes in; `carry_out` writes once for all that came, then answers."""
 
-    def __init__(self, loop: Loop, plan: Plan, lease: int, era: int, ledger: Union[ShareLedger, MemoryShares],
-                 report: Callable[..., None], keeps_claims: bool = False) -> None:
+    def __init__(
+        self,
+        loop: Loop,
+        plan: Plan,
+        lease: int,
+        era: int,
+        ledger: Union[ShareLedger, MemoryShares],
+        report: Callable[..., None],
+        keeps_claims: bool = False,
+    ) -> None:
         self.loop = loop
         self.ledger = ledger
         self.report = report
@@ -39,10 +52,15 @@
         self.claims_span = max([lease, *(row.span for row in rows if row[:3] == CLAIMS)])
         self.waiting: list[tuple[Link, str, m.Message]] = []
         self.asks = 0
-        self.told: dict[Key, int] = {}       # amounts as they were logged last
+        self.told: dict[Key, int] = {}  # amounts as they were logged last
         if keeps_claims:
             ledger.put([Row(*CLAIMS, 0, 0, self.claims_span)])
-        report("budgets_serve", budgets=len(plan.budgets), quiet_us=self.giver.quiet_until - loop.now(), rows=len(rows))
+        report(
+            "budgets_serve",
+            budgets=len(plan.budgets),
+            quiet_us=self.giver.quiet_until - loop.now(),
+            rows=len(rows),
+        )
 
     def hear(self, peer: Link, name: str, message: m.Message) -> None:
         if len(self.waiting) >= WAITING_MOST:
@@ -63,15 +81,42 @@
                     rows.pop(key, None)
                     self._log(now, key, 0, "left")
             elif isinstance(message, m.AskShares):
-                shares, changed = self.giver.ask(now, name, message.life, message.era, message.number,
-                                                 [Want(*msgspec.structs.astuple(want)) for want in message.wants], message.doubted)
+                shares, changed = self.giver.ask(
+                    now,
+                    name,
+                    message.life,
+                    message.era,
+                    message.number,
+                    [Want(*msgspec.structs.astuple(want)) for want in message.wants],
+                    message.doubted,
+                )
                 rows.update({row[:3]: row for row in changed})
                 for share in shares:
-                    self._log(now, (share.budget, name, message.life), share.amount, "quiet" if self.giver.quiet(now) else "divided")
-                claimed = self.claims.ask(now, name, message.life, message.era, message.number,
-                                          [Wish(one.thing, one.held) for one in message.claims])
-                answers.append((peer, m.Shares(message.number, self.giver.era, [m.Shared(*share) for share in shares],
-                                               [m.Claimed(*claim) for claim in claimed])))
+                    self._log(
+                        now,
+                        (share.budget, name, message.life),
+                        share.amount,
+                        "quiet" if self.giver.quiet(now) else "divided",
+                    )
+                claimed = self.claims.ask(
+                    now,
+                    name,
+                    message.life,
+                    message.era,
+                    message.number,
+                    [Wish(one.thing, one.held) for one in message.claims],
+                )
+                answers.append(
+                    (
+                        peer,
+                        m.Shares(
+                            message.number,
+                            self.giver.era,
+                            [m.Shared(*share) for share in shares],
+                            [m.Claimed(*claim) for claim in claimed],
+                        ),
+                    )
+                )
         if rows:
             self.ledger.put(rows.values())
             self.kept.update(rows)
@@ -90,7 +135,7 @@
             self.ledger.drop(gone)
             self.kept.difference_update(gone)
         if self.claims_span > self.giver.lease and not self.giver.quiet(now):
-            self.claims_span = self.giver.lease   # the longer ones of a former life are over
+            self.claims_span = self.giver.lease  # the longer ones of a former life are over
             self.ledger.put([Row(*CLAIMS, 0, 0, self.claims_span)])
         for key in [key for key in self.told if key not in self.giver.accounts]:
             self._log(now, key, 0, "over")
@@ -102,14 +147,29 @@
         account, before = self.giver.accounts.get(key), self.told.pop(key, 0)
         if amount:
             self.told[key] = amount
-        self.report("share", budget=key[0], pilot=key[1], before=before, after=amount, reason=reason,
-                    demand=account.demand if account is not None else 0, given=self.giver.in_force(now, key[0]),
-                    whole=self.giver.plan.leased(key[0]))
+        self.report(
+            "share",
+            budget=key[0],
+            pilot=key[1],
+            before=before,
+            after=amount,
+            reason=reason,
+            demand=account.demand if account is not None else 0,
+            given=self.giver.in_force(now, key[0]),
+            whole=self.giver.plan.leased(key[0]),
+        )
 
     def shown(self) -> bytes:
-        return msgspec.json.encode({"era": self.giver.era, "lease_us": self.giver.lease, "counts": self.giver.counts,
-                                    "budgets": self.giver.shown(self.loop.now()), "claims": self.claims.shown(self.loop.now()),
-                                    "claim_counts": self.claims.counts})
+        return msgspec.json.encode(
+            {
+                "era": self.giver.era,
+                "lease_us": self.giver.lease,
+                "counts": self.giver.counts,
+                "budgets": self.giver.shown(self.loop.now()),
+                "claims": self.claims.shown(self.loop.now()),
+                "claim_counts": self.claims.counts,
+            }
+        )
 
     def close(self) -> None:
         self.ledger.close()
--- a/cedarshift/budgets/ledger.py
+++ b/cedarshift/budgets/ledger.py
@@ -3,6 +3,7 @@
 A lost write or an old copy breaks nothing: after a start the giver waits a lease and gives only what is presented. What
 the file tells is how long the longest right was, where the deployment's lease is shorter now, and who had what.
 """
+
 from __future__ import annotations
 
 import sqlite3
@@ -57,26 +58,35 @@
             raise self._damaged(str(error)) from None
 
     def _damaged(self, what: str) -> Damaged:
-        return Damaged(f"{self.path}: {what}. Way back: move the file away and wait, before the start, as long as the longest lease "
-                       "that the block budgets ever had; nothing else is lost, since pilots present what they hold")
+        return Damaged(
+            f"{self.path}: {what}. Way back: move the file away and wait, before the start, as long as the longest lease "
+            "that the block budgets ever had; nothing else is lost, since pilots present what they hold"
+        )
 
     def load(self) -> list[Row]:
         assert self.db is not None
         try:
-            got = self.db.execute("SELECT budget, holder, life, number, amount, span, checksum FROM shares").fetchall()
+            got = self.db.execute(
+                "SELECT budget, holder, life, number, amount, span, checksum FROM shares"
+            ).fetchall()
         except sqlite3.Error as error:
             raise self._damaged(str(error)) from None
         rows = [Row(*one[:6]) for one in got]
         for row, one in zip(rows, got):
             if _checksum(row) != one[6]:
-                raise self._damaged(f"the row of {row.budget!r} for {row.holder!r} does not match its check sum")
+                raise self._damaged(
+                    f"the row of {row.budget!r} for {row.holder!r} does not match its check sum"
+                )
         return rows
 
     def put(self, rows: Iterable[Row]) -> None:
         """One transaction, synced."""
         assert self.db is not None
         with committed(self.db):
-            self.db.executemany("INSERT OR REPLACE INTO shares VALUES (?, ?, ?, ?, ?, ?, ?)", [(*row, _checksum(row)) for row in rows])
+            self.db.executemany(
+                "INSERT OR REPLACE INTO shares VALUES (?, ?, ?, ?, ?, ?, ?)",
+                [(*row, _checksum(row)) for row in rows],
+            )
 
     def drop(self, keys: Iterable[Key]) -> None:
         assert self.db is not None
--- a/cedarshift/budgets/pilot.py
+++ b/cedarshift/budgets/pilot.py
@@ -1,4 +1,5 @@
 """A pilot's side: asks the store, divides among its proxies and itself, and spends its own part."""
+
 from __future__ import annotations
 
 from typing import Any, Callable, Optional
@@ -15,23 +16,48 @@
 from cedarshift.loop import Loop
 from cedarshift.loop.core import Coroutine
 
-WAIT_MOST = 250_000       # us between two looks for a token: a share may come sooner than the present one tells
+WAIT_MOST = 250_000  # us between two looks for a token: a share may come sooner than the present one tells
 
 
-def open_budgets(loop: Loop, terms: Any, pilots: int, life: int, report: Callable[..., None],
-                 doubted: Callable[[], list[str]] = lambda: []) -> Optional[PilotBudgets]:
+def open_budgets(
+    loop: Loop,
+    terms: Any,
+    pilots: int,
+    life: int,
+    report: Callable[..., None],
+    doubted: Callable[[], list[str]] = lambda: [],
+) -> Optional[PilotBudgets]:
     """`terms`: a deployment's `BudgetTerms`, for so many pilots; None where it has none."""
     if terms is None:
         return None
-    return PilotBudgets(loop, terms.named, plan_of(terms.named, pilots), life, terms.clock_drift, terms.lease,
-                        terms.proxy_lease, report, doubted)
+    return PilotBudgets(
+        loop,
+        terms.named,
+        plan_of(terms.named, pilots),
+        life,
+        terms.clock_drift,
+        terms.lease,
+        terms.proxy_lease,
+        report,
+        doubted,
+    )
 
 
 class PilotBudgets:
     """`named`: the deployment's budgets; `doubted()`: pilots that most hold for dead. `life` is new for each start."""
 
-    def __init__(self, loop: Loop, named: dict[str, Any], plan: Plan, life: int, drift: float, lease: int, proxy_lease: int,
-                 report: Callable[..., None], doubted: Callable[[], list[str]] = lambda: []) -> None:
+    def __init__(
+        self,
+        loop: Loop,
+        named: dict[str, Any],
+        plan: Plan,
+        life: int,
+        drift: float,
+        lease: int,
+        proxy_lease: int,
+        report: Callable[..., None],
+        doubted: Callable[[], list[str]] = lambda: [],
+    ) -> None:
         self.loop = loop
         self.named = named
         self.report = report
@@ -41,9 +67,12 @@
         self.terms = told_to_proxies(named, drift)
         self.uses = {b.use: name for name, b in named.items() if b.use and b.use not in AT_PROXIES}
         # What proxies spend is all theirs; the rest is the pilot's own, and ended with its former life: nothing is waited out.
-        self.own = {name: Bucket(b.burst, drift, loop.now()) for name, b in named.items()
-                    if name in plan.leaves and b.use not in AT_PROXIES and b.use not in HELD}
-        self.rights: Optional[FleetRights] = None   # handed to it where the module goes by rights of the fleet
+        self.own = {
+            name: Bucket(b.burst, drift, loop.now())
+            for name, b in named.items()
+            if name in plan.leaves and b.use not in AT_PROXIES and b.use not in HELD
+        }
+        self.rights: Optional[FleetRights] = None  # handed to it where the module goes by rights of the fleet
         self.leaves = list(plan.leaves)
         self.wishes = {name: Wishes(loop.now()) for name in self.own}
         self.link: Optional[Link] = None
@@ -58,7 +87,9 @@
         self.leaving = True
         self.hub.holder.lost()
         until = self.loop.now() + self.hub.giver.lease + WAIT_MOST
-        while self.loop.now() < until and any(self.hub.giver.in_force(self.loop.now(), leaf) for leaf in self.leaves):
+        while self.loop.now() < until and any(
+            self.hub.giver.in_force(self.loop.now(), leaf) for leaf in self.leaves
+        ):
             yield from self.loop.sleep(WAIT_MOST // 5)
         self.hub.holder.drop()
         if self.rights is not None:
@@ -81,7 +112,9 @@
         if self.leaving:
             return
         now = self.loop.now()
-        if holder.hear(now, message.number, message.era, [Share(*msgspec.structs.astuple(one)) for one in message.shares]):
+        if holder.hear(
+            now, message.number, message.era, [Share(*msgspec.structs.astuple(one)) for one in message.shares]
+        ):
             if self.rights is not None:
                 self.rights.hear(now, message.number, [Claim(one.thing, one.span) for one in message.claims])
             self._use()
@@ -108,8 +141,16 @@
             self.hub.in_hand[moves] = self.rights.fleet.moves()
         number, wants = holder.ask(now, self._demands(now), self._spenders(now))
         claims = self.rights.wishes(now, number) if self.rights is not None else []
-        self.link.send(m.AskShares(number, holder.life, holder.era, [m.Wanted(*want) for want in wants], self.doubted(),
-                                   [m.Wished(*wish) for wish in claims]))
+        self.link.send(
+            m.AskShares(
+                number,
+                holder.life,
+                holder.era,
+                [m.Wanted(*want) for want in wants],
+                self.doubted(),
+                [m.Wished(*wish) for wish in claims],
+            )
+        )
 
     def _use(self) -> None:
         """The pilot's own part of what it has now."""
@@ -124,7 +165,9 @@
     def _spenders(self, now: int) -> int:
         """Proxies that ask here, this pilot besides."""
         giver = self.hub.giver
-        return 1 + len({proxy for (_, proxy, _), account in giver.accounts.items() if now - account.heard <= giver.lease})
+        return 1 + len(
+            {proxy for (_, proxy, _), account in giver.accounts.items() if now - account.heard <= giver.lease}
+        )
 
     def _demands(self, now: int) -> dict[str, int]:
         found = self.hub.demands(now)
@@ -153,7 +196,12 @@
 
     def on_list(self) -> None:
         """A cold endpoint's first slices come as its list does; a quarter of a lease later they are elsewhere."""
-        if self.rights is not None and self.link is not None and not self.leaving and self.rights.wants_more(self.loop.now()):
+        if (
+            self.rights is not None
+            and self.link is not None
+            and not self.leaving
+            and self.rights.wants_more(self.loop.now())
+        ):
             self._send()
 
     def settle(self) -> None:
@@ -168,7 +216,14 @@
         now, giver = self.loop.now(), self.hub.giver
         if self.leaving:
             return giver.era, []
-        shares, _ = giver.ask(now, proxy, beat.life, beat.era, beat.ask, [Want(*msgspec.structs.astuple(want)) for want in beat.wants])
+        shares, _ = giver.ask(
+            now,
+            proxy,
+            beat.life,
+            beat.era,
+            beat.ask,
+            [Want(*msgspec.structs.astuple(want)) for want in beat.wants],
+        )
         return giver.era, [m.Shared(*share) for share in shares]
 
     # ---- spending
@@ -199,15 +254,34 @@
         for name in self.leaves:
             budget, bucket = self.named[name], self.own.get(name)
             until = hub.holder.until(now, name)
-            rows.append({"budget": name, "use": budget.use, "whole": hub.giver.plan.budgets[name].whole, "floor": hub.holder.floors[name],
-                         "right": hub.holder.right(now, name), "ends_in_us": max(0, until - now) if until < FOREVER else None,
-                         "asked": self._demands(now)[name], "handed_on": hub.giver.in_force(now, name),
-                         "spent": bucket.spent if bucket else None, "refused": bucket.refused if bucket else None,
-                         "held": bool(budget.held), "in_hand": hub.in_hand.get(name, 0)})
-        proxies = [{"budget": name, "proxy": proxy, "asked": account.demand, "given": account.in_force(now)}
-                   for (name, proxy, _), account in sorted(hub.giver.accounts.items())]
+            rows.append(
+                {
+                    "budget": name,
+                    "use": budget.use,
+                    "whole": hub.giver.plan.budgets[name].whole,
+                    "floor": hub.holder.floors[name],
+                    "right": hub.holder.right(now, name),
+                    "ends_in_us": max(0, until - now) if until < FOREVER else None,
+                    "asked": self._demands(now)[name],
+                    "handed_on": hub.giver.in_force(now, name),
+                    "spent": bucket.spent if bucket else None,
+                    "refused": bucket.refused if bucket else None,
+                    "held": bool(budget.held),
+                    "in_hand": hub.in_hand.get(name, 0),
+                }
+            )
+        proxies = [
+            {"budget": name, "proxy": proxy, "asked": account.demand, "given": account.in_force(now)}
+            for (name, proxy, _), account in sorted(hub.giver.accounts.items())
+        ]
         claims = sorted(self.rights.holder.held(now)) if self.rights is not None else []
-        return {"life": hub.holder.life, "store": self.link is not None, "budgets": rows, "proxies": proxies, "claims": claims}
+        return {
+            "life": hub.holder.life,
+            "store": self.link is not None,
+            "budgets": rows,
+            "proxies": proxies,
+            "claims": claims,
+        }
 
     def gauges(self) -> dict[str, float]:
         now, found = self.loop.now(), {}
--- a/cedarshift/budgets/rights.py
+++ b/cedarshift/budgets/rights.py
@@ -4,6 +4,7 @@
 this pilot's clock before the store hands it on, so it is settled before each pull of decisions: a pilot that was stopped decides
 nothing on a right that ended meanwhile. A hand-over that was begun goes on to its end, counted in what is held.
 """
+
 from __future__ import annotations
 
 import math
@@ -13,13 +14,14 @@
 from cedarshift.judge.claims import Claim, ClaimHolder, Turns, Wish
 
 # Constants: unit, then the reason for the size.
-MOVES_AHEAD = 2           # moves asked for beyond those under way: a turn's, in a small fleet
-MOVES_TIMES = 2           # of those under way, so that a pilot at its share is seen to want more
+MOVES_AHEAD = 2  # moves asked for beyond those under way: a turn's, in a small fleet
+MOVES_TIMES = 2  # of those under way, so that a pilot at its share is seen to want more
 
 
 class Fleet(NamedTuple):
     """What a pilot's service lends: cold endpoints that stand, moves under way, whether it has slices, who of the pilots lives, and the
     module's input."""
+
     cold: Callable[[], list[str]]
     moves: Callable[[], int]
     in_charge: Callable[[], bool]
@@ -31,7 +33,16 @@
     """`claims`: whether cold endpoints are claimed; `moves_budget`: the budget of moves, "" where they have none. `step` us pass until the
     next pilot by lot asks."""
 
-    def __init__(self, me: str, drift: float, step: int, claims: bool, moves_budget: str, fleet: Fleet, report: Callable[..., None]) -> None:
+    def __init__(
+        self,
+        me: str,
+        drift: float,
+        step: int,
+        claims: bool,
+        moves_budget: str,
+        fleet: Fleet,
+        report: Callable[..., None],
+    ) -> None:
         self.claims = claims
         self.moves_budget = moves_budget
         self.fleet = fleet
@@ -39,9 +50,12 @@
         self.holder = ClaimHolder(drift)
         self.turns = Turns(me, step)
         self.told: dict[str, float] = {}
-        self.charged_at = 0                  # when it was last seen to have slices
-        self.next_end = -1                   # when what was told is to be looked at again; -1: now
-        self.moves_right: Callable[[int], tuple[int, int]] = lambda now: (0, now)   # amount and end, from the budget
+        self.charged_at = 0  # when it was last seen to have slices
+        self.next_end = -1  # when what was told is to be looked at again; -1: now
+        self.moves_right: Callable[[int], tuple[int, int]] = lambda now: (
+            0,
+            now,
+        )  # amount and end, from the budget
         self.counts = {"claims_taken": 0, "claims_ended": 0}
 
     def wishes(self, now: int, number: int) -> list[Wish]:
@@ -54,9 +68,13 @@
             self.charged_at = now
             things = self.turns.wishes(now, cold, self.fleet.living(), held)
         else:
-            things = sorted(held.intersection(cold)) if now - self.charged_at < ASKS_A_LEASE * self.turns.step else []
+            things = (
+                sorted(held.intersection(cold))
+                if now - self.charged_at < ASKS_A_LEASE * self.turns.step
+                else []
+            )
         found = self.holder.ask(now, number, things)
-        self.next_end = -1                   # what is named no more is given up before that is said
+        self.next_end = -1  # what is named no more is given up before that is said
         self.settle(now)
         return found
 
@@ -100,7 +118,10 @@
             self.fleet.tell(rights)
 
     def _log(self, now: int, rights: dict[str, float]) -> None:
-        taken, ended = (sorted(one.keys() - other.keys() - {"", "*"}) for one, other in ((rights, self.told), (self.told, rights)))
+        taken, ended = (
+            sorted(one.keys() - other.keys() - {"", "*"})
+            for one, other in ((rights, self.told), (self.told, rights))
+        )
         self.counts["claims_taken"] += len(taken)
         self.counts["claims_ended"] += len(ended)
         for endpoint in taken:
--- a/cedarshift/cli/daemons.py
+++ b/cedarshift/cli/daemons.py
@@ -1,4 +1,5 @@
 """The pilot and the store as processes: started, reloaded and stopped by signals."""
+
 from __future__ import annotations
 
 import random
@@ -9,7 +10,6 @@
 from cedarshift.budgets.desk import ShareDesk, open_desk
 from cedarshift.budgets.ledger import ShareLedger
 from cedarshift.budgets.pilot import open_budgets
-from cedarshift.pilot.rights import bring_rights
 from cedarshift.codec import Badge
 from cedarshift.deployment import Deployment, FileRefused, load
 from cedarshift.deployment.deployment import changes
@@ -21,6 +21,7 @@
 from cedarshift.overload.start import open_overload
 from cedarshift.pilot import PilotService
 from cedarshift.pilot.admin import admin_page
+from cedarshift.pilot.rights import bring_rights
 from cedarshift.roster.formats import Member
 from cedarshift.roster.register import RegisterTerms, Registration
 from cedarshift.store.ledger import Ledger
@@ -28,8 +29,8 @@
 from cedarshift.web import serve_http
 
 Report = Callable[..., None]
-LAST_WORDS = 300_000      # us for the last frames to leave after a stop
-CHALLENGE = 16            # bytes
+LAST_WORDS = 300_000  # us for the last frames to leave after a stop
+CHALLENGE = 16  # bytes
 
 
 def open_store(loop: Loop, deployment: Deployment) -> StoreService:
@@ -39,9 +40,18 @@
         raise ValueError(f"{deployment.file} has no block store")
     ledger = Ledger(deployment.beside(place.path), deployment.name, deployment.slices)
     badge = Badge(deployment.name, "store", "store", "", deployment.secret)
-    return StoreService(loop, listen(loop, place.listen), ledger, badge, [p.name for p in deployment.pilots],
-                        place.session_lease, place.takeover, place.back_after, lambda: fresh_bytes(CHALLENGE),
-                        share_desk(loop, deployment))
+    return StoreService(
+        loop,
+        listen(loop, place.listen),
+        ledger,
+        badge,
+        [p.name for p in deployment.pilots],
+        place.session_lease,
+        place.takeover,
+        place.back_after,
+        lambda: fresh_bytes(CHALLENGE),
+        share_desk(loop, deployment),
+    )
 
 
 def fresh_life() -> int:
@@ -53,7 +63,13 @@
     """None where the deployment has no budgets. Its file lies beside the store's. Raises Damaged."""
     if deployment.budgets is None or deployment.store is None:
         return None
-    return open_desk(loop, deployment.budgets, len(deployment.pilots), fresh_life(), ShareLedger(deployment.beside(deployment.store.path) + "-shares"))
+    return open_desk(
+        loop,
+        deployment.budgets,
+        len(deployment.pilots),
+        fresh_life(),
+        ShareLedger(deployment.beside(deployment.store.path) + "-shares"),
+    )
 
 
 def held_for_dead(service: PilotService) -> list[str]:
@@ -64,8 +80,11 @@
     return [name for name in roll.names if name in roll.verdicts and roll.states[name] == DEAD]
 
 
-def _until_stopped(loop: Loop, signals: Signals, reload: Callable[[], None], fatal: Optional[Task]) -> Coroutine:
+def _until_stopped(
+    loop: Loop, signals: Signals, reload: Callable[[], None], fatal: Optional[Task]
+) -> Coroutine:
     """SIGHUP reloads; SIGTERM and SIGINT stop; a store that can't write stops too, since its memory is ahead of its disk."""
+
     def watch_fatal() -> Coroutine:
         assert fatal is not None
         try:
@@ -76,6 +95,7 @@
             signals.came.append(signal.SIGTERM)
             if signals.waiting is not None:
                 signals.waiting.wake()
+
     failed: list[Exception] = []
     if fatal is not None:
         loop.spawn(watch_fatal(), "store watch")
@@ -93,11 +113,16 @@
     report("store_serves", address=service.listener.address, slices=deployment.slices)
 
     def main() -> Coroutine:
-        code = yield from _until_stopped(loop, signals, lambda: report("reload_refused", reason="a store has nothing "
-                                                                       "that may change while it runs"), service.tasks[0])
+        code = yield from _until_stopped(
+            loop,
+            signals,
+            lambda: report("reload_refused", reason="a store has nothing that may change while it runs"),
+            service.tasks[0],
+        )
         service.stop()
         yield from loop.sleep(LAST_WORDS // 3)
         return code
+
     return loop.run(loop.spawn(main(), "main"))
 
 
@@ -125,7 +150,16 @@
     addresses = {place.name: place.gossip for place in deployment.pilots if place.gossip is not None}
     drawn = int.from_bytes(fresh_bytes(8), "big")
     start = wall_clock() // 1000 << 20 | drawn & 0xFFFFF
-    return Membership(loop, MembershipTerms(plan.period, addresses), name, deployment.name, deployment.secret, start, drawn, report)
+    return Membership(
+        loop,
+        MembershipTerms(plan.period, addresses),
+        name,
+        deployment.name,
+        deployment.secret,
+        start,
+        drawn,
+        report,
+    )
 
 
 def run_pilot(deployment: Deployment, name: str, report: Report) -> int:
@@ -135,11 +169,13 @@
     embedded = deployment.store is not None and deployment.store.embedded
     store = open_store(loop, deployment) if embedded else None
     seed = int.from_bytes(fresh_bytes(8), "big")
-    service = PilotService(loop, listen(loop, place.listen), deployment, name, seed, report,
-                           lambda: fresh_bytes(CHALLENGE))
+    service = PilotService(
+        loop, listen(loop, place.listen), deployment, name, seed, report, lambda: fresh_bytes(CHALLENGE)
+    )
     service.membership = open_membership(loop, deployment, name, report)
-    service.budgets = open_budgets(loop, deployment.budgets, len(deployment.pilots), fresh_life(), report,
-                                   lambda: held_for_dead(service))
+    service.budgets = open_budgets(
+        loop, deployment.budgets, len(deployment.pilots), fresh_life(), report, lambda: held_for_dead(service)
+    )
     bring_rights(service)
     service.overload = open_overload(loop, deployment, service, fresh_life(), report)
     if place.admin is not None:
@@ -163,6 +199,7 @@
             store.stop()
         report("pilot_stopped")
         return code
+
     return loop.run(loop.spawn(main(), "main"))
 
 
@@ -175,7 +212,9 @@
     chance = random.Random(fresh_bytes(8))
     if not member.start:
         member = member._replace(start=fresh_bytes(6).hex())
-    terms = RegisterTerms(nodes.servers, nodes.path, nodes.session_timeout, nodes.format, deployment.name, nodes.auth)
+    terms = RegisterTerms(
+        nodes.servers, nodes.path, nodes.session_timeout, nodes.format, deployment.name, nodes.auth
+    )
     kept = Registration(loop, terms, member, chance.random, report)
 
     def main() -> Coroutine:
@@ -185,6 +224,7 @@
         yield from loop.sleep(drain)
         yield from kept.leave()
         return 0
+
     return loop.run(loop.spawn(main(), "main"))
 
 
--- a/cedarshift/cli/sim.py
+++ b/cedarshift/cli/sim.py
@@ -1,4 +1,5 @@
 """`cedarshift sim`: runs of the whole program on a virtual clock under drawn faults."""
+
 from __future__ import annotations
 
 import json
@@ -23,20 +24,23 @@
     try:
         with open(path, "rb") as source:
             return from_json(source.read())
-    except (OSError, ValueError) as error:   # msgspec's errors are ValueErrors too
+    except (OSError, ValueError) as error:  # msgspec's errors are ValueErrors too
         raise click.ClickException(f"{path}: {error}") from None
 
 
 def show(scenario: Scenario, trace: bool, plot: str) -> int:
     from cedarshift.sim.trace import as_plot, as_text, traced
+
     played, events = traced(scenario)
     if trace:
         click.echo(as_text(scenario, played, events))
     else:
         for one in played.broken:
             click.echo(f"{one.what} at {one.at / 1e6:.4f} s: {one.how}")
-        click.echo(f"{'BROKEN' if played.broken else 'held'}: {played.steps} steps, {played.virtual_s:.1f} virtual seconds, {played.acked} of {played.ops} "
-                   f"ops acked, digest {played.digest}")
+        click.echo(
+            f"{'BROKEN' if played.broken else 'held'}: {played.steps} steps, {played.virtual_s:.1f} virtual seconds, {played.acked} of {played.ops} "
+            f"ops acked, digest {played.digest}"
+        )
     if plot:
         as_plot(scenario, played, events, plot)
     return 1 if played.broken else 0
@@ -68,13 +72,22 @@
 @sim.command()
 @click.option("--seeds", default="1-1000", help='Such as "1-10000".')
 @click.option("--jobs", type=click.IntRange(1, 256), default=None, help="Processes; default: one a core.")
-@click.option("--out", type=click.Path(), default="hunts/sim", help="Folder for scenarios that break something.")
+@click.option(
+    "--out", type=click.Path(), default="hunts/sim", help="Folder for scenarios that break something."
+)
 @click.option("--guided", is_flag=True, help="Go on from runs that reached something new.")
 @click.option("--quiet", is_flag=True, help="No progress.")
 def hunt(seeds: str, jobs: Optional[int], out: str, guided: bool, quiet: bool) -> None:
     """Play many seeds; 1 if any breaks something. Prints a JSON report."""
     from cedarshift.sim.hunt import hunt as hunting
-    found = hunting(seeds_of(seeds), jobs or os.cpu_count() or 1, out, lambda text: None if quiet else click.echo(text, err=True), guided)
+
+    found = hunting(
+        seeds_of(seeds),
+        jobs or os.cpu_count() or 1,
+        out,
+        lambda text: None if quiet else click.echo(text, err=True),
+        guided,
+    )
     click.echo(json.dumps(found, indent=1))
     raise SystemExit(1 if found["found"] else 0)
 
@@ -86,6 +99,7 @@
     """Cut a scenario down to what still breaks the same."""
     from cedarshift.sim.play import play
     from cedarshift.sim.shrink import shrink as smaller
+
     scenario = read(file)
     broken = play(scenario).broken
     if not broken:
--- a/cedarshift/codec/__init__.py
+++ b/cedarshift/codec/__init__.py
@@ -2,19 +2,41 @@
 
 The main protocol's names are looked up when first used: its libraries stay out of a program that speaks another one.
 """
+
 from __future__ import annotations
 
 from importlib import import_module
 from typing import TYPE_CHECKING, Any
 
 if TYPE_CHECKING:
-    from cedarshift.codec.errors import (BadBody, BadVersion, Busy, FrameTooLarge, OutOfOrder, PeerClosed, ProtocolError,
-                                         Refused, TooManyMessages, UnknownKind)
+    from cedarshift.codec.errors import (
+        BadBody,
+        BadVersion,
+        Busy,
+        FrameTooLarge,
+        OutOfOrder,
+        PeerClosed,
+        ProtocolError,
+        Refused,
+        TooManyMessages,
+        UnknownKind,
+    )
     from cedarshift.codec.session import Badge, Session
 
-__all__ = ["Badge", "BadBody", "BadVersion", "Busy", "FrameTooLarge", "OutOfOrder", "PeerClosed",
-           "ProtocolError", "Refused", "Session",
-           "TooManyMessages", "UnknownKind"]
+__all__ = [
+    "Badge",
+    "BadBody",
+    "BadVersion",
+    "Busy",
+    "FrameTooLarge",
+    "OutOfOrder",
+    "PeerClosed",
+    "ProtocolError",
+    "Refused",
+    "Session",
+    "TooManyMessages",
+    "UnknownKind",
+]
 
 
 def __getattr__(name: str) -> Any:
--- a/cedarshift/codec/frames.py
+++ b/cedarshift/codec/frames.py
@@ -2,6 +2,7 @@
 
 The length counts what follows it: kind, version and body.
 """
+
 from __future__ import annotations
 
 import struct
@@ -13,7 +14,7 @@
 from cedarshift.codec.messages import KINDS, MAJOR, NUMBERS, Message, Order
 
 HEAD = struct.Struct(">IBB")
-FRAME_MOST = 1 << 20      # bytes after the length; a snapshot of 20,000 slices takes about half
+FRAME_MOST = 1 << 20  # bytes after the length; a snapshot of 20,000 slices takes about half
 
 ENCODER = msgspec.msgpack.Encoder()
 DECODERS = {number: msgspec.msgpack.Decoder(kind) for number, kind in KINDS.items()}
@@ -32,7 +33,9 @@
     return msgspec.Raw(ENCODER.encode(rows))
 
 
-def encode_order(seq: int, waited: int, lines: msgspec.Raw, levels: msgspec.Raw, mark: Optional[int]) -> bytes:
+def encode_order(
+    seq: int, waited: int, lines: msgspec.Raw, levels: msgspec.Raw, mark: Optional[int]
+) -> bytes:
     """An `Order` whose rows were packed before: a turn goes to every proxy, and only seq and waited differ."""
     body = ENCODER.encode({"seq": seq, "waited": waited, "lines": lines, "levels": levels, "mark": mark})
     if len(body) + 2 > FRAME_MOST:
@@ -56,7 +59,7 @@
         try:
             while len(self.buffer) - at >= HEAD.size:
                 length, number, major = HEAD.unpack_from(self.buffer, at)
-                if length > self.most:       # told from the head alone: the body is never waited for
+                if length > self.most:  # told from the head alone: the body is never waited for
                     raise FrameTooLarge(f"a frame of {length} bytes, {self.most} at most")
                 if major != MAJOR:
                     raise BadVersion(f"protocol version {major}, {MAJOR} is spoken here")
@@ -67,7 +70,7 @@
                 end = at + 4 + length
                 if len(self.buffer) < end:
                     break
-                body = memoryview(self.buffer)[at + HEAD.size:end]
+                body = memoryview(self.buffer)[at + HEAD.size : end]
                 try:
                     message = DECODERS[number].decode(body)
                 except (msgspec.DecodeError, RecursionError) as error:
--- a/cedarshift/codec/gossip.py
+++ b/cedarshift/codec/gossip.py
@@ -4,6 +4,7 @@
 section 5) over the body by a key from the deployment's secret. Nothing behind it is looked at before the proof holds. Where
 the deployment has no secret the proof tells damage and foreign deployments, but keeps nobody out.
 """
+
 from __future__ import annotations
 
 import hashlib
@@ -16,14 +17,14 @@
 MAGIC = b"cG"
 VERSION = 1
 HEAD = struct.Struct(">2sB8s16s")
-DATAGRAM_MOST = 1_400     # bytes: fits an Ethernet frame with room for tunnels
-FRAME_MOST = 1 << 20      # bytes of a frame of a stream: the whole roll of 10,000 members
+DATAGRAM_MOST = 1_400  # bytes: fits an Ethernet frame with room for tunnels
+FRAME_MOST = 1 << 20  # bytes of a frame of a stream: the whole roll of 10,000 members
 FRAME_HEAD = struct.Struct(">I")
-BODY_LEAST = 8            # bytes
-NAME_MOST = 64            # characters of a member's name
-RECORDS_MOST = 100_000    # of a body
-RIDER_MOST = 480          # bytes of a rider: one leaves room for the records of a datagram
-RIDERS_MOST = 64          # of a body
+BODY_LEAST = 8  # bytes
+NAME_MOST = 64  # characters of a member's name
+RECORDS_MOST = 100_000  # of a body
+RIDER_MOST = 480  # bytes of a rider: one leaves room for the records of a datagram
+RIDERS_MOST = 64  # of a body
 
 PING, ACK, HELP, NACK, NOTE, WHOLE, WHOLE_BACK = range(1, 8)
 
@@ -37,6 +38,7 @@
 
 class EdgeOf(msgspec.Struct, array_like=True):
     """`age`: us since its proof of life was sent, or since the silence was found, by the sender's clock."""
+
     observer: str
     subject: str
     observer_start: int
@@ -57,6 +59,7 @@
 
 class RiderOf(msgspec.Struct, array_like=True):
     """What another subsystem of a pilot tells all the others: the newest of each alone counts. `age`: us since it held."""
+
     name: str
     start: int
     seq: int
@@ -67,6 +70,7 @@
 class Body(msgspec.Struct, array_like=True):
     """`seq`: counts what this life of the sender has sent. `about`: whom a help, or its answer, is about. `digest`: of all
     words and verdicts that the sender holds."""
+
     kind: int
     sender: str
     start: int
@@ -115,7 +119,7 @@
             raise NotOurs("foreign")
         if version != VERSION:
             raise NotOurs("version", f"{version}, {VERSION} is spoken here")
-        raw = data[HEAD.size:]
+        raw = data[HEAD.size :]
         if not hmac.compare_digest(proof, self._proof(raw)):
             raise NotOurs("proof")
         try:
@@ -167,12 +171,12 @@
     def _next(self) -> Optional[bytes]:
         if len(self.buffer) < FRAME_HEAD.size:
             return None
-        length, = FRAME_HEAD.unpack_from(self.buffer)
+        (length,) = FRAME_HEAD.unpack_from(self.buffer)
         if not 0 < length <= self.most:
             raise NotOurs("long", f"a frame of {length} bytes, 1 to {self.most} are allowed")
         end = FRAME_HEAD.size + length
         if len(self.buffer) < end:
             return None
-        one = bytes(self.buffer[FRAME_HEAD.size:end])
+        one = bytes(self.buffer[FRAME_HEAD.size : end])
         del self.buffer[:end]
         return one
--- a/cedarshift/codec/messages.py
+++ b/cedarshift/codec/messages.py
@@ -3,6 +3,7 @@
 Bodies are MessagePack. Structs travel as maps, so a newer minor version may add fields, which an older one passes
 over; the small rows (`Line`, `Level`, ...) travel as arrays, to which fields may be added at the end.
 """
+
 from __future__ import annotations
 
 from typing import Annotated, Optional
@@ -12,7 +13,7 @@
 MAJOR = 1
 MINOR = 0
 
-Count = Annotated[int, msgspec.Meta(ge=0, le=1 << 53)]   # counts and spans: never below nought
+Count = Annotated[int, msgspec.Meta(ge=0, le=1 << 53)]  # counts and spans: never below nought
 Table = Annotated[int, msgspec.Meta(ge=0, le=65_535)]
 Part = Annotated[float, msgspec.Meta(ge=0)]
 Name = Annotated[str, msgspec.Meta(max_length=256)]
@@ -24,6 +25,7 @@
 
 class Line(Row, frozen=True, array_like=True):
     """One line of a table: weight 0 removes it. `epoch` is the giving under which it was ordered."""
+
     table: Table
     endpoint: Name
     weight: Part = 1.0
@@ -32,6 +34,7 @@
 
 class Level(Row, frozen=True, array_like=True):
     """What share of some op types a table lets in; mask 0 stands for all op types, table 65535 for all tables."""
+
     table: Table
     mask: Count
     share: Part
@@ -42,6 +45,7 @@
 class Met(Row, frozen=True, array_like=True):
     """What a proxy met at an endpoint: tries, those aborted, mean time of the acked (us), span counted over (us); of the aborted,
     those that the endpoint turned away for want of room; and how many are under way now."""
+
     endpoint: Name
     tries: Count
     aborted: Count
@@ -53,6 +57,7 @@
 
 class Heat(Row, frozen=True, array_like=True):
     """What came for a slice: ops of a type (by its place among the op types), those let in and not answered, span."""
+
     slice: Table
     op_type: Count
     ops: Count
@@ -62,6 +67,7 @@
 
 class Held(Row, frozen=True, array_like=True):
     """A slice as the store holds it: the giving's epoch, the version, the owner ("" for none) and its levels."""
+
     slice: Table
     epoch: Count
     version: Count
@@ -71,6 +77,7 @@
 
 class Write(Row, frozen=True, array_like=True):
     """A change of a slice in the store under an epoch; `owner` None leaves the line as it is, "" empties it."""
+
     slice: Table
     epoch: Count
     owner: Optional[Name]
@@ -79,6 +86,7 @@
 
 class Denied(Row, frozen=True, array_like=True):
     """A write that the store refused, and why."""
+
     slice: int
     epoch: int
     reason: str
@@ -86,6 +94,7 @@
 
 class LentSum(Row, frozen=True, array_like=True):
     """Sums that the lender took in: how long ago (us), then as in `Met`; `zone` is the proxies'."""
+
     age: Count
     tries: Count
     aborted: Count
@@ -99,6 +108,7 @@
 
     `source` and `rev`: the list that said so; `confirmed`: how long ago that list last answered. `origin` is the life of
     the pilot that heard it first-hand, `hops` how often it was borrowed since."""
+
     endpoint: Name
     phase: Name
     start: Name
@@ -117,6 +127,7 @@
 
 class LentHeat(Row, frozen=True, array_like=True):
     """What came for a slice: how long ago it was heard (us), then as in `Heat`."""
+
     age: Count
     op_type: Name
     ops: Count
@@ -133,6 +144,7 @@
 
 class ProxyFact(Row, frozen=True, array_like=True):
     """A proxy that is joined to the lender: its zone, and ops a second that it told of lately."""
+
     id: Name
     zone: Name
     rate: Part
@@ -141,6 +153,7 @@
 class BudgetOf(Row, frozen=True, array_like=True):
     """A budget that proxies spend: what for, its burst (us of the rate), the part of a token that a fresh op earns (0: no such
     limit), and how far clocks may run apart."""
+
     name: Name
     use: Name
     burst: Count
@@ -151,6 +164,7 @@
 class Wanted(Row, frozen=True, array_like=True):
     """What is asked of a budget, in parts: demand; the number and amount of the right that is held; the newest number taken; how
     many spend below."""
+
     budget: Name
     demand: Count
     number: Count = 0
@@ -161,6 +175,7 @@
 
 class Shared(Row, frozen=True, array_like=True):
     """A right to so many parts for `span` us from the asking. A higher number takes the place of a lower one."""
+
     budget: Name
     number: Count
     amount: Count
@@ -169,12 +184,14 @@
 
 class Wished(Row, frozen=True, array_like=True):
     """A thing that is claimed, and whether it is held now. What a later ask does not name is given up."""
+
     thing: Name
     held: bool
 
 
 class Claimed(Row, frozen=True, array_like=True):
     """A right to all of a thing for `span` us from the asking."""
+
     thing: Name
     span: Count
 
@@ -182,6 +199,7 @@
 class Load(Row, frozen=True, array_like=True):
     """Ops of a type that came for a pilot's slices: fresh, repeats, those let in, acked, aborted, turned away by endpoints without room;
     mean time of the acked (us), span counted over (us)."""
+
     op_type: Count
     fresh: Count
     repeats: Count
@@ -195,6 +213,7 @@
 
 class Own(Row, frozen=True, array_like=True):
     """An endpoint at which another share is let in than the fleet's."""
+
     endpoint: Name
     share: Part
 
@@ -202,6 +221,7 @@
 class Told(Row, frozen=True, array_like=True):
     """What is let in: `share` of all work, the op types in `order` first, each `mix` of it; repeats for each fresh op; us that who is
     rejected is to wait; endpoints with a share of their own."""
+
     state: Name
     share: Part
     again: Part
@@ -217,6 +237,7 @@
 
 class Greet(Message):
     """First word of the side that accepts: who it is, and a challenge for the secret's proof."""
+
     deployment: str
     role: str
     id: str
@@ -226,6 +247,7 @@
 
 class Hello(Message):
     """First word of the side that dials. `proof`: HMAC-SHA256 of challenge and id under the deployment's secret."""
+
     deployment: str
     role: str
     id: str
@@ -238,6 +260,7 @@
 class Welcome(Message):
     """The hello is taken. `session` numbers it; `lease` and `beat_every` are spans in us. `proof`: as in the Hello, over
     the Hello's challenge and this side's id."""
+
     session: int
     lease: int = 0
     beat_every: int = 0
@@ -250,6 +273,7 @@
 
 class Bye(Message):
     """The last word before a close: a code and a reason for people; `after`: us before which another try is not wanted."""
+
     code: str
     reason: str = ""
     after: Count = 0
@@ -267,6 +291,7 @@
     """All that the pilot has in its charge for this proxy: replaces what this pilot told before.
 
     `slices` at sites with slices; `table` and `lines` at sites without. `levels` are those that stand for all."""
+
     slices: list[Held] = []
     table: int = -1
     lines: list[Line] = []
@@ -275,6 +300,7 @@
 
 class Order(Message):
     """One turn's delta. `waited`: us that it lay in the pilot's channel; `seq` grows by one a message a session."""
+
     seq: int
     waited: int = 0
     lines: list[Line] = []
@@ -284,6 +310,7 @@
 
 class Charge(Message):
     """Slices that came into this pilot's charge, as the store holds them, and slices that left it."""
+
     given: list[Held] = []
     taken: list[int] = []
 
@@ -291,6 +318,7 @@
 class Beat(Message):
     """A proxy asks whether its lease may run on, counted from when it asked; and, where `ask` is set, for its shares: the ask's
     number, this life of the proxy, the life of the pilot that it knows, and what it wants."""
+
     n: int
     ask: Count = 0
     life: Count = 0
@@ -302,6 +330,7 @@
     """The pilot is there; `in_charge`: nobody else can have been given its slices, so the lease runs on. `told`: what is let in from
     now on, where that is news; `fair`: by op type, times that for this proxy. `trials`: endpoints that get a part of their share (0: none),
     in the place of those told before; `probe`: one of them that this proxy may try once."""
+
     n: int
     in_charge: bool = True
     ask: Count = 0
@@ -315,6 +344,7 @@
 
 class Ack(Message):
     """The message with this mark, and all before it, is in force; `held`: us from then until this was sent."""
+
     mark: Table
     held: Count = 0
 
@@ -322,6 +352,7 @@
 class Sums(Message):
     """What the proxy met and what came, since its last sums; `loads` where the Welcome asked for them, and then the endpoints that it
     shuns for what they did to it."""
+
     met: list[Met] = []
     heat: list[Heat] = []
     loads: list[Load] = []
@@ -330,17 +361,20 @@
 
 class Open(Message):
     """A pilot asks the store for a session."""
+
     place: int = 0
 
 
 class Opened(Message):
     """The pilot's session at the store; it ends `lease` us after the pilot sent what the store answered last."""
+
     session: int
     lease: int
 
 
 class Renew(Message):
     """A pilot asks the store to prolong its session, counted from when it asked."""
+
     n: int
 
 
@@ -350,6 +384,7 @@
 
 class AskFacts(Message):
     """A pilot asks another for one chunk of what it knows. `version` "" begins anew; else it goes on with that one."""
+
     version: Name = ""
     chunk: Count = 0
 
@@ -357,6 +392,7 @@
 class Facts(Message):
     """One chunk. `payload` is MessagePack of a `Chunk`, compressed by zstandard where `packed`; `digest`: BLAKE2b, 16
     bytes, of the payload as it travels."""
+
     version: Name
     chunk: Count
     chunks: Count
@@ -367,6 +403,7 @@
 
 class Chunk(msgspec.Struct, array_like=True):
     """What a payload holds. `list_age`: us since the lender's list answered last, -1 for never; `proxies` joined to it."""
+
     origin: Name
     list_age: int
     proxies_joined: Count
@@ -379,6 +416,7 @@
 
 class NoFacts(Message):
     """The lender declines, and says for how long (us)."""
+
     reason: str
     again_after: Count = 0
 
@@ -389,11 +427,13 @@
 
 class Give(Message):
     """Slices that the store puts into a pilot's charge."""
+
     slices: list[Held]
 
 
 class Take(Message):
     """Slices that the store takes back; the pilot answers Released once its proxies were told."""
+
     slices: list[int]
     number: int
 
@@ -404,18 +444,21 @@
 
 class Commit(Message):
     """Writes of one turn, under the epochs by which the pilot holds the slices."""
+
     number: int
     writes: list[Write]
 
 
 class Committed(Message):
     """Durable, but for those denied."""
+
     number: int
     denied: list[Denied] = []
 
 
 class ReadTables(Message):
     """A proxy asks the store for all slices."""
+
     number: int = 0
 
 
@@ -426,6 +469,7 @@
 
 class AskShares(Message):
     """A pilot asks the store for its shares. `era`: the life of the store that it knows; `doubted`: pilots it holds for dead."""
+
     number: Count
     life: Count
     era: Count
@@ -436,6 +480,7 @@
 
 class Shares(Message):
     """The answer to an ask, kept durably before; of another `era` than was asked under it holds nothing. Era 0: no budgets here."""
+
     number: Count
     era: Count
     shares: list[Shared] = []
@@ -444,26 +489,56 @@
 
 class LeaveShares(Message):
     """A pilot's life spends no more, and takes no answer any more."""
+
     life: Count
 
 
 class ReadBudgets(Message):
     """Anyone of the deployment asks the store who has what."""
+
     number: Count = 0
 
 
 class BudgetsHeld(Message):
     """`payload`: JSON for people."""
+
     number: Count
     payload: bytes = b""
 
 
 KINDS: dict[int, type[Message]] = {
-    1: Greet, 2: Hello, 3: Welcome, 4: Bye, 5: Ping, 6: Pong,
-    16: Snapshot, 17: Order, 18: Charge, 19: Beat, 20: BeatOk, 21: Ack, 22: Sums,
-    32: Open, 33: Opened, 34: Give, 35: Take, 36: Released, 37: Commit, 38: Committed, 39: ReadTables, 40: Tables,
-    41: Renew, 42: Renewed, 43: Leave,
-    48: AskFacts, 49: Facts, 50: NoFacts,
-    56: AskShares, 57: Shares, 58: LeaveShares, 59: ReadBudgets, 60: BudgetsHeld,
+    1: Greet,
+    2: Hello,
+    3: Welcome,
+    4: Bye,
+    5: Ping,
+    6: Pong,
+    16: Snapshot,
+    17: Order,
+    18: Charge,
+    19: Beat,
+    20: BeatOk,
+    21: Ack,
+    22: Sums,
+    32: Open,
+    33: Opened,
+    34: Give,
+    35: Take,
+    36: Released,
+    37: Commit,
+    38: Committed,
+    39: ReadTables,
+    40: Tables,
+    41: Renew,
+    42: Renewed,
+    43: Leave,
+    48: AskFacts,
+    49: Facts,
+    50: NoFacts,
+    56: AskShares,
+    57: Shares,
+    58: LeaveShares,
+    59: ReadBudgets,
+    60: BudgetsHeld,
 }
 NUMBERS = {kind: number for number, kind in KINDS.items()}
--- a/cedarshift/codec/platform/entries.py
+++ b/cedarshift/codec/platform/entries.py
@@ -1,4 +1,5 @@
 """Discovery's list lines as the module's entries."""
+
 from __future__ import annotations
 
 from typing import Any, NamedTuple, Optional
@@ -10,15 +11,16 @@
 from cedarshift.interface import Entry
 
 PHASES = {"ready": "on", "draining": "fading", "gone": "off"}
-APART = {",", ";"}        # what parts orders, and their fields
+APART = {",", ";"}  # what parts orders, and their fields
 REVISION_MOST = 1 << 62
-LINE_MOST = 4 << 20       # bytes of one line; a list of 10,000 endpoints has about 2 MB
-MILLIS_MOST = 1e14        # ms; Unix times stay below for some thousand years
+LINE_MOST = 4 << 20  # bytes of one line; a list of 10,000 endpoints has about 2 MB
+MILLIS_MOST = 1e14  # ms; Unix times stay below for some thousand years
 TENTHS = 10
 
 
 class Listed(NamedTuple):
     """`whole`: these are all there are; else they are what changed."""
+
     revision: int
     whole: bool
     entries: list[Entry]
@@ -50,7 +52,9 @@
     zone = fields.text(raw, "zone") if raw.get("zone") else ""
     name = fields.text(raw, "instanceId")
     if set(name) & APART:
-        raise Spoilt(f"instanceId: {name!r}, an order can't hold it: no {' or '.join(sorted(APART))} is allowed")
+        raise Spoilt(
+            f"instanceId: {name!r}, an order can't hold it: no {' or '.join(sorted(APART))} is allowed"
+        )
     return Entry(name, phase, float(size) or 1.0, zone, round(started * TENTHS) or None)
 
 
--- a/cedarshift/codec/platform/errors.py
+++ b/cedarshift/codec/platform/errors.py
@@ -1,4 +1,5 @@
 """What can be wrong with what the platform's parties send."""
+
 from __future__ import annotations
 
 
--- a/cedarshift/codec/platform/fields.py
+++ b/cedarshift/codec/platform/fields.py
@@ -1,4 +1,5 @@
 """Fields of JSON objects, checked: a wrong one is told by its place, what was found and what is allowed."""
+
 from __future__ import annotations
 
 import math
@@ -16,7 +17,12 @@
 
 def number(raw: Any, key: str, least: float, most: float) -> float:
     got = raw.get(key)
-    if isinstance(got, bool) or not isinstance(got, (int, float)) or not math.isfinite(got) or not least <= got <= most:
+    if (
+        isinstance(got, bool)
+        or not isinstance(got, (int, float))
+        or not math.isfinite(got)
+        or not least <= got <= most
+    ):
         raise Spoilt(f"{key}: {_shown(got)}, a number from {least:g} to {most:g} is allowed")
     return got
 
--- a/cedarshift/codec/platform/frames.py
+++ b/cedarshift/codec/platform/frames.py
@@ -1,4 +1,5 @@
 """Messages at a pilot's address: a four-byte length, most significant first, and so many bytes of one JSON object."""
+
 from __future__ import annotations
 
 from typing import Any, Iterator
@@ -7,8 +8,8 @@
 
 from cedarshift.codec.platform.errors import Unreadable
 
-HEAD = 4                  # bytes of the length
-MESSAGE_MOST = 1 << 20    # bytes of a message: the platform's limit
+HEAD = 4  # bytes of the length
+MESSAGE_MOST = 1 << 20  # bytes of a message: the platform's limit
 
 
 def encode(message: dict[str, Any]) -> bytes:
@@ -31,14 +32,14 @@
         at = 0
         try:
             while len(self.buffer) - at >= HEAD:
-                length = int.from_bytes(self.buffer[at:at + HEAD], "big")
-                if not 0 < length <= self.most:   # told from the head alone: the body is never waited for
+                length = int.from_bytes(self.buffer[at : at + HEAD], "big")
+                if not 0 < length <= self.most:  # told from the head alone: the body is never waited for
                     raise Unreadable(f"a message of {length} bytes, 1 to {self.most} are allowed")
                 end = at + HEAD + length
                 if len(self.buffer) < end:
                     break
                 try:
-                    message = orjson.loads(self.buffer[at + HEAD:end])
+                    message = orjson.loads(self.buffer[at + HEAD : end])
                 except orjson.JSONDecodeError as error:
                     raise Unreadable(f"no JSON: {error}") from None
                 if not isinstance(message, dict):
--- a/cedarshift/codec/platform/news.py
+++ b/cedarshift/codec/platform/news.py
@@ -1,4 +1,5 @@
 """The relay's event stream: bytes in any pieces to (event, fields); a bare colon is a sign of life."""
+
 from __future__ import annotations
 
 from typing import Iterator
@@ -7,8 +8,8 @@
 from cedarshift.codec.platform import fields
 from cedarshift.codec.platform.errors import Spoilt, Unreadable
 
-LINE_MOST = 65_536        # bytes of one line, and of one event; news has under a hundred
-NUMBER_MOST = 65_535      # proxies, slices and marks
+LINE_MOST = 65_536  # bytes of one line, and of one event; news has under a hundred
+NUMBER_MOST = 65_535  # proxies, slices and marks
 LATENCY_MOST = 600_000.0  # ms
 
 
@@ -19,8 +20,8 @@
         self.rest = b""
         self.name = ""
         self.data: list[str] = []
-        self.held = 0                        # bytes of the event so far
-        self.signs = 0                       # signs of life so far
+        self.held = 0  # bytes of the event so far
+        self.signs = 0  # signs of life so far
 
     def feed(self, piece: bytes) -> Iterator[tuple[str, str]]:
         lines = (self.rest + piece).split(b"\n")
--- a/cedarshift/codec/platform/place.py
+++ b/cedarshift/codec/platform/place.py
@@ -1,4 +1,5 @@
 """What a pilot is told at its start: the variables and the configuration's text, checked, as a few figures."""
+
 from __future__ import annotations
 
 from typing import Any, Mapping, NamedTuple, Optional
@@ -11,7 +12,7 @@
 from cedarshift.interface import Terms
 
 VARIABLES = ("RELAY_NAME", "RELAY_LISTEN", "RELAY_DISCOVERY", "RELAY_CONFIG")
-SOCKETS_LEAST = 64        # descriptors; with fewer a pilot has no room for collectors beside strangers
+SOCKETS_LEAST = 64  # descriptors; with fewer a pilot has no room for collectors beside strangers
 SOCKETS_MOST = 1 << 20
 
 Address = tuple[str, int]
@@ -26,6 +27,7 @@
 
 class Place(NamedTuple):
     """`known`: the list as this pilot last held it, maybe old; None where it held none."""
+
     name: str
     listen: Address
     discovery: Address
@@ -41,8 +43,12 @@
         raise Refused(f"{', '.join(missing)}: missing; {', '.join(VARIABLES)} have to be set")
     name, listen, discovery, config = (environ[key] for key in VARIABLES)
     try:
-        return Variables(name, address({"RELAY_LISTEN": listen}, "RELAY_LISTEN"),
-                         address({"RELAY_DISCOVERY": discovery}, "RELAY_DISCOVERY"), config)
+        return Variables(
+            name,
+            address({"RELAY_LISTEN": listen}, "RELAY_LISTEN"),
+            address({"RELAY_DISCOVERY": discovery}, "RELAY_DISCOVERY"),
+            config,
+        )
     except Spoilt as error:
         raise Refused(str(error)) from None
 
@@ -72,7 +78,9 @@
     relay = _within("registry", lambda: address(fields.mapping(raw, "registry"), "address"))
     discovery = address(raw, "discovery") if raw.get("discovery") is not None else told.discovery
     limits = fields.mapping(raw, "limits") if raw.get("limits") is not None else {}
-    sockets = _within("limits", lambda: fields.whole({"sockets": 1024, **limits}, "sockets", SOCKETS_LEAST, SOCKETS_MOST))
+    sockets = _within(
+        "limits", lambda: fields.whole({"sockets": 1024, **limits}, "sockets", SOCKETS_LEAST, SOCKETS_MOST)
+    )
     known = None
     if raw.get("known") is not None:
         known = _within("known", lambda: entries.listed(raw["known"]))
