--- a/cedarshift/codec/platform/reports.py
+++ b/cedarshift/codec/platform/reports.py
@@ -1,4 +1,5 @@
 """What collectors report, in the module's words and units: the arguments of `on_met` and `on_heat`, checked."""
+
 from __future__ import annotations
 
 from typing import Any, Collection, Container
@@ -7,12 +8,12 @@
 from cedarshift.codec.platform import fields
 from cedarshift.codec.platform.errors import Spoilt
 
-PROBE, JOINING, MET, HEAT = "probe", "agent", "outcomes", "hot"   # what `t` may name at a pilot's address
+PROBE, JOINING, MET, HEAT = "probe", "agent", "outcomes", "hot"  # what `t` may name at a pilot's address
 ALIVE = {"t": "alive"}
-COUNT_MOST = 10_000_000   # ops of one report: more is no count
-RTT_MOST = 600_000.0      # ms; no op lasts ten minutes
-SPAN_MOST = 600_000.0     # ms; nor does a report's interval
-ZONE_MOST = 256           # characters of a zone that no settings name
+COUNT_MOST = 10_000_000  # ops of one report: more is no count
+RTT_MOST = 600_000.0  # ms; no op lasts ten minutes
+SPAN_MOST = 600_000.0  # ms; nor does a report's interval
+ZONE_MOST = 256  # characters of a zone that no settings name
 
 
 def error(reason: str) -> dict[str, Any]:
@@ -34,7 +35,9 @@
     return _known(message, "locality", zones)
 
 
-def met(message: dict[str, Any], zones: Collection[str], endpoints: Container[str]) -> tuple[str, str, int, int, int, int]:
+def met(
+    message: dict[str, Any], zones: Collection[str], endpoints: Container[str]
+) -> tuple[str, str, int, int, int, int]:
     """(endpoint, zone, tries, aborted, took, span). Raises Spoilt."""
     origin = zone(message, zones)
     endpoint = _known(message, "endpoint", endpoints)
@@ -50,7 +53,9 @@
     number = fields.whole(message, "shard", 0, slices - 1)
     op_type = _known(message, "route", op_types)
     ops = fields.whole(message, "total", 0, COUNT_MOST)
-    unanswered = fields.whole(message, "errors", 0, COUNT_MOST)   # some came before the interval: maybe more than ops
+    unanswered = fields.whole(
+        message, "errors", 0, COUNT_MOST
+    )  # some came before the interval: maybe more than ops
     span = fields.number(message, "interval", 1, SPAN_MOST)
     return number, op_type, ops, unanswered, tenths_up(span)
 
--- a/cedarshift/codec/session.py
+++ b/cedarshift/codec/session.py
@@ -6,6 +6,7 @@
 `receive` takes bytes and returns the messages that are the user's to handle; what the session itself has to say
 collects in `outbox`. A Ping is answered here.
 """
+
 from __future__ import annotations
 
 import hashlib
@@ -16,8 +17,8 @@
 from cedarshift.codec.errors import OutOfOrder, PeerClosed, ProtocolError, Refused, TooManyMessages
 from cedarshift.codec.frames import FRAME_MOST, Frames, encode
 
-RATE_SPAN = 1_000_000     # us over which messages are counted
-ID_MOST = 128             # characters of an id; ids end up in logs and metrics
+RATE_SPAN = 1_000_000  # us over which messages are counted
+ID_MOST = 128  # characters of an id; ids end up in logs and metrics
 
 WAITING, GREETED, HELLOED, OPEN, CLOSED = "waiting", "greeted", "helloed", "open", "closed"
 
@@ -37,6 +38,7 @@
 
 class Badge(NamedTuple):
     """How one side shows itself."""
+
     deployment: str
     role: str
     id: str
@@ -55,8 +57,14 @@
     `challenge`: fresh bytes, which the other side proves the secret over, for whichever side.
     `rate_most`: messages a second that the peer may send, 0 for no limit."""
 
-    def __init__(self, badge: Badge, admit: Optional[Callable[[m.Hello], m.Welcome]] = None, challenge: bytes = b"",
-                 rate_most: int = 0, frame_most: int = FRAME_MOST) -> None:
+    def __init__(
+        self,
+        badge: Badge,
+        admit: Optional[Callable[[m.Hello], m.Welcome]] = None,
+        challenge: bytes = b"",
+        rate_most: int = 0,
+        frame_most: int = FRAME_MOST,
+    ) -> None:
         self.badge = badge
         self.admit = admit
         self.challenge = challenge
@@ -101,7 +109,9 @@
     def send(self, message: m.Message) -> bytes:
         """The frame of a message that the user says; asserts that the roles allow it."""
         assert self.state == OPEN and self.peer is not None, f"{type(message).__name__} while {self.state}"
-        assert isinstance(message, SPOKEN[self.badge.role, self.peer.role] + (m.Ping,)), type(message).__name__
+        assert isinstance(message, SPOKEN[self.badge.role, self.peer.role] + (m.Ping,)), type(
+            message
+        ).__name__
         return encode(message)
 
     def close(self, code: str, reason: str, after: int = 0) -> None:
@@ -176,8 +186,16 @@
         self.peer = Badge(greet.deployment, greet.role, greet.id)
         self.state = HELLOED
         badge = self.badge
-        self._say(m.Hello(badge.deployment, badge.role, badge.id, badge.zone,
-                          proof(badge.secret, greet.challenge, badge.id), self.challenge))
+        self._say(
+            m.Hello(
+                badge.deployment,
+                badge.role,
+                badge.id,
+                badge.zone,
+                proof(badge.secret, greet.challenge, badge.id),
+                self.challenge,
+            )
+        )
 
     def _take_welcome(self, welcome: m.Welcome) -> None:
         """The accepting side has to know the secret too: a proxy must not obey, nor a pilot believe, just anyone."""
--- a/cedarshift/codec/zookeeper/__init__.py
+++ b/cedarshift/codec/zookeeper/__init__.py
@@ -2,6 +2,7 @@
 
 Source: the Apache ZooKeeper programmer's guide and `zookeeper.jute`, the published description of the records, as of 3.6.
 """
+
 from cedarshift.codec.zookeeper.errors import Code, ZooError
 from cedarshift.codec.zookeeper.jute import Broken, Frames
 
--- a/cedarshift/codec/zookeeper/errors.py
+++ b/cedarshift/codec/zookeeper/errors.py
@@ -1,4 +1,5 @@
 """Error codes as they travel in a reply's head, and what each means to who reads it."""
+
 from __future__ import annotations
 
 from enum import IntEnum
@@ -68,7 +69,9 @@
             name, said = known.name, SAID.get(known, "")
         except ValueError:
             name, said = f"error {code}", "a code that is not in the specification"
-        super().__init__(f"{path}: {name}{': ' + said if said else ''}" if path else f"{name}{': ' + said if said else ''}")
+        super().__init__(
+            f"{path}: {name}{': ' + said if said else ''}" if path else f"{name}{': ' + said if said else ''}"
+        )
         self.code = code
         self.path = path
 
--- a/cedarshift/codec/zookeeper/jute.py
+++ b/cedarshift/codec/zookeeper/jute.py
@@ -3,14 +3,17 @@
 A length of -1 stands for null. Whatever length a peer states is held against the bytes that are there before anything is
 made of it, so a stated 4 GB costs nothing.
 """
+
 from __future__ import annotations
 
 import struct
 from typing import Any, Callable, NamedTuple, Optional
 
-FRAME_MOST = 4 << 20      # bytes; the servers' own bound (jute.maxbuffer) is 1 MiB for requests, answers may be longer
-TEXT_MOST = 4096          # bytes of a path or name; deeper or longer ones are refused before they are kept
-DEPTH_MOST = 64           # parts of a path
+FRAME_MOST = (
+    4 << 20
+)  # bytes; the servers' own bound (jute.maxbuffer) is 1 MiB for requests, answers may be longer
+TEXT_MOST = 4096  # bytes of a path or name; deeper or longer ones are refused before they are kept
+DEPTH_MOST = 64  # parts of a path
 
 INT = struct.Struct(">i")
 LONG = struct.Struct(">q")
@@ -32,7 +35,7 @@
         if count < 0 or count > self.left():
             raise Broken(f"{count} bytes stated at byte {self.at}, {self.left()} are left")
         self.at += count
-        return self.data[self.at - count:self.at]
+        return self.data[self.at - count : self.at]
 
     def i32(self) -> int:
         return INT.unpack(self._take(4))[0]
@@ -109,6 +112,7 @@
 class Shape(NamedTuple):
     """A record's fields in their order: (name, kind). Kinds are "i32", "i64", "flag", "buffer", "text", "texts", or a
     record class; a list holding a record class is a vector of those."""
+
     fields: tuple[tuple[str, Any], ...]
 
 
@@ -178,7 +182,7 @@
                 raise Broken(f"a frame of {length} bytes, {self.most} at most")
             if len(self.buffer) - at - 4 < length:
                 break
-            frames.append(bytes(self.buffer[at + 4:at + 4 + length]))
+            frames.append(bytes(self.buffer[at + 4 : at + 4 + length]))
             at += 4 + length
         del self.buffer[:at]
         return frames
@@ -200,10 +204,29 @@
             return "it has an empty part"
         if part in (".", ".."):
             return f"{part!r} is no name"
-        if any(c <= "\x1f" or "\x7f" <= c <= "\x9f" or "\ud800" <= c <= "\uf8ff" or c >= "\ufff0" and c <= "\uffff" for c in part):
+        if any(
+            c <= "\x1f"
+            or "\x7f" <= c <= "\x9f"
+            or "\ud800" <= c <= "\uf8ff"
+            or c >= "\ufff0"
+            and c <= "\uffff"
+            for c in part
+        ):
             return "it has a character that is not allowed"
     return ""
 
 
-__all__ = ["Broken", "FRAME_MOST", "Frames", "Reader", "Writer", "check_path", "decode", "encode", "framed", "read", "record",
-           "write"]
+__all__ = [
+    "Broken",
+    "FRAME_MOST",
+    "Frames",
+    "Reader",
+    "Writer",
+    "check_path",
+    "decode",
+    "encode",
+    "framed",
+    "read",
+    "record",
+    "write",
+]
--- a/cedarshift/codec/zookeeper/records.py
+++ b/cedarshift/codec/zookeeper/records.py
@@ -1,14 +1,33 @@
 """The records of the protocol, by the names of `zookeeper.jute`, and which operation asks and answers with which."""
+
 from __future__ import annotations
 
 from typing import Any, NamedTuple, Optional, Union
 
-from cedarshift.codec.zookeeper.errors import Code
 from cedarshift.codec.zookeeper.jute import Broken, Reader, Writer, read, record, write
 
 # Operations.
-CREATE, DELETE, EXISTS, GET_DATA, SET_DATA, GET_ACL, SET_ACL, GET_CHILDREN, SYNC, PING = 1, 2, 3, 4, 5, 6, 7, 8, 9, 11
-GET_CHILDREN2, CHECK, MULTI, CREATE2, REMOVE_WATCHES, CREATE_CONTAINER, CREATE_TTL = 12, 13, 14, 15, 18, 19, 21
+CREATE, DELETE, EXISTS, GET_DATA, SET_DATA, GET_ACL, SET_ACL, GET_CHILDREN, SYNC, PING = (
+    1,
+    2,
+    3,
+    4,
+    5,
+    6,
+    7,
+    8,
+    9,
+    11,
+)
+GET_CHILDREN2, CHECK, MULTI, CREATE2, REMOVE_WATCHES, CREATE_CONTAINER, CREATE_TTL = (
+    12,
+    13,
+    14,
+    15,
+    18,
+    19,
+    21,
+)
 AUTH, SET_WATCHES, SET_WATCHES2, ADD_WATCH, CREATE_SESSION, CLOSE, ERROR = 100, 101, 105, 106, -10, -11, -1
 
 # xids that are not counted.
@@ -18,7 +37,16 @@
 PERSISTENT, EPHEMERAL, SEQUENTIAL, EPHEMERAL_SEQUENTIAL, CONTAINER, TTL, TTL_SEQUENTIAL = 0, 1, 2, 3, 4, 5, 6
 
 # Watch events, and the session's states that they come with.
-NO_EVENT, CREATED, DELETED, CHANGED, CHILDREN, DATA_WATCH_GONE, CHILD_WATCH_GONE, PERSISTENT_WATCH_GONE = -1, 1, 2, 3, 4, 5, 6, 7
+NO_EVENT, CREATED, DELETED, CHANGED, CHILDREN, DATA_WATCH_GONE, CHILD_WATCH_GONE, PERSISTENT_WATCH_GONE = (
+    -1,
+    1,
+    2,
+    3,
+    4,
+    5,
+    6,
+    7,
+)
 DISCONNECTED, CONNECTED, AUTH_FAILED, READ_ONLY, EXPIRED = 0, 3, 4, 5, -112
 
 # Modes of addWatch.
@@ -46,7 +74,7 @@
     version: int
     cversion: int
     aversion: int
-    owner: int            # the session of an ephemeral node, 0 of others
+    owner: int  # the session of an ephemeral node, 0 of others
     length: int
     children: int
     pzxid: int
@@ -55,14 +83,14 @@
 class ConnectRequest(NamedTuple):
     version: int
     last_zxid: int
-    timeout: int          # ms
+    timeout: int  # ms
     session: int
     password: Optional[bytes]
 
 
 class ConnectResponse(NamedTuple):
     version: int
-    timeout: int          # ms; 0 with session 0: the session has expired
+    timeout: int  # ms; 0 with session 0: the session has expired
     session: int
     password: Optional[bytes]
 
@@ -115,12 +143,14 @@
 
 class Watched(NamedTuple):
     """exists, getData, getChildren and getChildren2 ask with this."""
+
     path: str
     watch: bool
 
 
 class OfPath(NamedTuple):
     """getACL and sync ask with this, sync answers with it."""
+
     path: str
 
 
@@ -207,17 +237,36 @@
 
 
 KINDS: dict[type, tuple[Any, ...]] = {
-    Id: ("text", "text"), Acl: ("i32", Id),
+    Id: ("text", "text"),
+    Acl: ("i32", Id),
     Stat: ("i64", "i64", "i64", "i64", "i32", "i32", "i32", "i64", "i32", "i32", "i64"),
-    ConnectRequest: ("i32", "i64", "i32", "i64", "buffer"), ConnectResponse: ("i32", "i32", "i64", "buffer"),
-    RequestHead: ("i32", "i32"), ReplyHead: ("i32", "i64", "i32"), WatchEvent: ("i32", "i32", "text"),
-    Create: ("text", "buffer", [Acl], "i32"), CreateTtl: ("text", "buffer", [Acl], "i32", "i64"),
-    Created: ("text",), Created2: ("text", Stat), Delete: ("text", "i32"), Watched: ("text", "flag"), OfPath: ("text",),
-    StatReply: (Stat,), DataReply: ("buffer", Stat), SetData: ("text", "buffer", "i32"), AclReply: ([Acl], Stat),
-    SetAcl: ("text", [Acl], "i32"), ChildrenReply: ("texts",), Children2Reply: ("texts", Stat), Check: ("text", "i32"),
-    Auth: ("i32", "text", "buffer"), SetWatches: ("i64", "texts", "texts", "texts"),
-    SetWatches2: ("i64", "texts", "texts", "texts", "texts", "texts"), AddWatch: ("text", "i32"),
-    RemoveWatches: ("text", "i32"), ErrorReply: ("i32",), MultiHead: ("i32", "flag", "i32"),
+    ConnectRequest: ("i32", "i64", "i32", "i64", "buffer"),
+    ConnectResponse: ("i32", "i32", "i64", "buffer"),
+    RequestHead: ("i32", "i32"),
+    ReplyHead: ("i32", "i64", "i32"),
+    WatchEvent: ("i32", "i32", "text"),
+    Create: ("text", "buffer", [Acl], "i32"),
+    CreateTtl: ("text", "buffer", [Acl], "i32", "i64"),
+    Created: ("text",),
+    Created2: ("text", Stat),
+    Delete: ("text", "i32"),
+    Watched: ("text", "flag"),
+    OfPath: ("text",),
+    StatReply: (Stat,),
+    DataReply: ("buffer", Stat),
+    SetData: ("text", "buffer", "i32"),
+    AclReply: ([Acl], Stat),
+    SetAcl: ("text", [Acl], "i32"),
+    ChildrenReply: ("texts",),
+    Children2Reply: ("texts", Stat),
+    Check: ("text", "i32"),
+    Auth: ("i32", "text", "buffer"),
+    SetWatches: ("i64", "texts", "texts", "texts"),
+    SetWatches2: ("i64", "texts", "texts", "texts", "texts", "texts"),
+    AddWatch: ("text", "i32"),
+    RemoveWatches: ("text", "i32"),
+    ErrorReply: ("i32",),
+    MultiHead: ("i32", "flag", "i32"),
 }
 for _made, _kinds in KINDS.items():
     _made.KINDS = _kinds  # type: ignore[attr-defined]
@@ -226,25 +275,43 @@
 
 class Multi(NamedTuple):
     """Operations that all happen or none: (operation, its record) each."""
+
     ops: list[tuple[int, Any]]
 
 
 class MultiReply(NamedTuple):
     """(operation, its answer or None, error code) each; where one failed all have an error."""
+
     results: list[tuple[int, Any, int]]
 
 
 # Operation -> (what it asks with, what it answers with); None: no body.
 SPOKEN: dict[int, tuple[Optional[type], Optional[type]]] = {
-    CREATE: (Create, Created), CREATE2: (Create, Created2), CREATE_CONTAINER: (Create, Created2),
-    CREATE_TTL: (CreateTtl, Created2), DELETE: (Delete, None), EXISTS: (Watched, StatReply), GET_DATA: (Watched, DataReply),
-    SET_DATA: (SetData, StatReply), GET_ACL: (OfPath, AclReply), SET_ACL: (SetAcl, StatReply),
-    GET_CHILDREN: (Watched, ChildrenReply), GET_CHILDREN2: (Watched, Children2Reply), SYNC: (OfPath, OfPath),
-    CHECK: (Check, None), PING: (None, None), AUTH: (Auth, None), SET_WATCHES: (SetWatches, None),
-    SET_WATCHES2: (SetWatches2, None), ADD_WATCH: (AddWatch, ErrorReply), REMOVE_WATCHES: (RemoveWatches, None),
-    MULTI: (Multi, MultiReply), CLOSE: (None, None)}
+    CREATE: (Create, Created),
+    CREATE2: (Create, Created2),
+    CREATE_CONTAINER: (Create, Created2),
+    CREATE_TTL: (CreateTtl, Created2),
+    DELETE: (Delete, None),
+    EXISTS: (Watched, StatReply),
+    GET_DATA: (Watched, DataReply),
+    SET_DATA: (SetData, StatReply),
+    GET_ACL: (OfPath, AclReply),
+    SET_ACL: (SetAcl, StatReply),
+    GET_CHILDREN: (Watched, ChildrenReply),
+    GET_CHILDREN2: (Watched, Children2Reply),
+    SYNC: (OfPath, OfPath),
+    CHECK: (Check, None),
+    PING: (None, None),
+    AUTH: (Auth, None),
+    SET_WATCHES: (SetWatches, None),
+    SET_WATCHES2: (SetWatches2, None),
+    ADD_WATCH: (AddWatch, ErrorReply),
+    REMOVE_WATCHES: (RemoveWatches, None),
+    MULTI: (Multi, MultiReply),
+    CLOSE: (None, None),
+}
 IN_MULTI = (CREATE, CREATE2, DELETE, SET_DATA, CHECK)
-OPS_MOST = 1_000          # operations of one multi
+OPS_MOST = 1_000  # operations of one multi
 END = MultiHead(-1, True, -1)
 
 
@@ -258,7 +325,7 @@
         write(writer, MultiHead, END)
     elif isinstance(body, MultiReply):
         for op, one, err in body.results:
-            if err or op == ERROR:           # those before a failed one are errors of code 0
+            if err or op == ERROR:  # those before a failed one are errors of code 0
                 write(writer, MultiHead, MultiHead(ERROR, False, err))
                 write(writer, ErrorReply, ErrorReply(err))
             else:
@@ -305,5 +372,9 @@
 
 
 Body = Union[NamedTuple, None]
-__all__ = [name for name in dir() if not name.startswith("_") and name not in ("annotations", "Any", "NamedTuple", "Optional",
-                                                                              "Union", "Code")]
+__all__ = [
+    name
+    for name in dir()
+    if not name.startswith("_")
+    and name not in ("annotations", "Any", "NamedTuple", "Optional", "Union", "Code")
+]
--- a/cedarshift/codec/zookeeper/session.py
+++ b/cedarshift/codec/zookeeper/session.py
@@ -7,6 +7,7 @@
 Answers come in the order of the requests, so an answer whose xid is not the next one awaited ends the connection, as does a
 zxid that runs back, and a watch event for a path that was never watched here.
 """
+
 from __future__ import annotations
 
 from collections import deque
@@ -18,7 +19,7 @@
 
 NEW, GREETING, ASKED, OPEN, EXPIRED, ENDED = "new", "greeting", "asked", "open", "expired", "ended"
 XID_MOST = (1 << 31) - 1
-PENDING_MOST = 10_000     # requests without an answer on one connection
+PENDING_MOST = 10_000  # requests without an answer on one connection
 
 # Which events may come for a watch set by which operation.
 WATCHING = {r.EXISTS: "exists", r.GET_DATA: "data", r.GET_CHILDREN: "children", r.GET_CHILDREN2: "children"}
@@ -26,6 +27,7 @@
 
 class Reply(NamedTuple):
     """An answer; `body` is None for an error."""
+
     xid: int
     op: int
     zxid: int
@@ -35,6 +37,7 @@
 
 class Request(NamedTuple):
     """What a client asks. `problem`: an error code to answer with in place of serving it."""
+
     xid: int
     op: int
     body: Any
@@ -44,8 +47,15 @@
 class ClientSession:
     """`session` and `password`: of a session to go on with. `last_zxid`: the newest seen, so that an older server refuses."""
 
-    def __init__(self, timeout_ms: int, session: int = 0, password: bytes = b"\0" * 16, last_zxid: int = 0,
-                 read_only: bool = False, frame_most: int = FRAME_MOST) -> None:
+    def __init__(
+        self,
+        timeout_ms: int,
+        session: int = 0,
+        password: bytes = b"\0" * 16,
+        last_zxid: int = 0,
+        read_only: bool = False,
+        frame_most: int = FRAME_MOST,
+    ) -> None:
         self.state = NEW
         self.timeout_ms = timeout_ms
         self.session = session
@@ -58,13 +68,17 @@
         self.pending: deque[tuple[int, int, Any]] = deque()
         self.pings = 0
         self.watched: set[str] = set()
-        self.trees: set[str] = set()         # watched with all that lies below
+        self.trees: set[str] = set()  # watched with all that lies below
 
     def hello(self) -> bytes:
         assert self.state == NEW
         self.state = GREETING
         writer = Writer()
-        write(writer, r.ConnectRequest, r.ConnectRequest(0, self.last_zxid, self.timeout_ms, self.session, self.password))
+        write(
+            writer,
+            r.ConnectRequest,
+            r.ConnectRequest(0, self.last_zxid, self.timeout_ms, self.session, self.password),
+        )
         writer.flag(self.read_only)
         return framed(writer.done())
 
@@ -121,7 +135,7 @@
 
     def _greeted(self, reader: Reader) -> r.ConnectResponse:
         got = read(reader, r.ConnectResponse)
-        if reader.left():                    # servers before 3.4 do not send it
+        if reader.left():  # servers before 3.4 do not send it
             self.served_read_only = reader.flag()
         reader.end()
         if got.session == 0 or got.timeout <= 0:
@@ -161,8 +175,13 @@
     def _event(self, reader: Reader) -> r.WatchEvent:
         event = read(reader, r.WatchEvent)
         reader.end()
-        if event.kind != r.NO_EVENT and event.path not in self.watched and not any(
-                event.path == top or event.path.startswith(top.rstrip("/") + "/") for top in self.trees):
+        if (
+            event.kind != r.NO_EVENT
+            and event.path not in self.watched
+            and not any(
+                event.path == top or event.path.startswith(top.rstrip("/") + "/") for top in self.trees
+            )
+        ):
             raise Broken(f"a watch event for {event.path!r}, which was never watched here")
         return event
 
@@ -210,7 +229,9 @@
         assert self.state == ASKED
         self.state = OPEN if session else EXPIRED
         writer = Writer()
-        write(writer, r.ConnectResponse, r.ConnectResponse(0, timeout_ms if session else 0, session, password))
+        write(
+            writer, r.ConnectResponse, r.ConnectResponse(0, timeout_ms if session else 0, session, password)
+        )
         writer.flag(read_only)
         return framed(writer.done())
 
--- a/cedarshift/deployment/__init__.py
+++ b/cedarshift/deployment/__init__.py
@@ -2,18 +2,39 @@
 
 Names are looked up when first used: the readers' libraries stay out of a program that reads no such file.
 """
+
 from __future__ import annotations
 
 from importlib import import_module
 from typing import TYPE_CHECKING, Any
 
 if TYPE_CHECKING:
-    from cedarshift.deployment.deployment import (Channel, Deployment, Guarantees, ListSource, PilotPlace, ProxyTerms,
-                                                  ServedOp, StorePlace, load)
+    from cedarshift.deployment.deployment import (
+        Channel,
+        Deployment,
+        Guarantees,
+        ListSource,
+        PilotPlace,
+        ProxyTerms,
+        ServedOp,
+        StorePlace,
+        load,
+    )
     from cedarshift.deployment.refused import FileRefused, Problem
 
-__all__ = ["Channel", "Deployment", "FileRefused", "Guarantees", "ListSource", "PilotPlace", "Problem", "ProxyTerms",
-           "ServedOp", "StorePlace", "load"]
+__all__ = [
+    "Channel",
+    "Deployment",
+    "FileRefused",
+    "Guarantees",
+    "ListSource",
+    "PilotPlace",
+    "Problem",
+    "ProxyTerms",
+    "ServedOp",
+    "StorePlace",
+    "load",
+]
 
 
 def __getattr__(name: str) -> Any:
--- a/cedarshift/deployment/hcl.py
+++ b/cedarshift/deployment/hcl.py
@@ -2,6 +2,7 @@
 
 Parsed by python-hcl2; its parse tree is read rather than its dicts, since only the tree knows the lines.
 """
+
 from __future__ import annotations
 
 import re
@@ -45,17 +46,24 @@
         got = SPAN.match(raw) if isinstance(raw, str) else None
         us = round(float(got[1]) * UNITS[got[2]]) if got else -1
         return (us, "") if got and least <= us <= most else (None, allowed)
+
     return check
 
 
 def whole(least: int = 0, most: int = 1 << 31) -> Check:
-    return lambda raw: ((raw, "") if type(raw) is int and least <= raw <= most
-                        else (None, f"a whole number from {least} to {most}"))
+    return lambda raw: (
+        (raw, "")
+        if type(raw) is int and least <= raw <= most
+        else (None, f"a whole number from {least} to {most}")
+    )
 
 
 def number(least: float = 0.0, most: float = 1e12) -> Check:
-    return lambda raw: ((float(raw), "") if type(raw) in (int, float) and least <= raw <= most
-                        else (None, f"a number from {least:g} to {most:g}"))
+    return lambda raw: (
+        (float(raw), "")
+        if type(raw) in (int, float) and least <= raw <= most
+        else (None, f"a number from {least:g} to {most:g}")
+    )
 
 
 def flag(raw: Any) -> tuple[Any, str]:
@@ -76,7 +84,7 @@
 
 
 def address(raw: Any) -> tuple[Any, str]:
-    """"host:port" as a pair."""
+    """ "host:port" as a pair."""
     got = re.match(r"^([A-Za-z0-9.\-]+):(\d{1,5})$", raw) if isinstance(raw, str) else None
     fits = got and int(got[2]) <= 65_535
     return ((got[1], int(got[2])), "") if got and fits else (None, 'an address such as "127.0.0.1:7100"')
@@ -89,12 +97,13 @@
     return (found, "") if fits else (None, 'a list of different addresses such as ["127.0.0.1:2181"]')
 
 
-MUST = object()           # an attribute without a default
+MUST = object()  # an attribute without a default
 
 
 @dataclass
 class Shape:
     """What may stand in a body. `attributes`: name -> (check, default); `blocks`: kind -> (shape, labels, least, most)."""
+
     attributes: dict[str, tuple[Check, Any]]
     blocks: dict[str, tuple[Shape, int, int, int]] = field(default_factory=dict)
 
@@ -102,6 +111,7 @@
 @dataclass
 class Checked:
     """A body that has been checked: values by name with their lines, blocks by kind."""
+
     labels: list[str]
     line: int
     values: dict[str, Any]
@@ -114,6 +124,7 @@
 
 # ---- reading
 
+
 def parse(source: str, name: str) -> Block:
     """The file as a block without labels. Raises FileRefused with the place of a syntax error."""
     try:
@@ -139,7 +150,9 @@
 
 
 def _block(block: lark.Tree, file: str) -> Block:
-    names = [_name(c) for c in block.children if isinstance(c, lark.Tree) and c.data in ("identifier", "string")]
+    names = [
+        _name(c) for c in block.children if isinstance(c, lark.Tree) and c.data in ("identifier", "string")
+    ]
     made = Block(names[0], names[1:], block.meta.line)
     _body(next(c for c in block.children if isinstance(c, lark.Tree) and c.data == "body"), made, file)
     return made
@@ -152,9 +165,14 @@
 def _value(node: Any, file: str) -> Any:
     """A literal. Raises FileRefused on expressions: a deployment file states, it does not compute."""
     kind = node.data
-    inner: list[Any] = [c for c in node.children if isinstance(c, lark.Tree) and c.data != "new_line_or_comment"]
-    if kind == "expr_term" and len(inner) == 1 and len(node.children) == len(
-            [c for c in node.children if isinstance(c, lark.Tree)]):
+    inner: list[Any] = [
+        c for c in node.children if isinstance(c, lark.Tree) and c.data != "new_line_or_comment"
+    ]
+    if (
+        kind == "expr_term"
+        and len(inner) == 1
+        and len(node.children) == len([c for c in node.children if isinstance(c, lark.Tree)])
+    ):
         return _value(inner[0], file)
     if kind == "int_lit":
         return int(node.children[0])
@@ -164,8 +182,10 @@
         return -_value(inner[0], file)
     if kind == "literal_value":
         return {"true": True, "false": False}.get(str(node.children[0]))
-    if kind == "string" and all(part.data == "string_part" and part.children[0].type in (
-            "STRING_CHARS", "ESCAPED_INTERPOLATION") for part in inner):
+    if kind == "string" and all(
+        part.data == "string_part" and part.children[0].type in ("STRING_CHARS", "ESCAPED_INTERPOLATION")
+        for part in inner
+    ):
         return "".join(str(part.children[0]) for part in inner).replace('\\"', '"').replace("\\\\", "\\")
     if kind == "tuple":
         return [_value(c, file) for c in inner]
@@ -174,14 +194,21 @@
 
 # ---- checking
 
+
 def check(block: Block, shape: Shape, file: str, problems: list[Problem], where: str = "") -> Checked:
     """Holds a body against a shape; what is wrong is appended to `problems`, with defaults in its place."""
     made = Checked(block.labels, block.line, {}, {}, {})
     problems += block.twice
     for name, given in block.attributes.items():
         if name not in shape.attributes:
-            problems.append(Problem(file, given.line, f"{name} is unknown{where}; known: "
-                                                    f"{', '.join(sorted(shape.attributes)) or 'no attributes'}"))
+            problems.append(
+                Problem(
+                    file,
+                    given.line,
+                    f"{name} is unknown{where}; known: "
+                    f"{', '.join(sorted(shape.attributes)) or 'no attributes'}",
+                )
+            )
     for name, (test, default) in shape.attributes.items():
         raw = block.attributes.get(name)
         made.lines[name] = raw.line if raw else block.line
@@ -189,7 +216,9 @@
         if raw is not None:
             value, allowed = test(raw.value)
             if allowed:
-                problems.append(Problem(file, raw.line, f"{name} = {_shown(raw.value)}{where}: {allowed} is allowed"))
+                problems.append(
+                    Problem(file, raw.line, f"{name} = {_shown(raw.value)}{where}: {allowed} is allowed")
+                )
             else:
                 made.values[name] = value
         elif default is MUST:
@@ -198,23 +227,36 @@
     return made
 
 
-def _check_blocks(block: Block, shape: Shape, file: str, problems: list[Problem], where: str, made: Checked) -> None:
+def _check_blocks(
+    block: Block, shape: Shape, file: str, problems: list[Problem], where: str, made: Checked
+) -> None:
     for inner in block.blocks:
         if inner.kind not in shape.blocks:
-            problems.append(Problem(file, inner.line, f"block {inner.kind} is unknown{where}; known: "
-                                                      f"{', '.join(sorted(shape.blocks)) or 'no blocks'}"))
+            problems.append(
+                Problem(
+                    file,
+                    inner.line,
+                    f"block {inner.kind} is unknown{where}; known: "
+                    f"{', '.join(sorted(shape.blocks)) or 'no blocks'}",
+                )
+            )
             continue
         below, labels, _, _ = shape.blocks[inner.kind]
         if len(inner.labels) != labels:
-            problems.append(Problem(file, inner.line, f"block {inner.kind} has {len(inner.labels)} names, "
-                                                      f"{labels} wanted"))
+            problems.append(
+                Problem(
+                    file, inner.line, f"block {inner.kind} has {len(inner.labels)} names, {labels} wanted"
+                )
+            )
             continue
         place = " in " + " ".join([inner.kind] + [f'"{label}"' for label in inner.labels])
         made.blocks.setdefault(inner.kind, []).append(check(inner, below, file, problems, place))
     for kind, (_, labels, least, most) in shape.blocks.items():
         got = made.blocks.setdefault(kind, [])
         if not least <= len(got) <= most and sum(b.kind == kind for b in block.blocks) == len(got):
-            problems.append(Problem(file, block.line, f"{len(got)} blocks {kind}{where}, {least} to {most} wanted"))
+            problems.append(
+                Problem(file, block.line, f"{len(got)} blocks {kind}{where}, {least} to {most} wanted")
+            )
         names = [tuple(one.labels) for one in got]
         for one in got:
             if labels and names.count(tuple(one.labels)) > 1:
@@ -222,8 +264,25 @@
 
 
 def _shown(value: Union[str, Any]) -> str:
-    shown = f'"{value}"' if isinstance(value, str) else str(value).lower() if isinstance(value, bool) else str(value)
+    shown = (
+        f'"{value}"'
+        if isinstance(value, str)
+        else str(value).lower()
+        if isinstance(value, bool)
+        else str(value)
+    )
     return shown if len(shown) <= 60 else shown[:57] + "..."
 
 
-__all__ = ["Block", "Check", "Checked", "FileRefused", "MUST", "Optional", "Problem", "Shape", "check", "parse"]
+__all__ = [
+    "Block",
+    "Check",
+    "Checked",
+    "FileRefused",
+    "MUST",
+    "Optional",
+    "Problem",
+    "Shape",
+    "check",
+    "parse",
+]
--- a/cedarshift/deployment/refused.py
+++ b/cedarshift/deployment/refused.py
@@ -1,4 +1,5 @@
 """What is wrong with a file, and where: apart from the readers, so that telling of it needs none of their libraries."""
+
 from __future__ import annotations
 
 from typing import NamedTuple
--- a/cedarshift/deployment/render.py
+++ b/cedarshift/deployment/render.py
@@ -1,11 +1,23 @@
 """A deployment as the text of a deployment file: what `load` reads back as the same."""
+
 from __future__ import annotations
 
 import dataclasses
 from typing import Any
 
-from cedarshift.deployment.deployment import (BUDGET, CHANNEL, LIST, OP_TYPE, PILOT, PROXY, RULES, STORE, Deployment, LearnTerms,
-                                              ListSource)
+from cedarshift.deployment.deployment import (
+    BUDGET,
+    CHANNEL,
+    LIST,
+    OP_TYPE,
+    PILOT,
+    PROXY,
+    RULES,
+    STORE,
+    Deployment,
+    LearnTerms,
+    ListSource,
+)
 from cedarshift.deployment.hcl import Shape
 
 
@@ -23,21 +35,36 @@
     if d.store is not None:
         out += _block("store", STORE, d.store)
     out += _roster(d.listed) if d.listed.nodes is not None else _block("list", LIST, d.listed)
-    for kind, shape, body in (("channel", CHANNEL, d.channel), ("proxy", PROXY, d.proxy),
-                              ("rules", RULES, d.rules)):
+    for kind, shape, body in (
+        ("channel", CHANNEL, d.channel),
+        ("proxy", PROXY, d.proxy),
+        ("rules", RULES, d.rules),
+    ):
         out += _block(kind, shape, body)
     if d.membership is not None:
         out += ["  membership {", f'    period = "{d.membership.period}us"', "  }"]
     if d.budgets is not None:
         b = d.budgets
-        out += ["  budgets {", f'    lease = "{b.lease}us"', f'    proxy_lease = "{b.proxy_lease}us"', f"    clock_drift = {b.clock_drift!r}",
-                f"    claim_cold = {_literal(b.claim_cold)}"]
+        out += [
+            "  budgets {",
+            f'    lease = "{b.lease}us"',
+            f'    proxy_lease = "{b.proxy_lease}us"',
+            f"    clock_drift = {b.clock_drift!r}",
+            f"    claim_cold = {_literal(b.claim_cold)}",
+        ]
         for name, plan in b.named.items():
             rows = _block(f'budget "{name}"', BUDGET, plan)
             out += ["  " + row for row in rows if not row.endswith((" = 0", " = 0.0", '"0us"'))]
         out.append("  }")
     if d.overload is not None:
-        out += ["  overload {", *(f'    op "{name}" {{\n      cost = {cost!r}\n    }}' for name, cost in d.overload.costs.items()), "  }"]
+        out += [
+            "  overload {",
+            *(
+                f'    op "{name}" {{\n      cost = {cost!r}\n    }}'
+                for name, cost in d.overload.costs.items()
+            ),
+            "  }",
+        ]
     if d.learn is not None:
         out += _learn(d.learn)
     return "\n".join(out + ["}", ""])
@@ -47,17 +74,32 @@
     nodes = listed.nodes
     assert nodes is not None
     servers = ", ".join(_literal(address) for address in nodes.servers)
-    rows = [f"    servers = [{servers}]", f'    session_timeout = "{nodes.session_timeout}us"', f'    hold = "{nodes.hold}us"',
-            f"    gone_binds = {_literal(listed.gone_binds)}"]
-    more = {"path": nodes.path, "format": nodes.format, "port_name": nodes.port_name, "watch": nodes.watch,
-            "read_only": nodes.read_only, "auth": nodes.auth_file, "saved": listed.saved}
+    rows = [
+        f"    servers = [{servers}]",
+        f'    session_timeout = "{nodes.session_timeout}us"',
+        f'    hold = "{nodes.hold}us"',
+        f"    gone_binds = {_literal(listed.gone_binds)}",
+    ]
+    more = {
+        "path": nodes.path,
+        "format": nodes.format,
+        "port_name": nodes.port_name,
+        "watch": nodes.watch,
+        "read_only": nodes.read_only,
+        "auth": nodes.auth_file,
+        "saved": listed.saved,
+    }
     rows += [f"    {name} = {_literal(value)}" for name, value in more.items() if value != ""]
     return ['  roster "zookeeper" {', *rows, "  }"]
 
 
 def _learn(learn: LearnTerms) -> list[str]:
-    rows = [f"    from = {_literal(learn.sources)}", f'    for = "{learn.span}us"', f"    lend_share = {learn.lend_share!r}",
-            f"    compress = {_literal(learn.compress)}"]
+    rows = [
+        f"    from = {_literal(learn.sources)}",
+        f'    for = "{learn.span}us"',
+        f"    lend_share = {learn.lend_share!r}",
+        f"    compress = {_literal(learn.compress)}",
+    ]
     rows += [f'    {name} = "{getattr(learn, name)}us"' for name in ("again", "patience", "answer_within")]
     return ["  learn {", *rows, "  }"]
 
--- a/cedarshift/gossip/member.py
+++ b/cedarshift/gossip/member.py
@@ -4,6 +4,7 @@
 stays another one is asked for everything by a stream. What a datagram is about its receiver (a verdict, a report, a newer life)
 always rides along: so that it can answer.
 """
+
 from __future__ import annotations
 
 import math
@@ -19,30 +20,36 @@
 Address = tuple[str, int]
 
 # Constants: unit, then the reason for the size.
-TOLD_LEAST = 6            # times that a record is told on in the smallest fleet, with some lost
-TOLD_MORE = 0.5           # times log2 of the members more: an epidemic needs few where each tells six others
-LOOKS = 4                 # times a period that the roll is looked at, at most, where nothing is due sooner
-VOUCH_PART = 2.5          # periods that an answered probe is good for a voucher: a slow one answers late, and a report takes three
-VOUCH_AGAIN = VOUCHER_FOR / 3   # periods after which a voucher is given anew while reports stand
-UNLIKE_FOR = 3.0          # periods that a peer's digest may differ from one's own before everything is exchanged
-EXCHANGE_EVERY = 2.0      # periods between two exchanges begun by one member
-EXCHANGE_WITHIN = 1.0     # periods that one may take
-ANSWER_PUT_OFF = 32       # periods at most that a member which is called dead time and again waits before it answers
-ANSWERS_KEPT = 60.0       # periods over which its answers count
-SEND_CAP = 12             # datagrams a subject and period, over all reasons: a bound, several times what is usual
-WINDOW = 64               # newest numbers of a sender by which a datagram that comes again is told
-LEAVING_TOLD = 12         # members that hear of a leaving at once
-BODY_ROOM = g.DATAGRAM_MOST - g.HEAD.size - 150   # bytes for records, besides names and numbers of the body itself
+TOLD_LEAST = 6  # times that a record is told on in the smallest fleet, with some lost
+TOLD_MORE = 0.5  # times log2 of the members more: an epidemic needs few where each tells six others
+LOOKS = 4  # times a period that the roll is looked at, at most, where nothing is due sooner
+VOUCH_PART = 2.5  # periods that an answered probe is good for a voucher: a slow one answers late, and a report takes three
+VOUCH_AGAIN = VOUCHER_FOR / 3  # periods after which a voucher is given anew while reports stand
+UNLIKE_FOR = 3.0  # periods that a peer's digest may differ from one's own before everything is exchanged
+EXCHANGE_EVERY = 2.0  # periods between two exchanges begun by one member
+EXCHANGE_WITHIN = 1.0  # periods that one may take
+ANSWER_PUT_OFF = (
+    32  # periods at most that a member which is called dead time and again waits before it answers
+)
+ANSWERS_KEPT = 60.0  # periods over which its answers count
+SEND_CAP = 12  # datagrams a subject and period, over all reasons: a bound, several times what is usual
+WINDOW = 64  # newest numbers of a sender by which a datagram that comes again is told
+LEAVING_TOLD = 12  # members that hear of a leaving at once
+BODY_ROOM = (
+    g.DATAGRAM_MOST - g.HEAD.size - 150
+)  # bytes for records, besides names and numbers of the body itself
 
 
 class Routes(NamedTuple):
     """Where a member may be reached: as configured, and where its newest datagram came from."""
+
     configured: Optional[Address]
     seen: Optional[Address]
 
 
 class Wish(NamedTuple):
     """A stream to be opened to `address`; `data` is the first frame, sealed. Its answer goes to `hear_stream`."""
+
     name: str
     address: Address
     data: bytes
@@ -50,6 +57,7 @@
 
 class Help(NamedTuple):
     """A probe sent for another."""
+
     asker: Address
     nonce: int
     about: str
@@ -58,6 +66,7 @@
 
 class Rider(NamedTuple):
     """What a member tells beside the roll; `at`: when it held, by this one's clock."""
+
     start: int
     seq: int
     at: int
@@ -93,8 +102,17 @@
     """`addresses`: of all configured members by name, this one's among them; some may be wrong. `start` grows from one life
     of a name to the next. `on_change(change)` hears of each change of the roll."""
 
-    def __init__(self, me: str, addresses: dict[str, Address], seal: Seal, period: int, start: int, seed: int, now: int,
-                 on_change: Callable[[int, Change], None] = lambda now, change: None) -> None:
+    def __init__(
+        self,
+        me: str,
+        addresses: dict[str, Address],
+        seal: Seal,
+        period: int,
+        start: int,
+        seed: int,
+        now: int,
+        on_change: Callable[[int, Change], None] = lambda now, change: None,
+    ) -> None:
         self.me = me
         self.seal = seal
         self.period = period
@@ -103,36 +121,52 @@
         self.incarnation = 0
         self.on_change = on_change
         self.roll = Roll(me, addresses, period)
-        self.detector = Detector(period, self.chance, now + self.chance.draw(period), self._usable, self._vouchers)
+        self.detector = Detector(
+            period, self.chance, now + self.chance.draw(period), self._usable, self._vouchers
+        )
         self.routes = {name: Routes(address, None) for name, address in addresses.items()}
         self.windows: dict[str, Window] = {}
         self.out: list[tuple[Address, bytes]] = []
         self.wishes: list[Wish] = []
-        self.queue: OrderedDict[tuple, int] = OrderedDict()   # what is still to be told -> how often
+        self.queue: OrderedDict[tuple, int] = OrderedDict()  # what is still to be told -> how often
         self.told_times = TOLD_LEAST + math.ceil(TOLD_MORE * math.log2(len(addresses) + 1))
-        self.riders: dict[str, Rider] = {}   # the newest of each, this one's own among them
-        self.rider_queue: OrderedDict[str, int] = OrderedDict()   # others' that are still to be told on -> how often
+        self.riders: dict[str, Rider] = {}  # the newest of each, this one's own among them
+        self.rider_queue: OrderedDict[str, int] = (
+            OrderedDict()
+        )  # others' that are still to be told on -> how often
         self.seq = 0
         self.edge_seq = 0
         self.helping: dict[int, Help] = {}
-        self.unlike: dict[str, int] = {}     # peers whose digest is another one -> since when
+        self.unlike: dict[str, int] = {}  # peers whose digest is another one -> since when
         self.digest_since = now
         self.digest = 0
         self.exchanging_until = 0
         self.exchange_at = now
         self.reach_at = now
         self.look_at = now
-        self.vouch_at = 1 << 62              # when reports that stand are looked at again for what this one hears
-        self.answers: list[int] = []         # when verdicts on this member were answered
+        self.vouch_at = 1 << 62  # when reports that stand are looked at again for what this one hears
+        self.answers: list[int] = []  # when verdicts on this member were answered
         self.answer_at: Optional[int] = None
-        self.young = True                    # nobody has answered this life yet
+        self.young = True  # nobody has answered this life yet
         self.superseded = False
         self.left = False
         self.sent_at = now
         self.room = float(self._cap())
-        self.counts = {"datagrams_sent": 0, "datagrams_heard": 0, "bytes_sent": 0, "bytes_heard": 0, "capped": 0, "again": 0,
-                       "exchanges": 0, "answers": 0, "changes": 0, **{f"dropped_{why}": 0 for why in (
-                           "short", "long", "foreign", "version", "proof", "body", "unknown")}}
+        self.counts = {
+            "datagrams_sent": 0,
+            "datagrams_heard": 0,
+            "bytes_sent": 0,
+            "bytes_heard": 0,
+            "capped": 0,
+            "again": 0,
+            "exchanges": 0,
+            "answers": 0,
+            "changes": 0,
+            **{
+                f"dropped_{why}": 0
+                for why in ("short", "long", "foreign", "version", "proof", "body", "unknown")
+            },
+        }
         self._say_word()
         self._watch(now)
 
@@ -142,8 +176,11 @@
         """When `tick` is wanted next."""
         if self.superseded or self.left:
             return 1 << 62
-        times = [self.detector.due(), self.reach_at, max(self.look_at, 0 if self.roll.stale else min(
-            self.roll.look_at, self.vouch_at))]
+        times = [
+            self.detector.due(),
+            self.reach_at,
+            max(self.look_at, 0 if self.roll.stale else min(self.roll.look_at, self.vouch_at)),
+        ]
         if self.helping:
             times.append(min(h.sent for h in self.helping.values()) + int(NACK_PART * self.period))
         if self.answer_at is not None:
@@ -186,19 +223,27 @@
     def _watch(self, now: int) -> None:
         told = [name for name in self._usable() if self._told_silent(name)]
         self.detector.observe(now, [*self.roll.subjects(), *told])
-        for name in told:                    # out of view meanwhile or not: a silence that was told is lifted by who told it
+        for name in told:  # out of view meanwhile or not: a silence that was told is lifted by who told it
             self.detector.subjects[name].silent = True
 
     def _told_silent(self, name: str) -> bool:
         own, word = self.roll.edges.get(name, {}).get(self.me), self.roll.words.get(name)
-        return own is not None and word is not None and not own.hears and own[5:] == (word.start, word.incarnation)
+        return (
+            own is not None
+            and word is not None
+            and not own.hears
+            and own[5:] == (word.start, word.incarnation)
+        )
 
     def _usable(self) -> list[str]:
         return [name for name in self.roll.names if name != self.me and self.roll.usable(name)]
 
     def _vouchers(self, subject: str) -> list[str]:
-        return [observer for observer, edge in self.roll.edges.get(subject, {}).items()
-                if edge.hears and observer != self.me and self.roll.usable(observer)]
+        return [
+            observer
+            for observer, edge in self.roll.edges.get(subject, {}).items()
+            if edge.hears and observer != self.me and self.roll.usable(observer)
+        ]
 
     # ---- what is found
 
@@ -207,7 +252,9 @@
         if word is None:
             return
         self.edge_seq += 1
-        edge = Edge(self.start, self.edge_seq, found.at, self.incarnation, found.hears, word.start, word.incarnation)
+        edge = Edge(
+            self.start, self.edge_seq, found.at, self.incarnation, found.hears, word.start, word.incarnation
+        )
         if self.roll.merge_edge(now, self.me, found.subject, edge):
             self._queue(("e", self.me, found.subject))
 
@@ -215,7 +262,11 @@
         """For those whom others report and this one hears; whether anyone is reported."""
         reported = False
         for name, edges in list(self.roll.edges.items()):
-            if name == self.me or self.roll.states[name] == DEAD or all(edge.hears for edge in edges.values()):
+            if (
+                name == self.me
+                or self.roll.states[name] == DEAD
+                or all(edge.hears for edge in edges.values())
+            ):
                 continue
             reported = True
             heard = self.detector.heard_at(name)
@@ -223,7 +274,12 @@
             if heard is None or now - heard > VOUCH_PART * self.period:
                 continue
             word = self.roll.words.get(name)
-            fits = own is not None and word is not None and own[5:] == (word.start, word.incarnation) and own[3] == self.incarnation
+            fits = (
+                own is not None
+                and word is not None
+                and own[5:] == (word.start, word.incarnation)
+                and own[3] == self.incarnation
+            )
             if own is None or not fits or not own.hears or heard - own.at >= VOUCH_AGAIN * self.period:
                 self._report(now, Found(name, True, heard))
         return reported
@@ -237,7 +293,9 @@
         self.counts["answers"] += 1
         self.incarnation += 1
         self._say_word()
-        for subject, edges in list(self.roll.edges.items()):   # what it has found holds for this incarnation too
+        for subject, edges in list(
+            self.roll.edges.items()
+        ):  # what it has found holds for this incarnation too
             own = edges.get(self.me)
             if own is not None and not own.hears:
                 self._report(now, Found(subject, False, own.at))
@@ -257,13 +315,17 @@
         elif ask.how == "help":
             self._send(now, address, g.HELP, ask.to, ask.nonce, ask.about)
         else:
-            self.wishes.append(Wish(ask.to, address, self.seal.close(self._body(now, g.PING, ask.to, ask.nonce))))
+            self.wishes.append(
+                Wish(ask.to, address, self.seal.close(self._body(now, g.PING, ask.to, ask.nonce)))
+            )
 
     def _route(self, name: str, now: int) -> Optional[Address]:
         """As configured; where that brought no answer, in turn with where the member was last seen."""
         routes = self.routes[name]
         subject = self.detector.subjects.get(name)
-        doubted = self.roll.states[name] in (UNHEARD, DEAD) or (subject is not None and len(subject.missed) > 1)
+        doubted = self.roll.states[name] in (UNHEARD, DEAD) or (
+            subject is not None and len(subject.missed) > 1
+        )
         if routes.seen is not None and (routes.configured is None or (doubted and self.chance.draw(2))):
             return routes.seen
         return routes.configured
@@ -289,7 +351,7 @@
         room = BODY_ROOM - len(self.me) - len(about)
         chosen: dict[tuple, None] = {}
         subject = self.detector.subjects.get(to)
-        heard = subject is None or not subject.missed   # what may be lost in a cut is not told yet
+        heard = subject is None or not subject.missed  # what may be lost in a cut is not told yet
         for key in self._about(to):
             room -= self._size(key)
             chosen[key] = None
@@ -315,17 +377,22 @@
         """What this member tells from now on, in the place of what it told before."""
         assert len(payload) <= g.RIDER_MOST, len(payload)
         former = self.riders.get(self.me)
-        self.riders[self.me] = Rider(self.start, 1 if former is None or former.start != self.start else former.seq + 1, now, payload)
+        self.riders[self.me] = Rider(
+            self.start, 1 if former is None or former.start != self.start else former.seq + 1, now, payload
+        )
 
     def _ride(self, body: Body, room: int, now: int, names: list[str]) -> int:
         """Puts in what fits, each told on a bounded number of times but for one's own; the room that is left."""
         for name in names:
             rider = self.riders.get(name)
-            size = 0 if rider is None else len(name) + len(rider.payload) + 35   # at most, as msgpack
+            size = 0 if rider is None else len(name) + len(rider.payload) + 35  # at most, as msgpack
             if rider is None or size > room:
                 continue
             room -= size
-            body.riders = [*body.riders, RiderOf(name, rider.start, rider.seq, max(0, now - rider.at), rider.payload)]
+            body.riders = [
+                *body.riders,
+                RiderOf(name, rider.start, rider.seq, max(0, now - rider.at), rider.payload),
+            ]
             if name in self.rider_queue:
                 self.rider_queue[name] -= 1
                 self.rider_queue.move_to_end(name)
@@ -382,12 +449,23 @@
 
     @staticmethod
     def _edge_of(observer: str, subject: str, edge: Edge, now: int) -> EdgeOf:
-        return EdgeOf(observer, subject, edge.observer_start, edge.seq, max(0, now - edge.at), edge.observer_incarnation, edge.hears,
-                      edge.start, edge.incarnation)
+        return EdgeOf(
+            observer,
+            subject,
+            edge.observer_start,
+            edge.seq,
+            max(0, now - edge.at),
+            edge.observer_incarnation,
+            edge.hears,
+            edge.start,
+            edge.incarnation,
+        )
 
     def _reach_out(self, now: int) -> None:
         """To one a period of those that are not observed: dead ones may be back, unheard ones may have come."""
-        away = [name for name in self.roll.names if name != self.me and self.roll.states[name] in (DEAD, UNHEARD)]
+        away = [
+            name for name in self.roll.names if name != self.me and self.roll.states[name] in (DEAD, UNHEARD)
+        ]
         if away:
             name = self.chance.pick(away)
             address = self._route(name, now)
@@ -483,9 +561,16 @@
             self._take_word(now, said)
         for said_edge in body.edges:
             if said_edge.observer == self.me:
-                continue                     # what this member finds it says itself
-            edge = Edge(said_edge.observer_start, said_edge.seq, now - max(0, said_edge.age), said_edge.observer_incarnation,
-                        said_edge.hears, said_edge.start, said_edge.incarnation)
+                continue  # what this member finds it says itself
+            edge = Edge(
+                said_edge.observer_start,
+                said_edge.seq,
+                now - max(0, said_edge.age),
+                said_edge.observer_incarnation,
+                said_edge.hears,
+                said_edge.start,
+                said_edge.incarnation,
+            )
             if roll.merge_edge(now, said_edge.observer, said_edge.subject, edge):
                 self._queue(("e", said_edge.observer, said_edge.subject))
         for rider in body.riders:
@@ -494,8 +579,12 @@
             verdict = Verdict(one.start, one.incarnation, one.side)
             if roll.merge_verdict(one.name, verdict):
                 self._queue(("v", one.name))
-            elif one.name == self.me and (one.start, one.incarnation) == (self.start, self.incarnation) and self.me not in roll.doomed:
-                roll.doomed[self.me] = verdict   # a minority's: it is answered all the same
+            elif (
+                one.name == self.me
+                and (one.start, one.incarnation) == (self.start, self.incarnation)
+                and self.me not in roll.doomed
+            ):
+                roll.doomed[self.me] = verdict  # a minority's: it is answered all the same
                 roll.stale = True
 
     def _take_word(self, now: int, said: WordOf) -> None:
@@ -504,14 +593,16 @@
             self._take_own_word(word)
         elif self.roll.merge_word(said.name, word):
             self._queue(("w", said.name))
-            if said.name in self.detector.subjects:   # another life, or one that has answered: misses of before tell nothing
+            if (
+                said.name in self.detector.subjects
+            ):  # another life, or one that has answered: misses of before tell nothing
                 self.detector.subjects[said.name].missed.clear()
                 self.detector.subjects[said.name].silent = False
 
     def _take_own_word(self, word: Word) -> None:
         """Of another life of this name, or of this one as the others have it."""
         if word.start > self.start or (word.start == self.start and word.left and not self.left):
-            if self.young:                   # an older life had the later clock
+            if self.young:  # an older life had the later clock
                 self.start = word.start + 1
                 self._say_word()
             else:
@@ -555,8 +646,11 @@
         self.seq += 1
         body = Body(kind, self.me, self.start, self.incarnation, self.seq, 0, "", self._digest())
         body.words = [WordOf(name, *word) for name, word in self.roll.words.items()]
-        body.edges = [self._edge_of(observer, subject, edge, now) for subject, edges in self.roll.edges.items()
-                      for observer, edge in edges.items()]
+        body.edges = [
+            self._edge_of(observer, subject, edge, now)
+            for subject, edges in self.roll.edges.items()
+            for observer, edge in edges.items()
+        ]
         body.verdicts = [VerdictOf(name, *verdict) for name, verdict in self.roll.verdicts.items()]
         return self.seal.close(body)
 
@@ -569,7 +663,7 @@
         self.left = True
         self._say_word()
         some = self.chance.sample(self._usable(), LEAVING_TOLD)
-        for name in [*some, *some]:          # twice: a datagram may be lost
+        for name in [*some, *some]:  # twice: a datagram may be lost
             address = self.routes[name].configured or self.routes[name].seen
             if address is not None:
                 self._send(now, address, g.NOTE, name)
@@ -579,13 +673,32 @@
         rows = []
         for name in self.roll.names:
             standing = self.roll.standing(name)
-            state, start, incarnation = self.roll.view()[name] if len(self.roll.names) <= 64 else (
-                self.roll.states[name], *self.roll._life(name))
-            rows.append({"name": name, "state": state, "start": start, "incarnation": incarnation,
-                         "since_s": (now - self.roll.changed_at[name]) / 1e6 if name in self.roll.changed_at else None,
-                         "silent_to": sorted(o for o, e in standing.items() if not e.hears),
-                         "heard_by": sorted(o for o, e in standing.items() if e.hears)})
-        return {"me": self.me, "period_s": self.period / 1e6, "health": self.detector.health, "side": self.roll.side(),
-                "configured": len(self.roll.names), "superseded": self.superseded, "members": rows, "counts": dict(self.counts),
-                "detector": dict(self.detector.counts)}
-
+            state, start, incarnation = (
+                self.roll.view()[name]
+                if len(self.roll.names) <= 64
+                else (self.roll.states[name], *self.roll._life(name))
+            )
+            rows.append(
+                {
+                    "name": name,
+                    "state": state,
+                    "start": start,
+                    "incarnation": incarnation,
+                    "since_s": (now - self.roll.changed_at[name]) / 1e6
+                    if name in self.roll.changed_at
+                    else None,
+                    "silent_to": sorted(o for o, e in standing.items() if not e.hears),
+                    "heard_by": sorted(o for o, e in standing.items() if e.hears),
+                }
+            )
+        return {
+            "me": self.me,
+            "period_s": self.period / 1e6,
+            "health": self.detector.health,
+            "side": self.roll.side(),
+            "configured": len(self.roll.names),
+            "superseded": self.superseded,
+            "members": rows,
+            "counts": dict(self.counts),
+            "detector": dict(self.detector.counts),
+        }
--- a/cedarshift/gossip/service.py
+++ b/cedarshift/gossip/service.py
@@ -3,6 +3,7 @@
 One port for datagrams and one listener for streams, at the same address. A stream carries one question and one answer; who says
 nothing sealed within a moment is sent away, and there is never room for many.
 """
+
 from __future__ import annotations
 
 from typing import Any, Callable, NamedTuple, Optional
@@ -15,16 +16,19 @@
 from cedarshift.loop.core import Coroutine, Waker
 
 # Constants: unit, then the reason for the size.
-STREAMS_MOST = 64         # taken at a time; a member asks few others, and rarely
+STREAMS_MOST = 64  # taken at a time; a member asks few others, and rarely
 FIRST_WITHIN = 1_000_000  # us for a whole question
-STREAMS_OPEN = 16         # opened at a time
-HEARD_A_SPAN = 4_000      # datagrams a second that are looked at: a fleet of thousands sends a member some dozens a period
-SPAN = 1_000_000          # us
+STREAMS_OPEN = 16  # opened at a time
+HEARD_A_SPAN = (
+    4_000  # datagrams a second that are looked at: a fleet of thousands sends a member some dozens a period
+)
+SPAN = 1_000_000  # us
 REPORT_EVERY = 10_000_000  # us between two log lines about what was dropped
 
 
 class MembershipTerms(NamedTuple):
     """`period` in us; `addresses` of all pilots by name."""
+
     period: int
     addresses: dict[str, Address]
 
@@ -32,9 +36,19 @@
 class Membership:
     """`start` grows from one life of the name to the next, `seed` draws. `told(change)` hears of each change."""
 
-    def __init__(self, loop: Loop, terms: MembershipTerms, name: str, deployment: str, secret: bytes, start: int, seed: int,
-                 report: Callable[..., None], listen_at: Optional[Address] = None,
-                 told: Callable[[Change], None] = lambda change: None) -> None:
+    def __init__(
+        self,
+        loop: Loop,
+        terms: MembershipTerms,
+        name: str,
+        deployment: str,
+        secret: bytes,
+        start: int,
+        seed: int,
+        report: Callable[..., None],
+        listen_at: Optional[Address] = None,
+        told: Callable[[Change], None] = lambda change: None,
+    ) -> None:
         self.loop = loop
         self.name = name
         self.report = report
@@ -42,8 +56,16 @@
         address = listen_at or terms.addresses[name]
         self.port = datagrams(loop, address, g.DATAGRAM_MOST)
         self.door = listen(loop, self.port.address, STREAMS_MOST, g.FRAME_MOST * 2)
-        self.member = Member(name, terms.addresses, Seal(deployment, secret), terms.period, start, seed, loop.now(),
-                             self._on_change)
+        self.member = Member(
+            name,
+            terms.addresses,
+            Seal(deployment, secret),
+            terms.period,
+            start,
+            seed,
+            loop.now(),
+            self._on_change,
+        )
         self.waker: Optional[Waker] = None
         self.open = 0
         self.span_at = loop.now()
@@ -51,8 +73,12 @@
         self.flooded = 0
         self.told_dropped = 0
         self.was_superseded = False
-        self.tasks = [loop.spawn(self._hear(), "gossip"), loop.spawn(self._tick(), "gossip timer"),
-                      loop.spawn(self._accept(), "gossip streams"), loop.spawn(self._tell_dropped(), "gossip drops")]
+        self.tasks = [
+            loop.spawn(self._hear(), "gossip"),
+            loop.spawn(self._tick(), "gossip timer"),
+            loop.spawn(self._accept(), "gossip streams"),
+            loop.spawn(self._tell_dropped(), "gossip drops"),
+        ]
 
     # ---- time and datagrams
 
@@ -113,7 +139,7 @@
             finally:
                 stream.close()
         except (StreamBroken, TimedOut, NotOurs):
-            pass                             # an answer that does not come is what the member counts on
+            pass  # an answer that does not come is what the member counts on
         finally:
             self.open -= 1
 
@@ -150,35 +176,60 @@
     # ---- for people, and for those who build on it
 
     def _on_change(self, now: int, change: Change) -> None:
-        self.report("member_changed", at_us=now, member=change.name, before=change.before, after=change.after, start=change.start,
-                    incarnation=change.incarnation, silent_to=list(change.reporters), heard_by=list(change.vouchers),
-                    side=change.side, configured=change.configured, agreed=change.agreed)
+        self.report(
+            "member_changed",
+            at_us=now,
+            member=change.name,
+            before=change.before,
+            after=change.after,
+            start=change.start,
+            incarnation=change.incarnation,
+            silent_to=list(change.reporters),
+            heard_by=list(change.vouchers),
+            side=change.side,
+            configured=change.configured,
+            agreed=change.agreed,
+        )
         self.told(change)
 
     def _tell_dropped(self) -> Coroutine:
         while True:
             yield from self.loop.sleep(REPORT_EVERY)
-            dropped = {name: count for name, count in self.member.counts.items() if name.startswith("dropped_") and count}
+            dropped = {
+                name: count
+                for name, count in self.member.counts.items()
+                if name.startswith("dropped_") and count
+            }
             total = sum(dropped.values()) + self.flooded + self.port.counts["too_long"]
             if total != self.told_dropped:
                 self.told_dropped = total
-                self.report("gossip_dropped", flooded=self.flooded, too_long=self.port.counts["too_long"], **dropped)
+                self.report(
+                    "gossip_dropped", flooded=self.flooded, too_long=self.port.counts["too_long"], **dropped
+                )
 
     def living(self) -> list[str]:
         """The others that may be asked for something, those that nobody reports first."""
         states = self.member.roll.states
         rank = {ALIVE: 0, SUSPECT: 1, CUT: 2}
-        return sorted((name for name, state in states.items() if state in rank and name != self.name),
-                      key=lambda name: (rank[states[name]], name))
+        return sorted(
+            (name for name, state in states.items() if state in rank and name != self.name),
+            key=lambda name: (rank[states[name]], name),
+        )
 
     def shown(self) -> dict[str, object]:
         return {**self.member.shown(self.loop.now()), "flooded": self.flooded, "port": dict(self.port.counts)}
 
     def gauges(self) -> dict[str, float]:
         counts = self.member.roll.counts()
-        return {**{f"pilots_{state}": float(counts.get(state, 0)) for state in ("alive", "suspect", "cut", "dead", "left", "unheard")},
-                "pilots_side": float(self.member.roll.side()), "pilots_health": float(self.member.detector.health),
-                **{f"gossip_{name}": float(count) for name, count in self.member.counts.items()}}
+        return {
+            **{
+                f"pilots_{state}": float(counts.get(state, 0))
+                for state in ("alive", "suspect", "cut", "dead", "left", "unheard")
+            },
+            "pilots_side": float(self.member.roll.side()),
+            "pilots_health": float(self.member.detector.health),
+            **{f"gossip_{name}": float(count) for name, count in self.member.counts.items()},
+        }
 
     def leave(self) -> None:
         """Says that it leaves; then nothing more."""
--- a/cedarshift/judge/admission.py
+++ b/cedarshift/judge/admission.py
@@ -3,10 +3,11 @@
 A token bucket (burst, rate) of which newcomers leave a part to those that were joined lately: their leases run. Who finds none is told
 when its turn is; turns are handed out one after another, so that those who were sent away do not come back together.
 """
+
 from __future__ import annotations
 
-KNOWN_PART = 0.25         # of the burst that newcomers leave alone
-AFTER_MOST = 5_000_000    # us; who is sent away for longer may as well ask again
+KNOWN_PART = 0.25  # of the burst that newcomers leave alone
+AFTER_MOST = 5_000_000  # us; who is sent away for longer may as well ask again
 SECOND = 1_000_000
 
 
@@ -19,7 +20,7 @@
         self.burst = burst
         self.level = burst
         self.at = now
-        self.turn_at = now                   # when the last one that was sent away is to be back
+        self.turn_at = now  # when the last one that was sent away is to be back
         self.sent_away = 0
 
     def ask(self, now: int, known: bool = False) -> int:
--- a/cedarshift/judge/budgets.py
+++ b/cedarshift/judge/budgets.py
@@ -12,6 +12,7 @@
 
 Fairness is weighted max-min on integers: Bertsekas and Gallager, Data Networks, section 6.5 (progressive filling).
 """
+
 from __future__ import annotations
 
 import heapq
@@ -20,15 +21,19 @@
 from typing import Callable, Iterable, Mapping, NamedTuple, Optional
 
 # Constants: unit, then the reason for the size.
-ASKS_A_LEASE = 4          # asks in a lease, so that three may be lost
-ASK_LEAST = 200_000       # us between two asks of one holder: a thousand proxies are heard by one pilot
-KEEP_PART = 0.04          # of a share; a target that differs by less moves nothing: it would be paid for by a shrink first
-WEIGHED_EACH_TIME = 64    # accounts; with more, targets are worked out now and then: a pilot hears each of a thousand proxies often
+ASKS_A_LEASE = 4  # asks in a lease, so that three may be lost
+ASK_LEAST = 200_000  # us between two asks of one holder: a thousand proxies are heard by one pilot
+KEEP_PART = (
+    0.04  # of a share; a target that differs by less moves nothing: it would be paid for by a shrink first
+)
+WEIGHED_EACH_TIME = 64  # accounts; with more, targets are worked out now and then: a pilot hears each of a thousand proxies often
 WEIGHED_A_LEASE = 16
-ROTATE = 8                # leases between two turns of those for whom there is one token too few
-LEFT_KEPT = 1_000         # lives that have left; their last words are seconds late at most
-OPEN_RIGHTS = 24          # of one life and budget that nobody has claimed; a holder that asks on without claiming gets no more
-FOREVER = 1 << 62         # us
+ROTATE = 8  # leases between two turns of those for whom there is one token too few
+LEFT_KEPT = 1_000  # lives that have left; their last words are seconds late at most
+OPEN_RIGHTS = (
+    24  # of one life and budget that nobody has claimed; a holder that asks on without claiming gets no more
+)
+FOREVER = 1 << 62  # us
 
 
 class Refusal(ValueError):
@@ -42,6 +47,7 @@
 class Budget(NamedTuple):
     """`whole` in parts. `floor`: parts that each configured holder has without asking. `within`: the budget that it draws on;
     among those that draw on one, a lower `priority` is filled first, equal ones by `weight`."""
+
     name: str
     whole: int
     floor: int = 0
@@ -53,16 +59,18 @@
 class Want(NamedTuple):
     """What a holder asks: parts that it could use; the newest number that it holds or, while more is bound below, a lower one,
     and how much of that stands; and the newest number that it ever took."""
+
     budget: str
     demand: int
     number: int = 0
     amount: int = 0
     newest: int = 0
-    weight: int = 1                          # how many spend below: a pilot of many proxies is more than one of few
+    weight: int = 1  # how many spend below: a pilot of many proxies is more than one of few
 
 
 class Share(NamedTuple):
     """`span` (us) counts from the asking."""
+
     budget: str
     number: int
     amount: int
@@ -71,6 +79,7 @@
 
 class Row(NamedTuple):
     """A right as it is kept durably before it is told."""
+
     budget: str
     holder: str
     life: int
@@ -81,16 +90,23 @@
 
 # ---- division
 
-def share_out(whole: int, wants: Mapping[str, int], weights: Optional[Mapping[str, int]] = None, turn: int = 0) -> dict[str, int]:
+
+def share_out(
+    whole: int, wants: Mapping[str, int], weights: Optional[Mapping[str, int]] = None, turn: int = 0
+) -> dict[str, int]:
     """Weighted max-min of `whole` among `wants`, in whole parts; the sum is the lesser of `whole` and of all wants.
 
     Single parts that are left over go by name, beginning anew with each `turn`; so the answer is the same everywhere."""
     weigh = weights or {}
     given = dict.fromkeys(wants, 0)
     left, weight = max(0, whole), sum(weigh.get(name, 1) for name, want in wants.items() if want > 0)
-    scale = math.lcm(*set(weigh.values()))   # whole numbers: a thousand fractions took half the time of a division
-    open_ones = sorted((name for name, want in wants.items() if want > 0),
-                       key=lambda n: (wants[n] * (scale // weigh.get(n, 1)), n))
+    scale = math.lcm(
+        *set(weigh.values())
+    )  # whole numbers: a thousand fractions took half the time of a division
+    open_ones = sorted(
+        (name for name, want in wants.items() if want > 0),
+        key=lambda n: (wants[n] * (scale // weigh.get(n, 1)), n),
+    )
     while open_ones and wants[open_ones[0]] * weight <= left * weigh.get(open_ones[0], 1):
         name = open_ones.pop(0)
         given[name] = wants[name]
@@ -147,20 +163,34 @@
         if budget.weight < 1:
             raise Refusal(budget.name, f"weight {budget.weight}, 1 at least")
         if budget.name in self.children and budget.floor:
-            raise Refusal(budget.name, f"floor has no meaning where others draw on it: {', '.join(self.children[budget.name])}")
+            raise Refusal(
+                budget.name,
+                f"floor has no meaning where others draw on it: {', '.join(self.children[budget.name])}",
+            )
         if self.floors[budget.name] > budget.whole:
-            raise Refusal(budget.name, f"floors of {self.holders} holders sum to {self.floors[budget.name]} parts, "
-                                       f"the whole is {budget.whole}")
+            raise Refusal(
+                budget.name,
+                f"floors of {self.holders} holders sum to {self.floors[budget.name]} parts, "
+                f"the whole is {budget.whole}",
+            )
         if budget.within and budget.whole > self.budgets[budget.within].whole:
-            raise Refusal(budget.name, f"its whole of {budget.whole} parts is over that of {budget.within!r}, "
-                                       f"{self.budgets[budget.within].whole}")
+            raise Refusal(
+                budget.name,
+                f"its whole of {budget.whole} parts is over that of {budget.within!r}, "
+                f"{self.budgets[budget.within].whole}",
+            )
 
     def leased(self, name: str) -> int:
         """What may be given beyond floors."""
         return self.budgets[name].whole - self.floors[name]
 
-    def targets(self, demands: Mapping[str, Mapping[str, int]], wholes: Mapping[str, int], turn: int = 0,
-                weights: Optional[Mapping[str, int]] = None) -> dict[str, dict[str, int]]:
+    def targets(
+        self,
+        demands: Mapping[str, Mapping[str, int]],
+        wholes: Mapping[str, int],
+        turn: int = 0,
+        weights: Optional[Mapping[str, int]] = None,
+    ) -> dict[str, dict[str, int]]:
         """Who should have what: by leaf, then holder. `demands`: the same, beyond floors. `wholes`: of the roots, beyond floors.
         `weights`: of holders."""
         found: dict[str, dict[str, int]] = {}
@@ -173,16 +203,27 @@
             return min(self.leased(name), sum(self._wanted(child, demands) for child in self.children[name]))
         return min(self.leased(name), sum(demands.get(name, {}).values()))
 
-    def _fill(self, name: str, given: int, demands: Mapping[str, Mapping[str, int]], turn: int, weights: Optional[Mapping[str, int]],
-              found: dict[str, dict[str, int]]) -> None:
+    def _fill(
+        self,
+        name: str,
+        given: int,
+        demands: Mapping[str, Mapping[str, int]],
+        turn: int,
+        weights: Optional[Mapping[str, int]],
+        found: dict[str, dict[str, int]],
+    ) -> None:
         if name not in self.children:
             found[name] = share_out(given, demands.get(name, {}), weights, turn)
             return
         left = given
         for priority in sorted({self.budgets[child].priority for child in self.children[name]}):
             tier = [child for child in self.children[name] if self.budgets[child].priority == priority]
-            parts = share_out(left, {child: self._wanted(child, demands) for child in tier},
-                              {child: self.budgets[child].weight for child in tier}, turn)
+            parts = share_out(
+                left,
+                {child: self._wanted(child, demands) for child in tier},
+                {child: self.budgets[child].weight for child in tier},
+                turn,
+            )
             for child, part in parts.items():
                 self._fill(child, part, demands, turn, weights, found)
             left -= sum(parts.values())
@@ -190,10 +231,11 @@
 
 # ---- giving
 
+
 class Right(NamedTuple):
     number: int
     amount: int
-    until: int                # by the giver's clock
+    until: int  # by the giver's clock
 
 
 class Account:
@@ -201,12 +243,12 @@
 
     def __init__(self, heard: int) -> None:
         self.rights: list[Right] = []
-        self.number = 0                      # the highest that is known
+        self.number = 0  # the highest that is known
         self.demand = 0
         self.weight = 1
         self.heard = heard
-        self.counted = 0                     # of it in the sum of its budget
-        self.kept: Optional[tuple[int, int]] = None   # amount and span as the durable row has them
+        self.counted = 0  # of it in the sum of its budget
+        self.kept: Optional[tuple[int, int]] = None  # amount and span as the durable row has them
 
     def in_force(self, now: int) -> int:
         return max((right.amount for right in self.rights if right.until > now), default=0)
@@ -214,33 +256,44 @@
 
 class Pool(NamedTuple):
     """What a giver has to give of a root now: `amount` until `until`, of which `lasting` has no end."""
+
     amount: int
     until: int
     lasting: int
 
 
-Key = tuple[str, str, int]                   # budget, holder, life
+Key = tuple[str, str, int]  # budget, holder, life
 
 
 class Giver:
     """`lease` in us; `era` names this life of the giver: what holders say under another one is not taken. `pool(now, root)`:
     where the whole is itself a right. `longest`: the longest span that a former life may have given."""
 
-    def __init__(self, plan: Plan, lease: int, era: int, now: int, rows: Iterable[Row] = (), longest: int = 0,
-                 pool: Optional[Callable[[int, str], Pool]] = None) -> None:
+    def __init__(
+        self,
+        plan: Plan,
+        lease: int,
+        era: int,
+        now: int,
+        rows: Iterable[Row] = (),
+        longest: int = 0,
+        pool: Optional[Callable[[int, str], Pool]] = None,
+    ) -> None:
         assert lease > 0, "a right without an end could never be divided anew"
         self.plan = plan
         self.lease = lease
         self.era = era
         self.pool = pool
         self.accounts: dict[Key, Account] = {}
-        self.sums = dict.fromkeys(plan.leaves, 0)   # parts in force
-        self.ends: list[tuple[int, Key]] = []       # when rights end
-        self.heard: dict[tuple[str, int], int] = {}   # the newest ask of each life: late and doubled ones are passed over
+        self.sums = dict.fromkeys(plan.leaves, 0)  # parts in force
+        self.ends: list[tuple[int, Key]] = []  # when rights end
+        self.heard: dict[
+            tuple[str, int], int
+        ] = {}  # the newest ask of each life: late and doubled ones are passed over
         self.left: deque[tuple[str, int]] = deque()
-        self.wished: dict[str, dict[str, int]] = {}   # targets, worked out at `wished_at`
+        self.wished: dict[str, dict[str, int]] = {}  # targets, worked out at `wished_at`
         self.wished_at = -FOREVER
-        self.doubts: dict[str, set[str]] = {}      # who holds whom for dead
+        self.doubts: dict[str, set[str]] = {}  # who holds whom for dead
         self.counts = {"asks": 0, "other_era": 0, "late": 0, "stray": 0, "grants": 0, "grown": 0, "shrunk": 0}
         kept = list(rows)
         self.quiet_until = now + max([lease, longest, *(row.span for row in kept)])
@@ -249,7 +302,9 @@
                 account = self.accounts.setdefault((row.budget, row.holder, row.life), Account(now))
                 account.number = max(account.number, row.number)
                 account.kept = (row.amount, row.span)
-                self._add(now, (row.budget, row.holder, row.life), Right(row.number, row.amount, now + row.span))
+                self._add(
+                    now, (row.budget, row.holder, row.life), Right(row.number, row.amount, now + row.span)
+                )
 
     # ---- what is in force
 
@@ -307,8 +362,16 @@
 
     # ---- asking
 
-    def ask(self, now: int, holder: str, life: int, era: int, number: int, wants: Iterable[Want],
-            doubted: Iterable[str] = ()) -> tuple[list[Share], list[Row]]:
+    def ask(
+        self,
+        now: int,
+        holder: str,
+        life: int,
+        era: int,
+        number: int,
+        wants: Iterable[Want],
+        doubted: Iterable[str] = (),
+    ) -> tuple[list[Share], list[Row]]:
         """What the holder gets, and the rows that must be kept before it is told. `number` grows from ask to ask of a life.
         Nothing for words of another era: the answer tells this one, and what is in force is presented anew."""
         self.counts["asks"] += 1
@@ -341,7 +404,7 @@
             self.accounts[key].rights.clear()
             self._recount(now, key)
             del self.accounts[key]
-        self.heard[holder, life] = FOREVER   # what it asked before and comes late brings nothing back
+        self.heard[holder, life] = FOREVER  # what it asked before and comes late brings nothing back
         self.left.append((holder, life))
         if len(self.left) > LEFT_KEPT:
             self.heard.pop(self.left.popleft(), None)
@@ -360,12 +423,15 @@
         account.number = max(account.number, want.number, want.newest)
         known = max((right.amount for right in account.rights if right.number == want.number), default=0)
         if want.amount > known:
-            if self.quiet(now):              # told by a former life of the giver: part of the whole then, so it may stand
+            if self.quiet(now):  # told by a former life of the giver: part of the whole then, so it may stand
                 self._add(now, key, Right(want.number, want.amount, now + self.lease))
             else:
                 self.counts["stray"] += 1
-        account.rights = [right for right in account.rights
-                          if right.number > want.number or right.number == want.number and want.amount]
+        account.rights = [
+            right
+            for right in account.rights
+            if right.number > want.number or right.number == want.number and want.amount
+        ]
         self._recount(now, key)
         return max((right.amount for right in account.rights if right.number == want.number), default=0)
 
@@ -398,7 +464,9 @@
         told = [name for one, names in self.doubts.items() if one in asking for name in names]
         return {name for name in set(told) if 2 * told.count(name) > len(asking)}
 
-    def _grant(self, now: int, key: Key, target: int, presented: int) -> tuple[Optional[Share], Optional[Row]]:
+    def _grant(
+        self, now: int, key: Key, target: int, presented: int
+    ) -> tuple[Optional[Share], Optional[Row]]:
         account = self.accounts[key]
         if len(account.rights) >= OPEN_RIGHTS:
             return None, None
@@ -433,36 +501,63 @@
         """For people: by budget the whole, what is set aside, what is given, and to whom."""
         found: list[dict[str, object]] = []
         for name, budget in self.plan.budgets.items():
-            holders = [{"holder": key[1], "life": key[2], "demand": account.demand + budget.floor, "given": account.in_force(now),
-                        "ends_in_us": max((right.until for right in account.rights), default=now) - now,
-                        "heard_us_ago": now - account.heard}
-                       for key, account in sorted(self.accounts.items()) if key[0] == name]
-            found.append({"budget": name, "whole": budget.whole, "within": budget.within, "priority": budget.priority,
-                          "floor": budget.floor, "floors": self.plan.floors[name], "given": self.in_force(now, name),
-                          "quiet_us": max(0, self.quiet_until - now), "holders": holders})
+            holders = [
+                {
+                    "holder": key[1],
+                    "life": key[2],
+                    "demand": account.demand + budget.floor,
+                    "given": account.in_force(now),
+                    "ends_in_us": max((right.until for right in account.rights), default=now) - now,
+                    "heard_us_ago": now - account.heard,
+                }
+                for key, account in sorted(self.accounts.items())
+                if key[0] == name
+            ]
+            found.append(
+                {
+                    "budget": name,
+                    "whole": budget.whole,
+                    "within": budget.within,
+                    "priority": budget.priority,
+                    "floor": budget.floor,
+                    "floors": self.plan.floors[name],
+                    "given": self.in_force(now, name),
+                    "quiet_us": max(0, self.quiet_until - now),
+                    "holders": holders,
+                }
+            )
         return found
 
 
 # ---- holding
 
+
 class Taken(NamedTuple):
     number: int
     amount: int
-    until: int                # by the holder's clock
+    until: int  # by the holder's clock
 
 
 class Holder:
     """One life's side. `drift`: how much faster one clock may run than another, as a part of 1; `bound(now, budget)`: parts that
     are still spent below, floor included, where the holder hands on; the shrink is said only when they are back."""
 
-    def __init__(self, floors: Mapping[str, int], life: int, drift: float, bound: Optional[Callable[[int, str], int]] = None) -> None:
+    def __init__(
+        self,
+        floors: Mapping[str, int],
+        life: int,
+        drift: float,
+        bound: Optional[Callable[[int, str], int]] = None,
+    ) -> None:
         self.floors = dict(floors)
         self.life = life
         self.drift = drift
         self.bound = bound
         self.era = 0
-        self.taken: dict[str, list[Taken]] = {name: [] for name in floors}   # newest last; older ones only while they bind
-        self.asked: dict[int, int] = {}      # ask's number -> when
+        self.taken: dict[str, list[Taken]] = {
+            name: [] for name in floors
+        }  # newest last; older ones only while they bind
+        self.asked: dict[int, int] = {}  # ask's number -> when
         self.drawn = 0
 
     def joined(self, era: int) -> None:
@@ -492,7 +587,9 @@
         self.drawn += 1
         self.asked[self.drawn] = now
         self.asked.pop(self.drawn - 64, None)
-        return self.drawn, [self._want(now, name, demands.get(name, 0))._replace(weight=weight) for name in self.floors]
+        return self.drawn, [
+            self._want(now, name, demands.get(name, 0))._replace(weight=weight) for name in self.floors
+        ]
 
     def _want(self, now: int, name: str, demand: int) -> Want:
         """Claims the newest right that covers what is bound below."""
@@ -503,7 +600,9 @@
         if not taken:
             return Want(name, demand)
         claimed = taken[0]
-        return Want(name, demand, claimed.number, claimed.amount if now < claimed.until else 0, taken[-1].number)
+        return Want(
+            name, demand, claimed.number, claimed.amount if now < claimed.until else 0, taken[-1].number
+        )
 
     def hear(self, now: int, number: int, era: int, shares: Iterable[Share]) -> bool:
         """An answer; False where it is none to what was asked, or of another era."""
@@ -528,6 +627,7 @@
 
 # ---- both at once
 
+
 class Hub:
     """A pilot: holder to the store, giver to its proxies. What it hands on ends no later than its own right, and a
     shrink is said above when what was handed on is back."""
@@ -535,7 +635,7 @@
     def __init__(self, plan: Plan, life: int, drift: float, lease: int, now: int) -> None:
         floors = {leaf: plan.budgets[leaf].floor for leaf in plan.leaves}
         below = Plan([Budget(leaf, plan.budgets[leaf].whole) for leaf in plan.leaves], 0)
-        self.in_hand: dict[str, int] = {}    # of budgets that are held: what this pilot has under way itself
+        self.in_hand: dict[str, int] = {}  # of budgets that are held: what this pilot has under way itself
         self.holder = Holder(floors, life, drift, self._bound)
         self.giver = Giver(below, lease, life, now, pool=self._pool)
 
--- a/cedarshift/judge/chance.py
+++ b/cedarshift/judge/chance.py
@@ -1,4 +1,5 @@
 """Chance for decisions: a linear congruential generator of which the high bits are used."""
+
 from __future__ import annotations
 
 from typing import Sequence, TypeVar
@@ -10,11 +11,11 @@
     """Knuth's MMIX constants; the same seed draws the same numbers everywhere."""
 
     def __init__(self, seed: int) -> None:
-        self.state = seed & (2 ** 64 - 1)
+        self.state = seed & (2**64 - 1)
 
     def draw(self, below: int) -> int:
         """A whole number from 0 to below `below`."""
-        self.state = (self.state * 6364136223846793005 + 1442695040888963407) & (2 ** 64 - 1)
+        self.state = (self.state * 6364136223846793005 + 1442695040888963407) & (2**64 - 1)
         return (self.state >> 33) % below
 
     def pick(self, some: Sequence[T]) -> T:
--- a/cedarshift/judge/charge.py
+++ b/cedarshift/judge/charge.py
@@ -8,19 +8,22 @@
 on only when that pilot has said that its proxies were told, or its session has ended. So a proxy's leave to write under
 the former pilot ends no later than one proxy lease after the giving, which the new pilot waits out.
 """
+
 from __future__ import annotations
 
 from dataclasses import dataclass, field
 from hashlib import blake2b
 from typing import Any, Iterable, NamedTuple, Optional
 
-
-EPOCHS_A_LIFE = 1 << 24   # givings of one slice in a life of the store: ten a second for three weeks; lives that fit a count: 2 ** 29
+EPOCHS_A_LIFE = (
+    1 << 24
+)  # givings of one slice in a life of the store: ten a second for three weeks; lives that fit a count: 2 ** 29
 
 
 @dataclass
 class Row:
     """A slice as it must be kept: `epoch` grows with each giving, `version` with each write."""
+
     slice: int
     epoch: int = 0
     version: int = 0
@@ -32,6 +35,7 @@
 @dataclass
 class Holder:
     """A pilot's session. It was heard of last at a time that puts its end at `until`."""
+
     number: int
     since: int
     until: int
@@ -39,6 +43,7 @@
 
 class Step(NamedTuple):
     """What is to be done: keep `changed` durably first, then tell of the givings and takings, by pilot."""
+
     changed: list[Row]
     given: dict[str, list[Row]]
     taken: dict[str, list[int]]
@@ -49,8 +54,16 @@
 
     After a start every pilot that holds slices counts as alive for one lease: its session may still stand."""
 
-    def __init__(self, rows: Iterable[Row], pilots: list[str], lease: int, takeover: int, back_after: int,
-                 now: int, life: int = 1) -> None:
+    def __init__(
+        self,
+        rows: Iterable[Row],
+        pilots: list[str],
+        lease: int,
+        takeover: int,
+        back_after: int,
+        now: int,
+        life: int = 1,
+    ) -> None:
         assert pilots, "a store needs at least one pilot to give slices to"
         # Epochs of a later life are above all of a former one's, also of a giving that its disk has lost: it is in force somewhere.
         self.least_epoch = (life - 1) * EPOCHS_A_LIFE + 1
@@ -62,7 +75,7 @@
         self.holders: dict[str, Holder] = {}
         self.gone_since = {name: now for name in pilots}
         self.leaving: set[int] = set()
-        self.anew: set[int] = set()          # to be given again to the pilot that has them, for its new session
+        self.anew: set[int] = set()  # to be given again to the pilot that has them, for its new session
         self.drawn = 0
         for name in sorted({row.pilot for row in self.rows.values() if row.pilot}):
             self.holders[name] = Holder(0, now, now + lease)
@@ -77,7 +90,7 @@
         self.drawn += 1
         self.holders[pilot] = Holder(self.drawn, now, now + self.lease)
         for row in self.rows.values():
-            if row.pilot == pilot:               # what was ordered and not answered is settled by giving anew
+            if row.pilot == pilot:  # what was ordered and not answered is settled by giving anew
                 self.anew.add(row.slice)
                 self.leaving.discard(row.slice)
         return self.drawn
@@ -145,19 +158,24 @@
             fit = self._fit(row, now)
             if number in self.anew and row.pilot:
                 self._give(row, row.pilot, step)
-            elif row.pilot and fit != row.pilot and number not in self.leaving and self.holders[row.pilot].number:
+            elif (
+                row.pilot
+                and fit != row.pilot
+                and number not in self.leaving
+                and self.holders[row.pilot].number
+            ):
                 self.leaving.add(number)
                 step.taken.setdefault(row.pilot, []).append(number)
             elif not row.pilot and fit is not None and self.holders[fit].number:
                 self._give(row, fit, step)
-        self.anew.clear()                    # what has no pilot any more is given as any other
+        self.anew.clear()  # what has no pilot any more is given as any other
         return step
 
     def _give(self, row: Row, pilot: str, step: Step) -> None:
         row.pilot = pilot
         row.epoch = max(row.epoch + 1, self.least_epoch)
         row.version += 1
-        row.levels = []                      # levels are reset at a giving: the abort of a cut-off revoke
+        row.levels = []  # levels are reset at a giving: the abort of a cut-off revoke
         step.changed.append(row)
         step.given.setdefault(pilot, []).append(row)
 
--- a/cedarshift/judge/detector.py
+++ b/cedarshift/judge/detector.py
@@ -10,6 +10,7 @@
 
 No I/O; times are whole microseconds passed in, chance is handed in.
 """
+
 from __future__ import annotations
 
 from typing import Callable, NamedTuple, Optional
@@ -17,23 +18,28 @@
 from cedarshift.judge.chance import Lcg
 
 # Constants: unit, then the reason for the size.
-MISSES = 3                # probes in a row; of those a third of all datagrams lost leaves one in a thousand, with helpers
-HELPERS = 3               # asked for each probe that is late: one may be cut off itself
-PINGS_AT = (0.2, 0.4, 0.7)   # of a period after its first ping that a probe is tried anew: the cheapest cure for loss
-DIRECT_PART = 0.4         # of a period for a direct answer; the rest is for helpers and streams
-NACK_PART = 0.3           # of a period within which a helper answers, either way
-STREAM_AFTER = 1          # probes missed before a stream is tried as well: a stream costs more than a datagram
-ANSWERS_FOR = 8           # periods that late answers still count
-PROBE_PART = 0.8          # of a period that a probe has at least: where subjects come and go the next one is early
-HEALTH_MOST = 4           # steps of ill health
-LATE_PART = 0.25          # of a period by which a timer is late that tells of a slow process
-STOPPED = 2.0             # periods by which it is late that tell of one that was stopped
-QUIET_PART = 0.9          # of the helpers asked: when so many say nothing it is the observer's own ways; loss takes half at most
-GUEST_FOR = 4             # periods that a member which missed a random probe is observed
+MISSES = 3  # probes in a row; of those a third of all datagrams lost leaves one in a thousand, with helpers
+HELPERS = 3  # asked for each probe that is late: one may be cut off itself
+PINGS_AT = (
+    0.2,
+    0.4,
+    0.7,
+)  # of a period after its first ping that a probe is tried anew: the cheapest cure for loss
+DIRECT_PART = 0.4  # of a period for a direct answer; the rest is for helpers and streams
+NACK_PART = 0.3  # of a period within which a helper answers, either way
+STREAM_AFTER = 1  # probes missed before a stream is tried as well: a stream costs more than a datagram
+ANSWERS_FOR = 8  # periods that late answers still count
+PROBE_PART = 0.8  # of a period that a probe has at least: where subjects come and go the next one is early
+HEALTH_MOST = 4  # steps of ill health
+LATE_PART = 0.25  # of a period by which a timer is late that tells of a slow process
+STOPPED = 2.0  # periods by which it is late that tell of one that was stopped
+QUIET_PART = 0.9  # of the helpers asked: when so many say nothing it is the observer's own ways; loss takes half at most
+GUEST_FOR = 4  # periods that a member which missed a random probe is observed
 
 
 class Ask(NamedTuple):
     """What is to be sent. `how`: "ping" (to `to`), "help" (ask `to` to probe `about`), "stream" (probe `to` by a stream)."""
+
     how: str
     to: str
     about: str
@@ -42,6 +48,7 @@
 
 class Found(NamedTuple):
     """Whether a subject is heard; `at`: when the newest answered probe was sent, or when the silence was found."""
+
     subject: str
     hears: bool
     at: int
@@ -51,41 +58,47 @@
     def __init__(self, subject: str, sent: int) -> None:
         self.subject = subject
         self.sent = sent
-        self.again = 0                       # times that it was tried anew
-        self.pressed = False                 # helpers were asked
-        self.helpers: set[str] = set()       # those that have not said anything
-        self.asked = 0                       # how many were asked
+        self.again = 0  # times that it was tried anew
+        self.pressed = False  # helpers were asked
+        self.helpers: set[str] = set()  # those that have not said anything
+        self.asked = 0  # how many were asked
 
 
 class Subject:
     def __init__(self, since: int) -> None:
-        self.heard = since                   # when the newest probe that was answered was sent, or when it became a subject
-        self.ever = False                    # one was
-        self.missed: list[int] = []          # when those after it were sent that have run out
-        self.nonce: Optional[int] = None     # of its newest probe, while that may run out
-        self.silent = False                  # told so
+        self.heard = since  # when the newest probe that was answered was sent, or when it became a subject
+        self.ever = False  # one was
+        self.missed: list[int] = []  # when those after it were sent that have run out
+        self.nonce: Optional[int] = None  # of its newest probe, while that may run out
+        self.silent = False  # told so
 
 
 class Detector:
     """`usable()`: the members that may be probed and asked for help, `me` not among them. `vouchers(subject)`: those of them
     that are known to hear it; they are asked first."""
 
-    def __init__(self, period: int, chance: Lcg, now: int, usable: Callable[[], list[str]],
-                 vouchers: Callable[[str], list[str]] = lambda subject: []) -> None:
+    def __init__(
+        self,
+        period: int,
+        chance: Lcg,
+        now: int,
+        usable: Callable[[], list[str]],
+        vouchers: Callable[[str], list[str]] = lambda subject: [],
+    ) -> None:
         self.period = period
         self.chance = chance
         self.usable = usable
         self.vouchers = vouchers
         self.subjects: dict[str, Subject] = {}
-        self.guests: dict[str, int] = {}     # members beyond those, missed by chance -> until when observed
-        self.probes: dict[int, Probe] = {}   # by nonce, oldest first
-        self.round: list[str] = []           # whom to probe still in this period
+        self.guests: dict[str, int] = {}  # members beyond those, missed by chance -> until when observed
+        self.probes: dict[int, Probe] = {}  # by nonce, oldest first
+        self.round: list[str] = []  # whom to probe still in this period
         self.next_at = now
         self.gap = period
         self.health = 0
-        self.answered = 0                    # in this round
+        self.answered = 0  # in this round
         self.asked = 0
-        self.quiet_helpers = 0               # in this round, of those asked for probes that ran out
+        self.quiet_helpers = 0  # in this round, of those asked for probes that ran out
         self.helpers_asked = 0
         self.late = False
         self.heard_any = now
@@ -109,8 +122,16 @@
     # ---- time
 
     def due(self) -> int:
-        return min([self.next_at, *(p.sent + int(PINGS_AT[p.again] * self.period) for p in self.probes.values()
-                                    if p.again < len(PINGS_AT))])
+        return min(
+            [
+                self.next_at,
+                *(
+                    p.sent + int(PINGS_AT[p.again] * self.period)
+                    for p in self.probes.values()
+                    if p.again < len(PINGS_AT)
+                ),
+            ]
+        )
 
     def step(self, now: int) -> tuple[list[Ask], list[Found]]:
         asks: list[Ask] = []
@@ -144,7 +165,9 @@
     def _begin_round(self, now: int) -> None:
         self._judge_self(now)
         self.guests = {name: until for name, until in self.guests.items() if now < until}
-        self.round = list(reversed(self.subjects))   # always in the same order, so that a period lies between two probes
+        self.round = list(
+            reversed(self.subjects)
+        )  # always in the same order, so that a period lies between two probes
         others = [name for name in self.usable() if name not in self.subjects]
         if others:
             self.round.append(self.chance.pick(others))
@@ -174,7 +197,7 @@
 
     def nonce(self) -> int:
         while True:
-            drawn = self.chance.draw(2 ** 31)
+            drawn = self.chance.draw(2**31)
             if drawn and drawn not in self.probes:
                 return drawn
 
@@ -201,8 +224,10 @@
             probe.pressed = True
             subject = self.subjects.get(probe.subject)
             helpers = self.chance.sample(self.vouchers(probe.subject), HELPERS - 1)
-            helpers += self.chance.sample([name for name in self.usable() if name != probe.subject and name not in helpers],
-                                          HELPERS - len(helpers))
+            helpers += self.chance.sample(
+                [name for name in self.usable() if name != probe.subject and name not in helpers],
+                HELPERS - len(helpers),
+            )
             probe.asked = len(helpers)
             for helper in helpers:
                 probe.helpers.add(helper)
--- a/cedarshift/judge/membership.py
+++ b/cedarshift/judge/membership.py
@@ -10,27 +10,31 @@
 - whether a node that returns is another process;
 - that a pool is never emptied by vanished nodes alone while its endpoints ack: then the last ones stand, in doubt.
 """
+
 from __future__ import annotations
 
 from collections import deque
 from typing import NamedTuple, Optional
 
 # Constants: unit, then the reason for the size.
-SAME_WITHIN = 10_000_000  # us of absence after which a return counts as another process, unless it acked meanwhile: a
-                          # session is made anew within seconds of its expiry, a machine is not booted so soon
-SUMS_KEPT = 8             # newest sums of an endpoint: a few periods from a handful of zones
-SUMS_FRESH = 10_000_000   # us; older sums tell nothing of now
-LOSES = 0.5               # share of ops aborted from which a vanished endpoint counts as dead: half of its ops are lost
-LOSES_LEAST = 4           # ops; fewer are chance
-MASS_WITHIN = 2_000_000   # us within which endpoints vanish "together"
-MASS_LEAST = 3            # endpoints; two at once are chance
-MASS_SHARE = 0.2          # share of the listed; a rolling deploy takes fewer at a time
+SAME_WITHIN = (
+    10_000_000  # us of absence after which a return counts as another process, unless it acked meanwhile: a
+)
+# session is made anew within seconds of its expiry, a machine is not booted so soon
+SUMS_KEPT = 8  # newest sums of an endpoint: a few periods from a handful of zones
+SUMS_FRESH = 10_000_000  # us; older sums tell nothing of now
+LOSES = 0.5  # share of ops aborted from which a vanished endpoint counts as dead: half of its ops are lost
+LOSES_LEAST = 4  # ops; fewer are chance
+MASS_WITHIN = 2_000_000  # us within which endpoints vanish "together"
+MASS_LEAST = 3  # endpoints; two at once are chance
+MASS_SHARE = 0.2  # share of the listed; a rolling deploy takes fewer at a time
 
 ON, FADING, OFF = "on", "fading", "off"
 
 
 class Node(NamedTuple):
     """A member's node. `start` as the node itself tells it, or "". `owner`: the session; `born`: the transaction."""
+
     endpoint: str
     phase: str
     size: float
@@ -42,6 +46,7 @@
 
 class Told(NamedTuple):
     """An entry as it is told on. `process` is another text for each process; `late`: us for which the news was held back."""
+
     endpoint: str
     phase: str
     size: float
@@ -52,6 +57,7 @@
 
 class Gone(NamedTuple):
     """An endpoint without a node: since when it was known, until when it is held, and its last entry."""
+
     since: int
     until: int
     last: Told
@@ -59,6 +65,7 @@
 
 class Mass(NamedTuple):
     """Many that vanished together: how many, of how many listed, and what the data plane says of them since."""
+
     vanished: int
     listed: int
     acking: int
@@ -69,12 +76,12 @@
     """What is known of one endpoint beside its nodes."""
 
     def __init__(self) -> None:
-        self.process = ""                    # the process's name for the list
-        self.start = ""                      # what its node said of it
+        self.process = ""  # the process's name for the list
+        self.start = ""  # what its node said of it
         self.generation = 0
         self.owner = 0
-        self.left_at: Optional[int] = None   # when its last node left
-        self.sums: deque[tuple[int, int, int]] = deque(maxlen=SUMS_KEPT)   # (heard at, tries, aborted)
+        self.left_at: Optional[int] = None  # when its last node left
+        self.sums: deque[tuple[int, int, int]] = deque(maxlen=SUMS_KEPT)  # (heard at, tries, aborted)
 
     def acks(self, since: int) -> tuple[int, int]:
         """(tries, aborted) of the sums heard since."""
@@ -88,11 +95,11 @@
     def __init__(self, hold: int, pools: bool = False) -> None:
         self.hold = hold
         self.pools = pools
-        self.nodes: dict[str, Node] = {}             # by the node's name
+        self.nodes: dict[str, Node] = {}  # by the node's name
         self.of_endpoint: dict[str, set[str]] = {}
         self.endpoints: dict[str, Endpoint] = {}
-        self.gone: dict[str, Gone] = {}              # held back, or in doubt
-        self.doubted: set[str] = set()               # those that stand only because their pool would be empty
+        self.gone: dict[str, Gone] = {}  # held back, or in doubt
+        self.doubted: set[str] = set()  # those that stand only because their pool would be empty
         self.told: dict[str, Told] = {}
         self.counts = {"vanished": 0, "returned": 0, "told_gone": 0, "doubted": 0, "restarts": 0}
 
@@ -141,7 +148,11 @@
             return
         if node.owner == known.owner and node.start == known.start:
             return
-        alive = [self.nodes[n] for n in self.of_endpoint.get(node.endpoint, ()) if self.nodes[n].owner == known.owner]
+        alive = [
+            self.nodes[n]
+            for n in self.of_endpoint.get(node.endpoint, ())
+            if self.nodes[n].owner == known.owner
+        ]
         if node.start or known.start:
             other = node.start != known.start
         elif alive:
@@ -192,7 +203,11 @@
     def mass(self, now: int) -> Optional[Mass]:
         """A vanishing that people should hear of, since no single cause can be read from it: a deploy, a cut between members
         and servers, and servers that forgot all sessions look alike by number. Who acks still tells them apart afterwards."""
-        recent = [endpoint for endpoint, one in self.gone.items() if now - one.since <= MASS_WITHIN and one.last.phase == ON]
+        recent = [
+            endpoint
+            for endpoint, one in self.gone.items()
+            if now - one.since <= MASS_WITHIN and one.last.phase == ON
+        ]
         listed = sum(one.phase == ON for one in self.told.values())
         if len(recent) < max(MASS_LEAST, MASS_SHARE * listed):
             return None
@@ -209,7 +224,9 @@
 
     def take(self, now: int) -> list[Told]:
         """What has changed since the last call, for the module's list."""
-        listed = {endpoint: entry for endpoint in self.of_endpoint if (entry := self._entry(endpoint)) is not None}
+        listed = {
+            endpoint: entry for endpoint in self.of_endpoint if (entry := self._entry(endpoint)) is not None
+        }
         for endpoint, one in sorted(self.gone.items()):
             held = endpoint not in self.doubted and now < one.until and not self._loses(now, endpoint, one)
             if held:
@@ -217,14 +234,22 @@
         for endpoint in self._stand_in_doubt(now, listed):
             listed[endpoint] = self.gone[endpoint].last
         since: dict[str, int] = {}
-        for endpoint in [name for name in sorted(self.gone) if name not in listed or listed[name].phase == OFF]:
+        for endpoint in [
+            name for name in sorted(self.gone) if name not in listed or listed[name].phase == OFF
+        ]:
             since[endpoint] = self.gone.pop(endpoint).since
             self.doubted.discard(endpoint)
             self.counts["told_gone"] += 1
-        changed = [entry for endpoint, entry in sorted(listed.items()) if self.told.get(endpoint) != entry
-                   and (entry.phase != OFF or endpoint in self.told)]
-        left = [entry._replace(phase=OFF) for endpoint, entry in sorted(self.told.items())
-                if endpoint not in listed and entry.phase != OFF]
+        changed = [
+            entry
+            for endpoint, entry in sorted(listed.items())
+            if self.told.get(endpoint) != entry and (entry.phase != OFF or endpoint in self.told)
+        ]
+        left = [
+            entry._replace(phase=OFF)
+            for endpoint, entry in sorted(self.told.items())
+            if endpoint not in listed and entry.phase != OFF
+        ]
         for entry in changed + left:
             self.told[entry.endpoint] = entry
         return changed + [entry._replace(late=now - since.get(entry.endpoint, now)) for entry in left]
@@ -242,8 +267,12 @@
         full = {self._pool(entry) for entry in listed.values() if entry.phase == ON}
         found = []
         for endpoint, one in sorted(self.gone.items()):
-            stands = endpoint not in listed and one.last.phase == ON and self._pool(one.last) not in full and self._acks(
-                now, endpoint, one)
+            stands = (
+                endpoint not in listed
+                and one.last.phase == ON
+                and self._pool(one.last) not in full
+                and self._acks(now, endpoint, one)
+            )
             if stands:
                 found.append(endpoint)
         self.counts["doubted"] += len(set(found) - self.doubted)
--- a/cedarshift/judge/order_channel.py
+++ b/cedarshift/judge/order_channel.py
@@ -3,6 +3,7 @@
 A batch becomes one message a proxy; each counts its lines and a head. Messages leave one after the other at the stated pace, and a
 batch's lines count as waiting until they are acknowledged, or a later batch is, or no acknowledgement is to come any more.
 """
+
 from __future__ import annotations
 
 import math
@@ -14,12 +15,14 @@
 from cedarshift.judge.write_stops import older
 
 # Constants: unit, then the reason for the size.
-ROOM = (0.95, 0.9, 0.6, 0.5)   # shares of the channel's waiting lines used, by urgency: a drain finds room
-RESERVED_LINES = 3        # lines a proxy, beside the head, that a move leaves room for: a slice's revoke, clear and grant
-GATHER = 0.15             # share of the channel that may wait when a batch goes without all that is due
-ACKS_PAUSE = 5_000        # 0.1 ms; with no acknowledgement for so long nothing tells that the channel drains
-BATCH_HEADS = 1.25        # times what a batch's heads hold the channel, between batches: they fill four fifths
-SECOND = 10_000           # 0.1 ms
+ROOM = (0.95, 0.9, 0.6, 0.5)  # shares of the channel's waiting lines used, by urgency: a drain finds room
+RESERVED_LINES = (
+    3  # lines a proxy, beside the head, that a move leaves room for: a slice's revoke, clear and grant
+)
+GATHER = 0.15  # share of the channel that may wait when a batch goes without all that is due
+ACKS_PAUSE = 5_000  # 0.1 ms; with no acknowledgement for so long nothing tells that the channel drains
+BATCH_HEADS = 1.25  # times what a batch's heads hold the channel, between batches: they fill four fifths
+SECOND = 10_000  # 0.1 ms
 
 
 @dataclass
@@ -28,23 +31,23 @@
 
     barrier: int
     ordered_at: int
-    waiting: float                           # lines, of all proxies
-    lines: float                             # of one proxy's message
+    waiting: float  # lines, of all proxies
+    lines: float  # of one proxy's message
 
 
 class OrderChannel:
     """The batches on their way, and the room that is left."""
 
     def __init__(self, terms: Terms) -> None:
-        self.head = terms.lines_per_message + 1   # every message carries a barrier
+        self.head = terms.lines_per_message + 1  # every message carries a barrier
         self.room = terms.lines_waiting_most or math.inf
-        self.per_line = SECOND / terms.lines_per_s if terms.lines_per_s else 0.0   # 0.1 ms
+        self.per_line = SECOND / terms.lines_per_s if terms.lines_per_s else 0.0  # 0.1 ms
         self.even = terms.messages_span // max(1, terms.messages_most - 1) + 1 if terms.messages_most else 0
-        self.unacknowledged: deque[Batch] = deque()   # oldest first
-        self.sent_at = -math.inf             # when the last batch went out
-        self.free_at = 0.0                   # when all that was ordered has left, at the stated pace
-        self.newest_took = 0                 # 0.1 ms; from an order to its effect, by the newest acknowledgement
-        self.delay = 0.0                     # 0.1 ms; what a batch ordered now waits in the channel
+        self.unacknowledged: deque[Batch] = deque()  # oldest first
+        self.sent_at = -math.inf  # when the last batch went out
+        self.free_at = 0.0  # when all that was ordered has left, at the stated pace
+        self.newest_took = 0  # 0.1 ms; from an order to its effect, by the newest acknowledgement
+        self.delay = 0.0  # 0.1 ms; what a batch ordered now waits in the channel
 
     # ---- pace
 
@@ -58,7 +61,12 @@
 
     def estimate_delay(self, now: int, joined: int, leaving: int) -> None:
         """Foresees what a batch ordered now waits; `leaving`: slices whose owner must be left, a line each."""
-        self.delay = max(0, self.free_at - now) + self._heads(joined) + joined * leaving * self.per_line + self.gap(joined)
+        self.delay = (
+            max(0, self.free_at - now)
+            + self._heads(joined)
+            + joined * leaving * self.per_line
+            + self.gap(joined)
+        )
 
     def _heads(self, joined: int) -> float:
         return joined * self.head * self.per_line
@@ -86,8 +94,11 @@
         """Whether to wait for room while acknowledgements come in, the newest at `heard_at`. Heads are most of a batch: in a channel that
         is slower than stated, batches of a line each would fill it with heads, and drains would wait for one another."""
         waiting = self.waiting()
-        return (waiting > GATHER * self.room and now - heard_at < ACKS_PAUSE
-                and waiting + joined * (self.head + lines) > ROOM[1] * self.room)
+        return (
+            waiting > GATHER * self.room
+            and now - heard_at < ACKS_PAUSE
+            and waiting + joined * (self.head + lines) > ROOM[1] * self.room
+        )
 
     # ---- what goes and what has left
 
--- a/cedarshift/judge/overload.py
+++ b/cedarshift/judge/overload.py
@@ -7,6 +7,7 @@
 part of the tightest target latency. It is told by what is under way and what is acked (Little, 1961), not by what acks took: those came in
 before the queue was what it is. Unlike a mean the middle is not moved by a third of the endpoints that are dead, slow, or misreported.
 """
+
 from __future__ import annotations
 
 import math
@@ -15,50 +16,62 @@
 from typing import Iterable, NamedTuple, Optional, Sequence
 
 # Constants: unit, then the reason for the size.
-AIM = 0.3                 # of the target; where endpoints never run dry and acks are in time with room for the unlucky
-ENGAGE = 0.5              # of the target; beyond it what comes is shed: acks of twice the middle's time are late then
-EASE = 0.2                # of the target; under it the endpoints run dry, and more is let in
-ENGAGE_LOOKS = 2          # looks in a row; one late sum sheds nothing
-ENGAGE_BLIND = 6          # looks in a row, while nothing was ever carried: the first ops of a start tell nothing
-JOIN_SHARE = 0.9          # of the others; a pilot that sees nothing by itself sheds with them
-ENGAGE_AT_ONCE = 0.65     # of the target; so much is no chance any more, and each half second counts
-GAIN_PART = 0.8           # of the target by the delay of what is told: at 1.6 (a quarter turn of lag) the answer would swing for ever
-GAIN_MOST = 1.5           # of what is carried, a target's length from the aim; more would empty the queues of endpoints that are well
-FAR = 1.0                 # of the target from the aim; beyond it the answer is as strong as it gets
-RISE = 0.25               # of the known capacity a second, while endpoints run dry: all is back within four seconds
-FITS = 0.95               # of the known capacity; what comes then is tried whole, while nobody waits for long
-CALM_FOR = 3_000_000      # us that all fits before the limits are taken away
-SMOOTH = 0.5              # weight of a new look at what is acked: the chance of a hundred ops a second is a tenth
-FADE = 0.99               # a look; a capacity that was seen once is forgotten within a minute
-SHARE_LEAST = 0.05        # always let in: without any ack nothing would tell that the endpoints are back
-FULL_PRESSURE = 1.5       # of the target; what an op counts for that an endpoint was too full to take
-PRESSURE_MOST = 4.0       # of the target; an endpoint that answers nothing tells no more
-ACKED_LEAST = 0.5         # acks within the view; with fewer one op under way would tell of a jam
-FRESH_FOR = 2_000_000     # us; a row younger than this counts whole
-STALE_AFTER = 8_000_000   # us; an older one counts for nothing
-CLAMP = 4.0               # times the middle row; beyond it a row is taken for nonsense, and cut
-CLAMP_ROWS = 3            # rows from which there is a middle to hold one against
-PULL = 0.3                # of the way to the middle of the others' shares: what differs by late rows does not stay apart
-GAP = 2_500_000           # us without a look, as after a stop: what was worked out before is worth nothing
-JAM_AFTER = 2_000_000     # us that what comes would fit and is not carried: longer than any burst's own queue takes to drain
-JAM_FITS = 0.9            # of the known capacity; fresh work under it ought to be carried
-JAM_CARRIES = 0.3         # of the known capacity; queues that are full, and ops that come to nothing, leave more than that
-JAM_SHARE = 0.5           # of the known capacity, while a jam is ended: queues drain in the time that they took to fill
-JAM_MOST = 8_000_000      # us; then it is no jam but less capacity, and is answered as that
-JAM_AGAIN = 20_000_000    # us before another may be found: the way out must not become a habit
-AGAIN = 0.1               # repeats for each fresh op, in peace
-WAIT = {"calm": 200_000, "limited": 1_000_000, "jam": 2_000_000}   # us that a rejected client is asked to wait
-LANE_LEAST, LANE_MOST = 0.1, 3.0   # times the fleet's share that an endpoint's own may be; more comes of too few ops
-LANE_SMOOTH = 0.7         # weight of a new look; what was acked is smooth already, and what is under way is told exactly
-LANE_OPS = 8.0            # ops behind an endpoint's own share, at least
-LANE_RISE = 1.5           # a look, of an endpoint that was spared while the fleet is calm: it has all again within two seconds
-LANE_LOOKS = 4            # looks in a row before an endpoint is spared while the fleet is calm: a jam of all is the fleet's to answer
+AIM = 0.3  # of the target; where endpoints never run dry and acks are in time with room for the unlucky
+ENGAGE = 0.5  # of the target; beyond it what comes is shed: acks of twice the middle's time are late then
+EASE = 0.2  # of the target; under it the endpoints run dry, and more is let in
+ENGAGE_LOOKS = 2  # looks in a row; one late sum sheds nothing
+ENGAGE_BLIND = 6  # looks in a row, while nothing was ever carried: the first ops of a start tell nothing
+JOIN_SHARE = 0.9  # of the others; a pilot that sees nothing by itself sheds with them
+ENGAGE_AT_ONCE = 0.65  # of the target; so much is no chance any more, and each half second counts
+GAIN_PART = 0.8  # of the target by the delay of what is told: at 1.6 (a quarter turn of lag) the answer would swing for ever
+GAIN_MOST = 1.5  # of what is carried, a target's length from the aim; more would empty the queues of endpoints that are well
+FAR = 1.0  # of the target from the aim; beyond it the answer is as strong as it gets
+RISE = 0.25  # of the known capacity a second, while endpoints run dry: all is back within four seconds
+FITS = 0.95  # of the known capacity; what comes then is tried whole, while nobody waits for long
+CALM_FOR = 3_000_000  # us that all fits before the limits are taken away
+SMOOTH = 0.5  # weight of a new look at what is acked: the chance of a hundred ops a second is a tenth
+FADE = 0.99  # a look; a capacity that was seen once is forgotten within a minute
+SHARE_LEAST = 0.05  # always let in: without any ack nothing would tell that the endpoints are back
+FULL_PRESSURE = 1.5  # of the target; what an op counts for that an endpoint was too full to take
+PRESSURE_MOST = 4.0  # of the target; an endpoint that answers nothing tells no more
+ACKED_LEAST = 0.5  # acks within the view; with fewer one op under way would tell of a jam
+FRESH_FOR = 2_000_000  # us; a row younger than this counts whole
+STALE_AFTER = 8_000_000  # us; an older one counts for nothing
+CLAMP = 4.0  # times the middle row; beyond it a row is taken for nonsense, and cut
+CLAMP_ROWS = 3  # rows from which there is a middle to hold one against
+PULL = 0.3  # of the way to the middle of the others' shares: what differs by late rows does not stay apart
+GAP = 2_500_000  # us without a look, as after a stop: what was worked out before is worth nothing
+JAM_AFTER = 2_000_000  # us that what comes would fit and is not carried: longer than any burst's own queue takes to drain
+JAM_FITS = 0.9  # of the known capacity; fresh work under it ought to be carried
+JAM_CARRIES = (
+    0.3  # of the known capacity; queues that are full, and ops that come to nothing, leave more than that
+)
+JAM_SHARE = (
+    0.5  # of the known capacity, while a jam is ended: queues drain in the time that they took to fill
+)
+JAM_MOST = 8_000_000  # us; then it is no jam but less capacity, and is answered as that
+JAM_AGAIN = 20_000_000  # us before another may be found: the way out must not become a habit
+AGAIN = 0.1  # repeats for each fresh op, in peace
+WAIT = {"calm": 200_000, "limited": 1_000_000, "jam": 2_000_000}  # us that a rejected client is asked to wait
+LANE_LEAST, LANE_MOST = (
+    0.1,
+    3.0,
+)  # times the fleet's share that an endpoint's own may be; more comes of too few ops
+LANE_SMOOTH = (
+    0.7  # weight of a new look; what was acked is smooth already, and what is under way is told exactly
+)
+LANE_OPS = 8.0  # ops behind an endpoint's own share, at least
+LANE_RISE = (
+    1.5  # a look, of an endpoint that was spared while the fleet is calm: it has all again within two seconds
+)
+LANE_LOOKS = 4  # looks in a row before an endpoint is spared while the fleet is calm: a jam of all is the fleet's to answer
 STATES = ("calm", "limited", "jam")
-RATE_MOST = 1e7           # a second; no fleet of this kind comes near
+RATE_MOST = 1e7  # a second; no fleet of this kind comes near
 
 
 class Worth(NamedTuple):
     """An op type: what an ack in time earns, and the work it takes against the others."""
+
     name: str
     earnings: float
     cost: float
@@ -66,6 +79,7 @@
 
 class Flow(NamedTuple):
     """Of one op type, a second. `full`: turned away by endpoints that had no room. `took`: mean us of the acked."""
+
     fresh: float = 0.0
     repeats: float = 0.0
     let_in: float = 0.0
@@ -77,6 +91,7 @@
 
 class Row(NamedTuple):
     """What one pilot tells. `at`: when it held, by the hearer's clock. `ops`: behind the pressure, a second. `share`: its answer."""
+
     start: int
     seq: int
     at: int
@@ -90,6 +105,7 @@
 class Totals(NamedTuple):
     """The fleet's, a second: work `offered` (by fresh ops alone) and `acked`, the `pressure`, repeats, and of how many pilots. `mix`: each
     op type's part of the offered work."""
+
     offered: float
     acked: float
     pressure: float
@@ -101,6 +117,7 @@
 class Answer(NamedTuple):
     """`share` of the offered work is let in, the types in `order` first; `again`: repeats for each fresh op; `wait`: us for who is
     rejected."""
+
     state: str
     share: float
     order: tuple[int, ...]
@@ -116,8 +133,14 @@
     """Whether a row may be counted at all: its figures are numbers within what can be."""
     figures = [value for flow in row.flows for value in flow[:6]] + [row.ops]
     times = [flow.took for flow in row.flows]
-    return (len(row.flows) == kinds and row.state in STATES and all(0 <= value <= RATE_MOST for value in figures)
-            and all(0 <= value < math.inf for value in times) and 0 <= row.pressure < math.inf and 0 <= row.share <= 1)
+    return (
+        len(row.flows) == kinds
+        and row.state in STATES
+        and all(0 <= value <= RATE_MOST for value in figures)
+        and all(0 <= value < math.inf for value in times)
+        and 0 <= row.pressure < math.inf
+        and 0 <= row.share <= 1
+    )
 
 
 def weighted_middle(values: Iterable[tuple[float, float]]) -> float:
@@ -160,29 +183,60 @@
         known = {name: self.weight(name, now) for name in self.rows if name not in left}
         flows = self._cut([(self.rows[name].flows, weight) for name, weight in sorted(known.items())])
         middle = [self._of_middle(kind, flows) for kind in range(len(self.worths))]
-        summed = [Flow._make([*(sum(weight * flow[kind][n] + (1 - weight) * middle[kind][n] for flow, weight in flows)
-                                for n in range(6)), 0.0]) for kind in range(len(self.worths))]
+        summed = [
+            Flow._make(
+                [
+                    *(
+                        sum(weight * flow[kind][n] + (1 - weight) * middle[kind][n] for flow, weight in flows)
+                        for n in range(6)
+                    ),
+                    0.0,
+                ]
+            )
+            for kind in range(len(self.worths))
+        ]
         costs = [worth.cost for worth in self.worths]
         work = [cost * flow.fresh for cost, flow in zip(costs, summed)]
         offered = sum(work)
         return Totals(
-            offered=offered, acked=sum(cost * flow.acked for cost, flow in zip(costs, summed)),
-            pressure=self._pressure(known), mix=tuple(one / offered for one in work) if offered else (), pilots=len(known),
-            repeats=sum(flow.repeats for flow in summed))
+            offered=offered,
+            acked=sum(cost * flow.acked for cost, flow in zip(costs, summed)),
+            pressure=self._pressure(known),
+            mix=tuple(one / offered for one in work) if offered else (),
+            pilots=len(known),
+            repeats=sum(flow.repeats for flow in summed),
+        )
 
     def _cut(self, rows: list[tuple[tuple[Flow, ...], float]]) -> list[tuple[tuple[Flow, ...], float]]:
         """Rows far above the middle are cut to a multiple of it, figure by figure: one that reports nonsense moves little."""
         if len(rows) < CLAMP_ROWS:
             return rows
-        tops = [[CLAMP * weighted_middle((flows[kind][n], weight) for flows, weight in rows) for n in range(6)]
-                for kind in range(len(self.worths))]
-        return [(tuple(Flow._make([*(min(flow[n], tops[kind][n]) if tops[kind][n] else flow[n] for n in range(6)), flow.took])
-                       for kind, flow in enumerate(flows)), weight) for flows, weight in rows]
+        tops = [
+            [CLAMP * weighted_middle((flows[kind][n], weight) for flows, weight in rows) for n in range(6)]
+            for kind in range(len(self.worths))
+        ]
+        return [
+            (
+                tuple(
+                    Flow._make(
+                        [
+                            *(min(flow[n], tops[kind][n]) if tops[kind][n] else flow[n] for n in range(6)),
+                            flow.took,
+                        ]
+                    )
+                    for kind, flow in enumerate(flows)
+                ),
+                weight,
+            )
+            for flows, weight in rows
+        ]
 
     @staticmethod
     def _of_middle(kind: int, rows: list[tuple[tuple[Flow, ...], float]]) -> Flow:
         """What stands for a pilot whose row has faded: neither nought nor its last word."""
-        return Flow._make([*(weighted_middle((flows[kind][n], weight) for flows, weight in rows) for n in range(6)), 0.0])
+        return Flow._make(
+            [*(weighted_middle((flows[kind][n], weight) for flows, weight in rows) for n in range(6)), 0.0]
+        )
 
     def _pressure(self, known: dict[str, float]) -> float:
         """The middle of the pilots' pressures by the ops behind each, none for more than the middle: so one alone is never half of them."""
@@ -194,7 +248,11 @@
         """The middle of the other pilots' shares, of two the larger; None without a row that still counts."""
         left = {*gone, self.me}
         told = [(row.share, self.weight(name, now)) for name, row in self.rows.items() if name not in left]
-        return 1.0 - weighted_middle((1.0 - share, weight) for share, weight in told) if any(weight > 0 for _, weight in told) else None
+        return (
+            1.0 - weighted_middle((1.0 - share, weight) for share, weight in told)
+            if any(weight > 0 for _, weight in told)
+            else None
+        )
 
 
 def gain_for(target: int, delay: int) -> float:
@@ -237,16 +295,17 @@
 
     While endpoints are busy what is acked *is* what they can carry, so the share follows it and the pressure's distance from the aim;
     while they run dry more is let in step by step, up to what was carried before."""
+
     worths: list[Worth]
     now: int
-    gain: float = 1.0                        # as `gain_for` tells
+    gain: float = 1.0  # as `gain_for` tells
     state: str = "calm"
     share: float = 1.0
-    carried: float = 0.0                     # work acked a second, smoothed
-    known: float = 0.0                       # work a second that was carried in time, lately
-    limit: float = 0.0                       # work a second that is let in while limited
-    high: int = 0                            # looks in a row with the pressure beyond
-    join: int = 0                            # looks in a row in which the others shed
+    carried: float = 0.0  # work acked a second, smoothed
+    known: float = 0.0  # work a second that was carried in time, lately
+    limit: float = 0.0  # work a second that is let in while limited
+    high: int = 0  # looks in a row with the pressure beyond
+    join: int = 0  # looks in a row in which the others shed
     fits_since: Optional[int] = None
     stuck_since: Optional[int] = None
     jam_until: int = 0
@@ -260,13 +319,13 @@
     def step(self, now: int, seen: Totals, others: Optional[float] = None) -> Answer:
         """`others`: the middle of what the other pilots answer."""
         span, self.now = now - self.now, now
-        if span > GAP:                       # stopped meanwhile: the others' answer holds until there is one of its own
+        if span > GAP:  # stopped meanwhile: the others' answer holds until there is one of its own
             self._begin_anew(seen, 1.0 if others is None else others)
             return self._answer(seen)
         self.carried += SMOOTH * (seen.acked - self.carried) if self.carried else seen.acked
         if seen.pressure <= ENGAGE:
             self.known = max(self.known, self.carried)
-        elif self.state == "limited":        # busy, and yet less is carried: that is what there is
+        elif self.state == "limited":  # busy, and yet less is carried: that is what there is
             self.known = max(self.carried, FADE * self.known)
         self.high = self.high + 1 if seen.pressure > ENGAGE else 0
         looks = ENGAGE_BLIND if not self.known else 1 if seen.pressure > ENGAGE_AT_ONCE else ENGAGE_LOOKS
@@ -282,7 +341,11 @@
         elif self.state == "jam":
             self._end_jam(now, seen)
         self._look_for_jam(now, seen)
-        own = 1.0 if self.state == "calm" else min(1.0, max(SHARE_LEAST, self.limit / seen.offered if seen.offered else 1.0))
+        own = (
+            1.0
+            if self.state == "calm"
+            else min(1.0, max(SHARE_LEAST, self.limit / seen.offered if seen.offered else 1.0))
+        )
         if others is not None and self.state != "calm":
             own += PULL * (others - own)
         self.share = own
@@ -298,9 +361,11 @@
 
     def _follow(self, now: int, span: int, seen: Totals) -> None:
         fits = seen.pressure < ENGAGE and seen.offered < FITS * self.known
-        if seen.pressure < EASE or fits:     # an op may take long though nothing waits: what was carried before is let in again
+        if (
+            seen.pressure < EASE or fits
+        ):  # an op may take long though nothing waits: what was carried before is let in again
             self.limit = max(self.limit, self.carried) + RISE * max(self.known, self.carried) * span / 1e6
-        elif seen.pressure < AIM:            # nobody waits for long: what falls is what comes, not what can be carried
+        elif seen.pressure < AIM:  # nobody waits for long: what falls is what comes, not what can be carried
             self.limit = max(self._carriable(seen), self.limit)
         else:
             self.limit = self._carriable(seen)
@@ -314,14 +379,21 @@
 
     def _look_for_jam(self, now: int, seen: Totals) -> None:
         """What comes would fit into what was carried before, and yet the endpoints are behind: the jam keeps itself up."""
-        stuck = (self.state != "jam" and seen.offered < JAM_FITS * self.known and seen.pressure > ENGAGE
-                 and self.carried > JAM_CARRIES * self.known)   # where next to nothing is carried the cause is still there
+        stuck = (
+            self.state != "jam"
+            and seen.offered < JAM_FITS * self.known
+            and seen.pressure > ENGAGE
+            and self.carried > JAM_CARRIES * self.known
+        )  # where next to nothing is carried the cause is still there
         if not stuck:
             self.stuck_since = None
         elif self.stuck_since is None:
             self.stuck_since = now
         elif now - self.stuck_since >= JAM_AFTER and now >= self.jam_not_before:
-            self._enter("jam", f"{seen.offered:.0f} of work a second come, {self.known:.0f} were carried, {self.carried:.0f} are")
+            self._enter(
+                "jam",
+                f"{seen.offered:.0f} of work a second come, {self.known:.0f} were carried, {self.carried:.0f} are",
+            )
             self.jam_until, self.jam_not_before = now + JAM_MOST, now + JAM_MOST + JAM_AGAIN
             self.limit = JAM_SHARE * self.known
 
@@ -348,13 +420,14 @@
 @dataclass
 class Lane:
     """One endpoint as this pilot's proxies meet it; amounts fall away with time."""
+
     tries: float = 0.0
     acked: float = 0.0
     full: float = 0.0
-    came: float = 0.0                        # ops for its slices, the rejected too
-    open: float = 0.0                        # under way, as proxies told last
-    trim: float = 1.0                        # its share against the fleet's
-    behind: int = 0                          # looks in a row with its pressure beyond
+    came: float = 0.0  # ops for its slices, the rejected too
+    open: float = 0.0  # under way, as proxies told last
+    trim: float = 1.0  # its share against the fleet's
+    behind: int = 0  # looks in a row with its pressure beyond
 
 
 class Lanes:
@@ -369,7 +442,7 @@
         self.span = span
         self.settled_at = 0
         self.lanes: defaultdict[str, Lane] = defaultdict(Lane)
-        self.held: dict[str, dict[str, float]] = {}   # by who told: what it has under way at each endpoint
+        self.held: dict[str, dict[str, float]] = {}  # by who told: what it has under way at each endpoint
 
     def met(self, endpoint: str, tries: float, aborted: float, full: float = 0.0) -> None:
         """`full`: of the aborted, those that the endpoint had no room for."""
@@ -395,7 +468,12 @@
         left = math.exp((self.settled_at - now) / self.span) if now > self.settled_at else 1.0
         self.settled_at = max(now, self.settled_at)
         for lane in self.lanes.values() if left < 1.0 else ():
-            lane.tries, lane.acked, lane.full, lane.came = lane.tries * left, lane.acked * left, lane.full * left, lane.came * left
+            lane.tries, lane.acked, lane.full, lane.came = (
+                lane.tries * left,
+                lane.acked * left,
+                lane.full * left,
+                lane.came * left,
+            )
 
     def _pressure(self, lane: Lane) -> Optional[float]:
         if lane.acked + lane.full + lane.open < 1:
@@ -415,7 +493,11 @@
             elif lane.tries + lane.came + lane.open < 0.01:
                 del self.lanes[endpoint]
         if told and not any(ops > ACKED_LEAST for _, ops in told):
-            told = [(pressure, lane.open) for lane in self.lanes.values() if (pressure := self._pressure(lane)) is not None]
+            told = [
+                (pressure, lane.open)
+                for lane in self.lanes.values()
+                if (pressure := self._pressure(lane)) is not None
+            ]
         return weighted_middle(told), sum(ops for _, ops in told) * 1e6 / self.span
 
     def shares(self, now: int, share: float) -> dict[str, float]:
@@ -435,7 +517,9 @@
                 continue
             to = part / usual if share < 1.0 else part if pressed else lane.trim * LANE_RISE
             lane.trim += LANE_SMOOTH * (min(LANE_MOST, max(LANE_LEAST, to)) - lane.trim)
-        found = {endpoint: min(1.0, share * lane.trim) for endpoint, lane in self.lanes.items() if lane.trim != 1.0}
+        found = {
+            endpoint: min(1.0, share * lane.trim) for endpoint, lane in self.lanes.items() if lane.trim != 1.0
+        }
         return {endpoint: own for endpoint, own in found.items() if abs(own - share) > 0.01 * share}
 
     def _wanted(self, lane: Lane) -> Optional[float]:
--- a/cedarshift/judge/redial.py
+++ b/cedarshift/judge/redial.py
@@ -4,12 +4,13 @@
 most (M. Brooker, Exponential Backoff and Jitter, 2015). The published form cuts what is drawn at the most, where those that
 failed together meet again; here the range is cut, so that they never do.
 """
+
 from __future__ import annotations
 
 from typing import Callable
 
-ASKED_MOST = 10_000_000   # us; no peer may send anyone away for longer
-GROWS = 3                 # times the last wait; the mean of a wait is then twice the last one's
+ASKED_MOST = 10_000_000  # us; no peer may send anyone away for longer
+GROWS = 3  # times the last wait; the mean of a wait is then twice the last one's
 
 
 class Redial:
--- a/cedarshift/judge/roll.py
+++ b/cedarshift/judge/roll.py
@@ -11,6 +11,7 @@
 
 No I/O; times are whole microseconds of one clock, passed in. Ownership of slices never follows from the roll.
 """
+
 from __future__ import annotations
 
 import math
@@ -19,26 +20,30 @@
 from typing import Callable, Iterable, NamedTuple, Optional
 
 # Constants: unit, then the reason for the size.
-OBSERVERS = 8             # observers of a member: one or two slow or dead ones among them decide nothing
-SHARE_LEAST = 0.6         # of a subject's sound observers that must report it, however long one waits
-PATIENCE_FIRST = 1.0      # periods from the first report until a verdict when every observer reports: vouchers take as long
-PATIENCE_MORE = 8.0       # periods more for all observers that do not report, in proportion
-SETTLED = 0.75            # periods without a new report of anyone: what fails together is judged together
-SETTLED_MOST = 4.0        # periods from a subject's first report after which it is judged though others keep coming
-SETTLED_FEW = 2.0         # the same where few are reported: a cut's silences are found within a period of each other, and told in one more
-FEW_PART = 0.2            # of the configured; while no more are reported and vouched for by nobody, what still comes turns no majority
-VOUCHER_FOR = 5.0         # periods that a proof of life stands against reports
-CUT_AFTER = 2.0           # periods of reports and vouchers side by side after which a member counts as cut
-TORN_PART = 1 / 3         # of the usable members that some hear and others don't: then news travels by few links, and slowly
-TORN_LEAST = 3            # members, so that a single link that fails is none of it
-TORN_PATIENCE = 4.0       # times the patience while it is so
-TORN_VOUCHER = 2.5        # times that a proof of life stands: it is that much older when it has come by many hands
-UPGRADE_AFTER = 6.0       # periods that a side has to be most before what it found as a minority counts as agreed
-WEAK_AFTER = 2.0          # periods of reports and no voucher after which a member's own reports count for nothing, however few say so
-HEARD_WITHIN = 2.0        # periods beyond its patience that one waits to hear most of its own subjects, before it speaks for few only
-STEADY = 2.0              # periods that a side has to be most before its verdict counts: after a heal all are to be probed first
-SAMPLE_PART = 0.7         # of its subjects, where they are a sample of a larger fleet: half a fleet's sample rarely shows so many
-REPORTS_LEAST = 2         # observers, where there are so many: one alone may be the faulty one
+OBSERVERS = 8  # observers of a member: one or two slow or dead ones among them decide nothing
+SHARE_LEAST = 0.6  # of a subject's sound observers that must report it, however long one waits
+PATIENCE_FIRST = (
+    1.0  # periods from the first report until a verdict when every observer reports: vouchers take as long
+)
+PATIENCE_MORE = 8.0  # periods more for all observers that do not report, in proportion
+SETTLED = 0.75  # periods without a new report of anyone: what fails together is judged together
+SETTLED_MOST = 4.0  # periods from a subject's first report after which it is judged though others keep coming
+SETTLED_FEW = 2.0  # the same where few are reported: a cut's silences are found within a period of each other, and told in one more
+FEW_PART = 0.2  # of the configured; while no more are reported and vouched for by nobody, what still comes turns no majority
+VOUCHER_FOR = 5.0  # periods that a proof of life stands against reports
+CUT_AFTER = 2.0  # periods of reports and vouchers side by side after which a member counts as cut
+TORN_PART = (
+    1 / 3
+)  # of the usable members that some hear and others don't: then news travels by few links, and slowly
+TORN_LEAST = 3  # members, so that a single link that fails is none of it
+TORN_PATIENCE = 4.0  # times the patience while it is so
+TORN_VOUCHER = 2.5  # times that a proof of life stands: it is that much older when it has come by many hands
+UPGRADE_AFTER = 6.0  # periods that a side has to be most before what it found as a minority counts as agreed
+WEAK_AFTER = 2.0  # periods of reports and no voucher after which a member's own reports count for nothing, however few say so
+HEARD_WITHIN = 2.0  # periods beyond its patience that one waits to hear most of its own subjects, before it speaks for few only
+STEADY = 2.0  # periods that a side has to be most before its verdict counts: after a heal all are to be probed first
+SAMPLE_PART = 0.7  # of its subjects, where they are a sample of a larger fleet: half a fleet's sample rarely shows so many
+REPORTS_LEAST = 2  # observers, where there are so many: one alone may be the faulty one
 
 ALIVE, SUSPECT, CUT, DEAD, LEFT, UNHEARD = "alive", "suspect", "cut", "dead", "left", "unheard"
 USABLE = (ALIVE, SUSPECT, CUT)
@@ -46,6 +51,7 @@
 
 class Word(NamedTuple):
     """Ordered by start, then by having left, then by incarnation."""
+
     start: int
     left: bool
     incarnation: int
@@ -54,6 +60,7 @@
 class Edge(NamedTuple):
     """Ordered by the observer's start, then by `seq`, which the observer counts up. `at`: when its proof of life was sent, or
     when the silence was found (us, this clock; as old as was told when it was heard first)."""
+
     observer_start: int
     seq: int
     at: int
@@ -65,6 +72,7 @@
 
 class Verdict(NamedTuple):
     """`side`: how many members stood on the side that agreed."""
+
     start: int
     incarnation: int
     side: int
@@ -72,6 +80,7 @@
 
 class Change(NamedTuple):
     """One member's new state and what it rests on."""
+
     name: str
     before: str
     after: str
@@ -102,8 +111,10 @@
         self.names = names
         self.count = min(count, max(0, len(names) - 1))
         self.all = len(names) <= count + 1
-        self.orders = [sorted(names, key=lambda name: (blake2b(f"{ring}/{name}".encode(), digest_size=8).digest(), name))
-                       for ring in range(self.count)]
+        self.orders = [
+            sorted(names, key=lambda name: (blake2b(f"{ring}/{name}".encode(), digest_size=8).digest(), name))
+            for ring in range(self.count)
+        ]
         self.places = [{name: at for at, name in enumerate(order)} for order in self.orders]
 
     def _next(self, name: str, usable: Callable[[str], bool], step: int) -> list[str]:
@@ -135,18 +146,20 @@
         self.period = period
         self.rings = Rings(self.names)
         self.words: dict[str, Word] = {}
-        self.edges: dict[str, dict[str, Edge]] = {}      # subject -> observer -> edge
+        self.edges: dict[str, dict[str, Edge]] = {}  # subject -> observer -> edge
         self.verdicts: dict[str, Verdict] = {}
-        self.doomed: dict[str, Verdict] = {}             # what this side found while it was no majority; told to nobody else
+        self.doomed: dict[
+            str, Verdict
+        ] = {}  # what this side found while it was no majority; told to nobody else
         self.states = {name: UNHEARD for name in self.names}
-        self.since: dict[str, int] = {}                  # when the first of the standing reports of a subject was learnt
-        self.changed_at: dict[str, int] = {}             # when a member came to its state
-        self.newest_report = -10 ** 18
-        self.digest = 0                                  # of all words and verdicts
-        self.silences = 0                                # of all silent edges that stand, as of the last look
-        self.doubted = 0                                 # members reported and vouched for by nobody, at the last look
-        self.most_since: Optional[int] = None            # since when this side is most of the configured
-        self.stale = True                                # something was merged since the last look
+        self.since: dict[str, int] = {}  # when the first of the standing reports of a subject was learnt
+        self.changed_at: dict[str, int] = {}  # when a member came to its state
+        self.newest_report = -(10**18)
+        self.digest = 0  # of all words and verdicts
+        self.silences = 0  # of all silent edges that stand, as of the last look
+        self.doubted = 0  # members reported and vouched for by nobody, at the last look
+        self.most_since: Optional[int] = None  # since when this side is most of the configured
+        self.stale = True  # something was merged since the last look
         self.look_at = 0
 
     # ---- merging: commutative, associative, idempotent
@@ -170,8 +183,9 @@
             return False
         known = self.edges.get(subject, {}).get(observer)
         word = self.words.get(subject)
-        if (known is not None and edge[:2] <= known[:2]) or (word is not None and (edge.start, edge.incarnation) < (
-                word.start, word.incarnation)):
+        if (known is not None and edge[:2] <= known[:2]) or (
+            word is not None and (edge.start, edge.incarnation) < (word.start, word.incarnation)
+        ):
             return False
         self.edges.setdefault(subject, {})[observer] = edge
         if not edge.hears and (known is None or known.hears or known[4:] != edge[4:]):
@@ -182,7 +196,11 @@
     def merge_verdict(self, name: str, verdict: Verdict) -> bool:
         """Taken over where most of the configured stood behind it; a minority's is its own."""
         word, known = self.words.get(name), self.verdicts.get(name)
-        if name not in self.states or 2 * verdict.side <= len(self.names) or (known is not None and verdict <= known):
+        if (
+            name not in self.states
+            or 2 * verdict.side <= len(self.names)
+            or (known is not None and verdict <= known)
+        ):
             return False
         if word is not None and self._past(verdict, word):
             return False
@@ -208,7 +226,9 @@
     def _fold(self, name: str, said: Optional[tuple]) -> None:
         """Two members with the same digest hold the same words and verdicts. A verdict's side is left out: it is told once."""
         if said is not None:
-            self.digest ^= _hashed(f"{name} {said[:2] if isinstance(said, Verdict) else tuple(said)} {type(said).__name__}")
+            self.digest ^= _hashed(
+                f"{name} {said[:2] if isinstance(said, Verdict) else tuple(said)} {type(said).__name__}"
+            )
 
     # ---- what follows
 
@@ -223,39 +243,67 @@
         word = self.words.get(subject)
         if word is None:
             return {}
-        return {observer: edge for observer, edge in self.edges.get(subject, {}).items()
-                if (edge.start, edge.incarnation) == (word.start, word.incarnation) and self._stands(observer, edge)}
+        return {
+            observer: edge
+            for observer, edge in self.edges.get(subject, {}).items()
+            if (edge.start, edge.incarnation) == (word.start, word.incarnation)
+            and self._stands(observer, edge)
+        }
 
     def _stands(self, observer: str, edge: Edge) -> bool:
         word = self.words.get(observer)
-        return (word is not None and (edge.observer_start, edge.observer_incarnation) == (word.start, word.incarnation)
-                and self.states[observer] in USABLE)
-
-    def look(self, now: int, health: int = 0, heard: Callable[[str], Optional[int]] = lambda name: 1 << 62) -> list[Change]:
+        return (
+            word is not None
+            and (edge.observer_start, edge.observer_incarnation) == (word.start, word.incarnation)
+            and self.states[observer] in USABLE
+        )
+
+    def look(
+        self, now: int, health: int = 0, heard: Callable[[str], Optional[int]] = lambda name: 1 << 62
+    ) -> list[Change]:
         """Brings the states up to now; what changed. Nothing is looked at again before something was merged or is due.
         `heard`: when a probe of one's own to a subject was sent that was answered, the newest."""
         if not self.stale and now < self.look_at:
             return []
-        self.stale, self.look_at = False, now + 10 ** 12
+        self.stale, self.look_at = False, now + 10**12
         before = dict(self.states)
         standing = {name: found for name in self.names if (found := self.standing(name))}
-        silent = {name: {o for o, edge in found.items() if not edge.hears} for name, found in standing.items()}
+        silent = {
+            name: {o for o, edge in found.items() if not edge.hears} for name, found in standing.items()
+        }
+
         def fresh(torn: bool) -> dict[str, set[str]]:
-            return {name: {o for o, edge in found.items() if edge.hears and now - edge.at <= self._good_for(name, edge, torn)}
-                    for name, found in standing.items()}
+            return {
+                name: {
+                    o
+                    for o, edge in found.items()
+                    if edge.hears and now - edge.at <= self._good_for(name, edge, torn)
+                }
+                for name, found in standing.items()
+            }
+
         here = [name for name in self.names if self.usable(name) or name == self.me]
         vouched = fresh(True)
         mixed = sum(bool(silent.get(name)) and bool(vouched.get(name)) for name in here)
         torn = mixed >= max(TORN_LEAST, TORN_PART * len(here))
         vouched = fresh(torn)
-        weak = {name for name, some in silent.items() if not vouched[name] and len(some) >= REPORTS_LEAST
-                and (2 * len(some) >= len(self.rings.observers(name, self.usable))
-                     or now - self.since.get(name, now) >= WEAK_AFTER * self.period)}
+        weak = {
+            name
+            for name, some in silent.items()
+            if not vouched[name]
+            and len(some) >= REPORTS_LEAST
+            and (
+                2 * len(some) >= len(self.rings.observers(name, self.usable))
+                or now - self.since.get(name, now) >= WEAK_AFTER * self.period
+            )
+        }
         reported = {name: some - weak for name, some in silent.items()}
         # Who is reported and vouched for by nobody may be on the other side of a cut that is just being found.
         side = sum(name == self.me or not silent.get(name) or bool(vouched.get(name)) for name in here)
         self.doubted = len(here) - side
-        self.most_since = (now if self.most_since is None else self.most_since) if 2 * side > len(self.names) else None
+        self.most_since = (
+            (now if self.most_since is None else self.most_since) if 2 * side > len(self.names) else None
+        )
         slowly = (1 + health / 2) * (TORN_PATIENCE if torn else 1.0)
         evidence: dict[str, tuple[tuple[str, ...], tuple[str, ...]]] = {}
         for name in self.names:
@@ -272,21 +320,49 @@
         for name, some in silent.items():
             for observer in some:
                 self.silences ^= _hashed(f"{observer} {name} {standing[name][observer][:2]}")
-        return [Change(name, before[name], self.states[name], *self._life(name), *evidence.get(name, ((), ())),
-                       verdict.side if (verdict := self.dead(name)) is not None else side, len(self.names))
-                for name in self.names if self.states[name] != before[name]]
-
-    def _judge(self, now: int, name: str, reporters: set[str], vouchers: set[str], weak: set[str], side: int,
-               slowly: float, torn: bool, heard: Callable[[str], Optional[int]]) -> None:
+        return [
+            Change(
+                name,
+                before[name],
+                self.states[name],
+                *self._life(name),
+                *evidence.get(name, ((), ())),
+                verdict.side if (verdict := self.dead(name)) is not None else side,
+                len(self.names),
+            )
+            for name in self.names
+            if self.states[name] != before[name]
+        ]
+
+    def _judge(
+        self,
+        now: int,
+        name: str,
+        reporters: set[str],
+        vouchers: set[str],
+        weak: set[str],
+        side: int,
+        slowly: float,
+        torn: bool,
+        heard: Callable[[str], Optional[int]],
+    ) -> None:
         """Finds a verdict where the reports are enough, in time, and nobody sound vouches. A minority's verdict becomes one of
         most as soon as its side is."""
         word, dead = self.words[name], self.dead(name)
         agreed = 2 * side > len(self.names)
         if not reporters:
             self.since.pop(name, None)
-        if not reporters or word.left or (dead is not None and (not agreed or 2 * dead.side > len(self.names))):
+        if (
+            not reporters
+            or word.left
+            or (dead is not None and (not agreed or 2 * dead.side > len(self.names)))
+        ):
             return
-        if dead is not None and self.most_since is not None and now - self.most_since < UPGRADE_AFTER * self.period:
+        if (
+            dead is not None
+            and self.most_since is not None
+            and now - self.most_since < UPGRADE_AFTER * self.period
+        ):
             self._look_again(math.ceil(self.most_since + UPGRADE_AFTER * self.period))
             return
         first = self.since.setdefault(name, now)
@@ -298,7 +374,11 @@
         due = math.ceil(max(first + patience, settled))
         others = sum(self.usable(one) for one in self.names if one not in (name, self.me)) + 1
         if vouchers:
-            ends = [edge.at + self._good_for(name, edge, torn) for edge in map(self.edges[name].get, vouchers) if edge is not None]
+            ends = [
+                edge.at + self._good_for(name, edge, torn)
+                for edge in map(self.edges[name].get, vouchers)
+                if edge is not None
+            ]
             due = max(due, math.ceil(max(ends)) + 1)
         if share < SHARE_LEAST or len(reporters) < min(REPORTS_LEAST, others):
             self._look_again(math.ceil(now + self.period))
@@ -343,7 +423,9 @@
             return DEAD
         if not reporters:
             return ALIVE
-        if self.states[name] == CUT or (vouchers and now - self.since.get(name, now) >= CUT_AFTER * self.period):
+        if self.states[name] == CUT or (
+            vouchers and now - self.since.get(name, now) >= CUT_AFTER * self.period
+        ):
             return CUT
         self._look_again(math.ceil(self.since.get(name, now) + CUT_AFTER * self.period))
         return SUSPECT
@@ -359,8 +441,11 @@
         """Edges that have lost their ground are dropped: a newer word or verdict stands against them for good."""
         for subject in list(self.edges):
             word = self.words.get(subject)
-            kept = {o: e for o, e in self.edges[subject].items()
-                    if word is None or (e.start, e.incarnation) >= (word.start, word.incarnation)}
+            kept = {
+                o: e
+                for o, e in self.edges[subject].items()
+                if word is None or (e.start, e.incarnation) >= (word.start, word.incarnation)
+            }
             if word is not None and word.left:
                 kept = {}
             if kept:
--- a/cedarshift/judge/spending.py
+++ b/cedarshift/judge/spending.py
@@ -5,16 +5,19 @@
 burst at once. So what lies in all buckets of a fleet is never above the whole's burst, but for the one token that a
 spender with a small rate may save up: over any span the fleet spends at most whole x (span + burst) + one token a spender.
 """
+
 from __future__ import annotations
 
 from collections import deque
 
 # Constants: unit, then the reason for the size.
-PARTS = 1_000             # of a token, in which rates are divided
-SECOND = 1_000_000        # us
-LOOKED_AT = 6             # samples of what was wished; the greatest of the last two and the mean of all count
+PARTS = 1_000  # of a token, in which rates are divided
+SECOND = 1_000_000  # us
+LOOKED_AT = 6  # samples of what was wished; the greatest of the last two and the mean of all count
 SPAN_LEAST = SECOND // 10  # us; a shorter span tells of single wishes
-HEADROOM = 1.25           # of a rate that is asked for over what was wished, so that growth finds room before it is refused
+HEADROOM = (
+    1.25  # of a rate that is asked for over what was wished, so that growth finds room before it is refused
+)
 
 
 class Bucket:
@@ -23,10 +26,10 @@
     def __init__(self, burst: int, drift: float, now: int) -> None:
         self.burst = burst
         self.drift = drift
-        self.rate = 0                        # parts a second
+        self.rate = 0  # parts a second
         self.until = now
         self.at = now
-        self.level = 0.0                     # tokens
+        self.level = 0.0  # tokens
         self.spent = 0
         self.refused = 0
 
@@ -74,7 +77,7 @@
     def __init__(self, now: int) -> None:
         self.since = now
         self.count = 0
-        self.samples: deque[tuple[int, int]] = deque(maxlen=LOOKED_AT)   # span, wishes
+        self.samples: deque[tuple[int, int]] = deque(maxlen=LOOKED_AT)  # span, wishes
 
     def wish(self) -> None:
         self.count += 1
--- a/cedarshift/judge/trials.py
+++ b/cedarshift/judge/trials.py
@@ -7,6 +7,7 @@
 Which pilot: the highest digest of endpoint and pilot among those that live and have proxies. Pilots that disagree on who lives may
 try twice for as long as they do; nothing else hangs on it. Spans are microseconds.
 """
+
 from __future__ import annotations
 
 from collections import Counter
@@ -18,18 +19,20 @@
 from cedarshift.judge.chance import Lcg
 
 # Constants: unit, then the reason for the size.
-SHUN_PART = 0.2           # of the fleet's proxies; fewer may have a bad way to it
-SHUN_LEAST = 2            # proxies, where there are so many
-PROBE_EVERY = 1_000_000   # us between two probes of the whole fleet; doubled each time that it was shut again soon
-PROBE_MOST = 8_000_000    # us
+SHUN_PART = 0.2  # of the fleet's proxies; fewer may have a bad way to it
+SHUN_LEAST = 2  # proxies, where there are so many
+PROBE_EVERY = (
+    1_000_000  # us between two probes of the whole fleet; doubled each time that it was shut again soon
+)
+PROBE_MOST = 8_000_000  # us
 PROBE_WITHIN = 3_000_000  # us for a probe to be told, made and reported
-GOOD_PROBES = 3           # in a row; what fails every second op passes one in eight times
-RAMP_FROM = 1 / 16        # of its share
-RAMP_EVERY = 1_000_000    # us until that is doubled: sums of the step before have come by then
-RAMP_TRIES = 4            # of a step, before its failures count
-RAMP_FAILS = 0.4          # share of them aborted
-REMEMBERED = 60_000_000   # us that a strike counts after an endpoint was well again
-TRIALS_MOST = 8           # told between pilots; more at a time are no single endpoints' matter
+GOOD_PROBES = 3  # in a row; what fails every second op passes one in eight times
+RAMP_FROM = 1 / 16  # of its share
+RAMP_EVERY = 1_000_000  # us until that is doubled: sums of the step before have come by then
+RAMP_TRIES = 4  # of a step, before its failures count
+RAMP_FAILS = 0.4  # share of them aborted
+REMEMBERED = 60_000_000  # us that a strike counts after an endpoint was well again
+TRIALS_MOST = 8  # told between pilots; more at a time are no single endpoints' matter
 
 
 @lru_cache(maxsize=1 << 16)
@@ -40,6 +43,7 @@
 
 class Word(NamedTuple):
     """What a pilot tells: how many proxies it has, by tag how many of them shun an endpoint, and the share and strikes of those that it tries."""
+
     proxies: int
     shuns: dict[int, int]
     trials: dict[int, tuple[float, int]]
@@ -48,6 +52,7 @@
 @dataclass
 class Trial:
     """`share` 0: shut, probed; else growing. `prober` was let try it `asked_at`."""
+
     share: float
     strikes: int
     since: int
@@ -65,10 +70,10 @@
     def __init__(self, me: str, seed: int) -> None:
         self.me = me
         self.chance = Lcg(seed)
-        self.shuns: dict[str, frozenset[str]] = {}   # by proxy
-        self.words: dict[str, Word] = {}             # by other pilot
+        self.shuns: dict[str, frozenset[str]] = {}  # by proxy
+        self.words: dict[str, Word] = {}  # by other pilot
         self.mine: dict[str, Trial] = {}
-        self.struck: dict[str, tuple[int, int]] = {}   # endpoint -> strikes, until when they count
+        self.struck: dict[str, tuple[int, int]] = {}  # endpoint -> strikes, until when they count
 
     # ---- what is known
 
@@ -97,8 +102,16 @@
 
     def owner(self, endpoint: str, living: Iterable[str]) -> str:
         """The pilot whose trial it is."""
-        able = [name for name in living if (len(self.shuns) if name == self.me else name in self.words and self.words[name].proxies)]
-        return max(able, key=lambda name: (blake2b(f"{endpoint}/{name}".encode(), digest_size=8).digest(), name), default=self.me)
+        able = [
+            name
+            for name in living
+            if (len(self.shuns) if name == self.me else name in self.words and self.words[name].proxies)
+        ]
+        return max(
+            able,
+            key=lambda name: (blake2b(f"{endpoint}/{name}".encode(), digest_size=8).digest(), name),
+            default=self.me,
+        )
 
     def step(self, now: int, endpoints: Iterable[str], living: Iterable[str]) -> dict[str, float]:
         """Shares of endpoints that are on trial, here or at another pilot, 0 for shut; absent: as ever. `living`: this one among them."""
@@ -113,7 +126,7 @@
         for endpoint in listed:
             tag = tag_of(endpoint)
             if tag not in counts and tag not in told and endpoint not in self.mine:
-                continue                     # most are well: nobody has to be found for them
+                continue  # most are well: nobody has to be found for them
             owner = self.owner(endpoint, alive)
             if owner != self.me:
                 self.mine.pop(endpoint, None)
@@ -161,7 +174,7 @@
         elif trial.good >= GOOD_PROBES:
             trial.share, trial.next_at, trial.tries, trial.failed = RAMP_FROM, now + RAMP_EVERY, 0, 0
         elif trial.prober and now - trial.asked_at >= PROBE_WITHIN:
-            trial.prober, trial.good = "", 0     # no word of it: the proxy had no op to try it with, or has left
+            trial.prober, trial.good = "", 0  # no word of it: the proxy had no op to try it with, or has left
 
     def _grow(self, now: int, endpoint: str, trial: Trial) -> None:
         if trial.tries >= RAMP_TRIES and trial.failed > RAMP_FAILS * trial.tries:
@@ -175,8 +188,12 @@
     def probe(self, now: int, proxy: str) -> Optional[str]:
         """An endpoint that this proxy may try once now, chosen by lot among the proxies as they beat."""
         for endpoint, trial in self.mine.items():
-            if not trial.share and not trial.prober and now >= trial.next_at and (
-                    self.chance.draw(max(1, len(self.shuns))) == 0 or now >= trial.next_at + PROBE_EVERY):
+            if (
+                not trial.share
+                and not trial.prober
+                and now >= trial.next_at
+                and (self.chance.draw(max(1, len(self.shuns))) == 0 or now >= trial.next_at + PROBE_EVERY)
+            ):
                 trial.prober, trial.asked_at, trial.next_at = proxy, now, now + self._every(trial.strikes)
                 return endpoint
         return None
@@ -186,5 +203,8 @@
         counts = self._own_shuns()
         most = sorted(counts, key=lambda tag: (-counts[tag], tag))[:TRIALS_MOST]
         mine = sorted(self.mine, key=lambda endpoint: (self.mine[endpoint].since, endpoint))[:TRIALS_MOST]
-        return Word(len(self.shuns), {tag: counts[tag] for tag in most},
-                    {tag_of(endpoint): (self.mine[endpoint].share, self.mine[endpoint].strikes) for endpoint in mine})
+        return Word(
+            len(self.shuns),
+            {tag: counts[tag] for tag in most},
+            {tag_of(endpoint): (self.mine[endpoint].share, self.mine[endpoint].strikes) for endpoint in mine},
+        )
--- a/cedarshift/judge/trust.py
+++ b/cedarshift/judge/trust.py
@@ -8,31 +8,37 @@
 endpoint drains, is gone, or was found sick; good news that it is on. What this pilot hears first-hand stands beside
 them, and is never mixed into what it lends as its own.
 """
+
 from __future__ import annotations
 
 from typing import NamedTuple, Optional
 
 # Constants: unit, then the reason for the size.
-GOOD_HALF_LIFE = 10_000_000   # us; a list is confirmed every few seconds, so good news of 10 s ago is half a guess
-BAD_HALF_LIFE = 60_000_000    # us; believing for too long that an endpoint is bad costs room, the reverse costs rules
-SICK_HALF_LIFE = 30_000_000   # us; the module's own hold on a sick endpoint is 15 s, doubled with each strike
-HOP_SHARE = 0.7               # of the weight left by each borrowing: every hand is one that may have erred
-USE_GOOD = 0.5                # weight from which good news counts: fresh, and first-hand at the lender or nearly so
-USE_BAD = 0.1                 # weight from which bad news counts: an old warning is still one
-UNSOUND_SHARE = 0.5           # of the weight of good news left when the lender is cut off: bad news keeps its own
-LIST_LATE = 6_000_000         # us without a word from its list after which a lender counts as cut off from it
-DRIFT = 0.01                  # share by which a clock elsewhere may run slow
-DOUBT_MOST = 0.34             # share of the endpoints on this pilot's list that lenders may talk it out of: a lender
-                              # that calls more of them bad is wrong or lies, and must not empty a pool
-HOPS_MOST = 4                 # a fact handed on more often is not taken: its weight is under a quarter
+GOOD_HALF_LIFE = (
+    10_000_000  # us; a list is confirmed every few seconds, so good news of 10 s ago is half a guess
+)
+BAD_HALF_LIFE = (
+    60_000_000  # us; believing for too long that an endpoint is bad costs room, the reverse costs rules
+)
+SICK_HALF_LIFE = 30_000_000  # us; the module's own hold on a sick endpoint is 15 s, doubled with each strike
+HOP_SHARE = 0.7  # of the weight left by each borrowing: every hand is one that may have erred
+USE_GOOD = 0.5  # weight from which good news counts: fresh, and first-hand at the lender or nearly so
+USE_BAD = 0.1  # weight from which bad news counts: an old warning is still one
+UNSOUND_SHARE = 0.5  # of the weight of good news left when the lender is cut off: bad news keeps its own
+LIST_LATE = 6_000_000  # us without a word from its list after which a lender counts as cut off from it
+DRIFT = 0.01  # share by which a clock elsewhere may run slow
+DOUBT_MOST = 0.34  # share of the endpoints on this pilot's list that lenders may talk it out of: a lender
+# that calls more of them bad is wrong or lies, and must not empty a pool
+HOPS_MOST = 4  # a fact handed on more often is not taken: its weight is under a quarter
 
 ON, BAD = "on", ("fading", "off")
 
 
 class Word(NamedTuple):
     """What one source said of an endpoint's phase, ordered: newer revision, newer time, then the worse, then by name."""
+
     rev: int
-    heard: int            # us
+    heard: int  # us
     bad: bool
     phase: str
     start: str
@@ -42,6 +48,7 @@
 
 class Ill(NamedTuple):
     """Found sick by a pilot's sums: until when, told when."""
+
     until: int
     heard: int
     hops: int
@@ -50,6 +57,7 @@
 
 class Own(NamedTuple):
     """This pilot's own entry: what its list says, and when that list last answered."""
+
     phase: str
     start: str
     started: Optional[int]
@@ -74,11 +82,12 @@
 
 
 def weight(age: int, hops: int, half_life: int, sound: float = 1.0) -> float:
-    return 0.5 ** (age / half_life) * HOP_SHARE ** hops * sound
+    return 0.5 ** (age / half_life) * HOP_SHARE**hops * sound
 
 
 class Lender(NamedTuple):
     """What a lender says of itself, with the time at which its list had answered last, as seen from here."""
+
     life: str
     list_heard: int
     in_charge: bool
@@ -92,11 +101,13 @@
     """All that was borrowed of the endpoints."""
 
     def __init__(self) -> None:
-        self.good: dict[tuple[str, str], Word] = {}      # (endpoint, source)
+        self.good: dict[tuple[str, str], Word] = {}  # (endpoint, source)
         self.bad: dict[tuple[str, str], Word] = {}
-        self.starts: dict[tuple[str, str], int] = {}     # (endpoint, process) -> us at which it had started, at the latest
+        self.starts: dict[
+            tuple[str, str], int
+        ] = {}  # (endpoint, process) -> us at which it had started, at the latest
         self.ill: dict[str, Ill] = {}
-        self.sound: dict[str, float] = {}                # origin -> soundness of the lender that brought it
+        self.sound: dict[str, float] = {}  # origin -> soundness of the lender that brought it
         self.sources: dict[str, set[str]] = {}
 
     # ---- merging: the greatest of an order, whatever comes first
--- a/cedarshift/judge/write_stops.py
+++ b/cedarshift/judge/write_stops.py
@@ -11,6 +11,7 @@
    out; a proxy that joined meanwhile has read the store within the stated time. It counts only once an acknowledgement of anyone has
    been heard after all that: events come in order, so a break or a joining would have been heard before.
 """
+
 from __future__ import annotations
 
 from collections import deque
@@ -19,11 +20,11 @@
 from cedarshift.observations import Proxy, Slice
 
 # Constants: unit, then the reason for the size.
-BARRIERS = 65536          # barriers are numbered in a ring of this size
-ACKS_KEPT = 6_000_000     # 0.1 ms; a proxy away for longer acknowledged barriers that the ring may have passed
-READ_WITHIN = 10_000      # 0.1 ms; the wire page: a proxy that joins reads the store within a second
-NEVER = -(1 << 62)        # 0.1 ms; before any time
-OVERTAKEN_KEPT = 1024     # newest barriers of which it is remembered when a later one was acknowledged; a minute of batches has some 200
+BARRIERS = 65536  # barriers are numbered in a ring of this size
+ACKS_KEPT = 6_000_000  # 0.1 ms; a proxy away for longer acknowledged barriers that the ring may have passed
+READ_WITHIN = 10_000  # 0.1 ms; the wire page: a proxy that joins reads the store within a second
+NEVER = -(1 << 62)  # 0.1 ms; before any time
+OVERTAKEN_KEPT = 1024  # newest barriers of which it is remembered when a later one was acknowledged; a minute of batches has some 200
 
 
 def older(a: int, b: int) -> bool:
@@ -45,8 +46,10 @@
         self.lease = lease
         self.silent_after = max(longest_way, READ_WITHIN) + lease + READ_WITHIN
         self.proxies: dict[int, Proxy] = {}
-        self.newest: Optional[int] = None    # newest barrier that anyone acknowledged: the store holds all up to it
-        self.heard_at = NEVER                # when the newest acknowledgement was heard
+        self.newest: Optional[int] = (
+            None  # newest barrier that anyone acknowledged: the store holds all up to it
+        )
+        self.heard_at = NEVER  # when the newest acknowledgement was heard
         self.overtaken: deque[Overtaken] = deque(maxlen=OVERTAKEN_KEPT)
 
     # ---- inputs
@@ -55,7 +58,7 @@
         """A proxy's stream is established."""
         old = self.proxies.get(number)
         if old is not None and old.joined:
-            self._confirm_silent(old)        # a break that was not told of
+            self._confirm_silent(old)  # a break that was not told of
         if old is not None and not old.joined and now - old.left_at > ACKS_KEPT:
             old.acked = old.read = None
         new = self.proxies[number] = Proxy(zone, now, old)
@@ -99,7 +102,11 @@
         if proxy.acked is not None and not older(proxy.acked, revoked.mark):
             return proxy.acked_at
         away = max(proxy.read_from, revoked.given_at) + self.lease
-        if proxy.read is not None and not older(proxy.read, revoked.mark) and proxy.read_joined >= max(away, revoked.since):
+        if (
+            proxy.read is not None
+            and not older(proxy.read, revoked.mark)
+            and proxy.read_joined >= max(away, revoked.since)
+        ):
             return away
         if not proxy.joined:
             return proxy.left_at + self.lease
--- a/cedarshift/link/link.py
+++ b/cedarshift/link/link.py
@@ -1,4 +1,5 @@
 """Ties `codec.Session` to `loop.Stream`, for the side that accepts and for the side that dials."""
+
 from __future__ import annotations
 
 from typing import Callable, Optional
@@ -9,8 +10,8 @@
 from cedarshift.loop import Listener, Loop, Stream, StreamBroken, TimedOut, dial
 from cedarshift.loop.core import Coroutine
 
-HANDSHAKE = 3_000_000     # us that a peer may take from the connect to an open session
-LAST_WORDS = 500_000      # us for a Bye to leave before the stream is closed
+HANDSHAKE = 3_000_000  # us that a peer may take from the connect to an open session
+LAST_WORDS = 500_000  # us for a Bye to leave before the stream is closed
 
 
 class Link:
@@ -53,7 +54,7 @@
             try:
                 self.stream.write(self.session.send(message))
             except StreamBroken:
-                pass                         # the stream is closed by now, and its reader woken with the reason
+                pass  # the stream is closed by now, and its reader woken with the reason
 
     def send_frame(self, frame: bytes) -> None:
         if not self.closed:
@@ -89,8 +90,13 @@
         return []
 
 
-def serve(loop: Loop, listener: Listener, make_session: Callable[[], Session],
-          talk: Callable[[Link, list[m.Message]], Coroutine], report: Callable[..., None]) -> Coroutine:
+def serve(
+    loop: Loop,
+    listener: Listener,
+    make_session: Callable[[], Session],
+    talk: Callable[[Link, list[m.Message]], Coroutine],
+    report: Callable[..., None],
+) -> Coroutine:
     """Accepts for ever. Each connection has a task of its own: handshake, then `talk(link, first messages)`.
 
     What ends a session is reported with the peer's name and harms no other."""
@@ -99,8 +105,13 @@
         loop.spawn(_one(loop, stream, make_session(), talk, report), f"session {stream.peer}")
 
 
-def _one(loop: Loop, stream: Stream, session: Session, talk: Callable[[Link, list[m.Message]], Coroutine],
-         report: Callable[..., None]) -> Coroutine:
+def _one(
+    loop: Loop,
+    stream: Stream,
+    session: Session,
+    talk: Callable[[Link, list[m.Message]], Coroutine],
+    report: Callable[..., None],
+) -> Coroutine:
     link = Link(loop, stream, session)
     session.start()
     who = stream.peer
--- a/cedarshift/load/arrivals.py
+++ b/cedarshift/load/arrivals.py
@@ -3,6 +3,7 @@
 The times come from one stream whatever the number of workers: each worker draws all of them and keeps its own, so a run
 on two processes has the same arrivals as one on eight. What an op is comes from its number, so a change of mix moves no time.
 """
+
 from __future__ import annotations
 
 import math
@@ -11,12 +12,13 @@
 from itertools import accumulate
 from typing import Iterator, NamedTuple
 
-STEP = 5_000              # us over which the intensity is taken as constant: small beside any shape that is asked for
+STEP = 5_000  # us over which the intensity is taken as constant: small beside any shape that is asked for
 KEYS_MOST = 10_000_000
 
 
 class OpMix(NamedTuple):
     """An op type of the load. `work`: us that it asks of an endpoint, its mean."""
+
     name: str
     share: float
     op_timeout: int
@@ -30,6 +32,7 @@
     "ramp": the rate goes from `start` to `end` times, and stays there; "wave": it swings by `depth` with `period`; "burst": `end`
     times; "hot_key": `share` of all ops ask for one key; "shift": `share` of all ops turn to the target number `target`;
     "mix": the op types' shares are those of `shares`."""
+
     kind: str
     at: int
     span: int
@@ -45,6 +48,7 @@
 class LoadPlan(NamedTuple):
     """`rate` in ops a second; `arrivals`: "poisson", "bursty" (two states, `burst_times` the mean rate in one, `burst_span` us there
     and `calm_span` in the other), "heavy" (gaps of a Pareto kind with `tail` above 1: the smaller, the heavier), "even"."""
+
     rate: float
     length: int
     ops: tuple[OpMix, ...]
@@ -65,6 +69,7 @@
 
 class Arrival(NamedTuple):
     """`at` in us from the load's begin."""
+
     number: int
     at: int
     op: OpMix
@@ -82,7 +87,7 @@
         self.shapes = [shape for shape in plan.shapes if shape.kind in ("ramp", "wave", "burst")]
         self.chance = random.Random(f"{plan.seed} states")
         self.burst = False
-        self.until = 0                       # when the state changes
+        self.until = 0  # when the state changes
         calm, burst = plan.calm_span, plan.burst_span
         # The calm state's factor, so that the mean over both is one.
         self.calm_times = max(0.0, (calm + burst - plan.burst_times * burst) / calm)
@@ -122,7 +127,7 @@
     """Gaps of mean one, in ops: the intensity says how long that is."""
     chance = random.Random(f"{plan.seed} gaps")
     while True:
-        if plan.arrivals == "heavy":         # Lomax, scaled to mean one
+        if plan.arrivals == "heavy":  # Lomax, scaled to mean one
             yield (plan.tail - 1) * ((1 - chance.random()) ** (-1 / plan.tail) - 1)
         elif plan.arrivals == "even":
             yield 1.0
@@ -160,20 +165,20 @@
     def __init__(self, plan: LoadPlan) -> None:
         self.plan = plan
         chance = random.Random(f"{plan.seed} clients")
-        sigma = math.sqrt(math.log(1 + plan.sizes_cv ** 2))
+        sigma = math.sqrt(math.log(1 + plan.sizes_cv**2))
         self.clients = list(accumulate(math.exp(chance.gauss(0, sigma)) for _ in range(plan.clients)))
         self.homes = [chance.randrange(plan.targets) for _ in range(plan.clients)]
         self.keys = list(accumulate((n + 1) ** -plan.zipf for n in range(plan.keys)))
         self.mix = list(accumulate(op.share for op in plan.ops))
         self.turns = [shape for shape in plan.shapes if shape.kind in ("hot_key", "shift", "mix")]
-        self.sigma = math.sqrt(math.log(1 + plan.work_cv ** 2))
+        self.sigma = math.sqrt(math.log(1 + plan.work_cv**2))
 
     def draw(self, number: int, at: int) -> Arrival:
         chance = random.Random(self.plan.seed << 32 ^ number)
         op = self.plan.ops[_drawn(self.mix, chance)]
         key, client = f"k{_drawn(self.keys, chance)}", _drawn(self.clients, chance)
         target = self.homes[client]
-        work = int(op.work * math.exp(chance.gauss(-self.sigma ** 2 / 2, self.sigma)))
+        work = int(op.work * math.exp(chance.gauss(-(self.sigma**2) / 2, self.sigma)))
         for shape in self.turns:
             if shape.at <= at < shape.at + shape.span:
                 luck = chance.random()
--- a/cedarshift/load/latency.py
+++ b/cedarshift/load/latency.py
@@ -2,6 +2,7 @@
 
 Kept in HdrHistogram (1 us to 20 minutes, three digits), which merges without loss and is exported in its own coding.
 """
+
 from __future__ import annotations
 
 from collections import Counter
@@ -9,7 +10,7 @@
 
 from hdrh.histogram import HdrHistogram
 
-MOST = 1_200_000_000      # us
+MOST = 1_200_000_000  # us
 DIGITS = 3
 SHOWN = (50.0, 90.0, 99.0, 99.9, 100.0)
 
@@ -46,14 +47,20 @@
 
     def export(self) -> dict[str, Any]:
         """Without loss: the histograms in their own compressed coding, as text."""
-        return {"acked": {name: one.encode().decode() for name, one in sorted(self.acked.items())},
-                "outcomes": {name: dict(sorted(counts.items())) for name, counts in sorted(self.outcomes.items())},
-                "late": self.late.encode().decode()}
+        return {
+            "acked": {name: one.encode().decode() for name, one in sorted(self.acked.items())},
+            "outcomes": {
+                name: dict(sorted(counts.items())) for name, counts in sorted(self.outcomes.items())
+            },
+            "late": self.late.encode().decode(),
+        }
 
     def percentiles(self) -> dict[str, dict[str, float]]:
         """In ms, by op type."""
-        return {name: {f"p{share:g}": one.get_value_at_percentile(share) / 1000 for share in SHOWN}
-                for name, one in sorted(self.acked.items())}
+        return {
+            name: {f"p{share:g}": one.get_value_at_percentile(share) / 1000 for share in SHOWN}
+            for name, one in sorted(self.acked.items())
+        }
 
 
 def read_back(exported: dict[str, Any]) -> Latencies:
--- a/cedarshift/load/plan.py
+++ b/cedarshift/load/plan.py
@@ -1,4 +1,5 @@
 """Load files: HCL, checked with file, line and reason."""
+
 from __future__ import annotations
 
 import os
@@ -13,21 +14,49 @@
 SHAPES: dict[str, dict[str, Any]] = {
     "ramp": {**AT, "from": (hcl.number(0, 1000), 1.0), "to": (hcl.number(0, 1000), MUST)},
     "wave": {**AT, "depth": (hcl.number(0, 1), MUST), "period": (hcl.span(10_000), MUST)},
-    "burst": {**AT, "times": (hcl.number(0, 1000), MUST)}, "hot_key": {**AT, "share": (hcl.number(0, 1), MUST)},
+    "burst": {**AT, "times": (hcl.number(0, 1000), MUST)},
+    "hot_key": {**AT, "share": (hcl.number(0, 1), MUST)},
     "shift": {**AT, "share": (hcl.number(0, 1), MUST), "target": (hcl.whole(0, 10_000), MUST)},
-    "mix": {**AT, "op_types": (hcl.texts, MUST), "shares": (lambda raw: _shares(raw), MUST)}}
-OP = hcl.Shape({"share": (hcl.number(0, 1000), 1.0), "op_timeout": (hcl.span(1_000), 6_000_000), "work": (hcl.span(), 100_000)})
-TRACE = hcl.Shape({
-    "file": (hcl.text, MUST), "unit": (hcl.choice(*traces.UNITS), "s"), "gap_most": (hcl.span(1_000), 60_000_000),
-    "gaps": (hcl.choice("keep", "close", "refuse"), "keep"), "back": (hcl.choice("sort", "drop", "refuse"), "sort"),
-    "empty": (hcl.choice("drop", "refuse"), "refuse"), "speed": (hcl.number(0.001, 1000), 1.0)})
-LOAD = hcl.Shape({
-    "targets": (hcl.addresses, MUST), "rate": (hcl.number(0.01, 1_000_000), 100.0), "length": (hcl.span(100_000), 10_000_000),
-    "workers": (hcl.whole(1, 64), 1), "seed": (hcl.whole(), 1), "arrivals": (hcl.choice("poisson", "bursty", "heavy", "even"), "poisson"),
-    "burst_times": (hcl.number(1, 1000), 4.0), "burst_span": (hcl.span(1_000), 500_000), "calm_span": (hcl.span(1_000), 2_000_000),
-    "tail": (hcl.number(1.05, 10), 1.6), "keys": (hcl.whole(1, KEYS_MOST), 2_000), "zipf": (hcl.number(0, 5), 0.8),
-    "clients": (hcl.whole(1, 100_000), 50), "sizes_cv": (hcl.number(0, 10), 0.6), "work_cv": (hcl.number(0, 10), 0.5)},
-    {"op_type": (OP, 1, 1, 64), "shape": (hcl.Shape({}), 1, 0, 100), "trace": (TRACE, 0, 0, 1)})
+    "mix": {**AT, "op_types": (hcl.texts, MUST), "shares": (lambda raw: _shares(raw), MUST)},
+}
+OP = hcl.Shape(
+    {
+        "share": (hcl.number(0, 1000), 1.0),
+        "op_timeout": (hcl.span(1_000), 6_000_000),
+        "work": (hcl.span(), 100_000),
+    }
+)
+TRACE = hcl.Shape(
+    {
+        "file": (hcl.text, MUST),
+        "unit": (hcl.choice(*traces.UNITS), "s"),
+        "gap_most": (hcl.span(1_000), 60_000_000),
+        "gaps": (hcl.choice("keep", "close", "refuse"), "keep"),
+        "back": (hcl.choice("sort", "drop", "refuse"), "sort"),
+        "empty": (hcl.choice("drop", "refuse"), "refuse"),
+        "speed": (hcl.number(0.001, 1000), 1.0),
+    }
+)
+LOAD = hcl.Shape(
+    {
+        "targets": (hcl.addresses, MUST),
+        "rate": (hcl.number(0.01, 1_000_000), 100.0),
+        "length": (hcl.span(100_000), 10_000_000),
+        "workers": (hcl.whole(1, 64), 1),
+        "seed": (hcl.whole(), 1),
+        "arrivals": (hcl.choice("poisson", "bursty", "heavy", "even"), "poisson"),
+        "burst_times": (hcl.number(1, 1000), 4.0),
+        "burst_span": (hcl.span(1_000), 500_000),
+        "calm_span": (hcl.span(1_000), 2_000_000),
+        "tail": (hcl.number(1.05, 10), 1.6),
+        "keys": (hcl.whole(1, KEYS_MOST), 2_000),
+        "zipf": (hcl.number(0, 5), 0.8),
+        "clients": (hcl.whole(1, 100_000), 50),
+        "sizes_cv": (hcl.number(0, 10), 0.6),
+        "work_cv": (hcl.number(0, 10), 0.5),
+    },
+    {"op_type": (OP, 1, 1, 64), "shape": (hcl.Shape({}), 1, 0, 100), "trace": (TRACE, 0, 0, 1)},
+)
 FILE = hcl.Shape({}, {"load": (LOAD, 1, 1, 1)})
 
 
@@ -41,8 +70,15 @@
 
 
 def _shares(raw: Any) -> tuple[Any, str]:
-    fits = isinstance(raw, list) and raw and all(type(one) in (int, float) and one >= 0 for one in raw) and sum(raw) > 0
-    return ([float(one) for one in raw], "") if fits else (None, "a list of numbers from 0, not all of them 0")
+    fits = (
+        isinstance(raw, list)
+        and raw
+        and all(type(one) in (int, float) and one >= 0 for one in raw)
+        and sum(raw) > 0
+    )
+    return (
+        ([float(one) for one in raw], "") if fits else (None, "a list of numbers from 0, not all of them 0")
+    )
 
 
 def load_file(path: str) -> LoadFile:
@@ -55,12 +91,18 @@
     if problems or not found.blocks["load"]:
         raise FileRefused(problems)
     body = found.blocks["load"][0]
-    ops = tuple(OpMix(one.labels[0], one["share"], one["op_timeout"], one["work"]) for one in body.blocks["op_type"])
+    ops = tuple(
+        OpMix(one.labels[0], one["share"], one["op_timeout"], one["work"]) for one in body.blocks["op_type"]
+    )
     _agree(body, ops, shapes, path, problems)
     if problems:
         raise FileRefused(problems)
-    plan = LoadPlan(ops=ops, targets=len(body["targets"]), shapes=tuple(shapes), **{
-        name: body[name] for name in LOAD.attributes if name not in ("targets", "workers")})
+    plan = LoadPlan(
+        ops=ops,
+        targets=len(body["targets"]),
+        shapes=tuple(shapes),
+        **{name: body[name] for name in LOAD.attributes if name not in ("targets", "workers")},
+    )
     trace = _trace(body, path)
     _tell_unplayed(trace, plan)
     return LoadFile(body.labels[0], path, body["targets"], body["workers"], plan, trace)
@@ -72,7 +114,9 @@
     for block in [b for load in top.blocks for b in load.blocks if b.kind == "shape" and len(b.labels) == 1]:
         kind = block.labels[0]
         if kind not in SHAPES:
-            problems.append(Problem(path, block.line, f"shape {kind!r} is unknown; known: {', '.join(sorted(SHAPES))}"))
+            problems.append(
+                Problem(path, block.line, f"shape {kind!r} is unknown; known: {', '.join(sorted(SHAPES))}")
+            )
         else:
             got = hcl.check(block, hcl.Shape(SHAPES[kind]), path, problems, f' in shape "{kind}"')
             made.append((kind, got, block.line))
@@ -80,22 +124,50 @@
         block.labels = [f"{kind} {block.line}"]
     if problems:
         return []
-    return [Shape(kind, got["at"], got["for"], start=got.values.get("from", 1.0), end=got.values.get("to", got.values.get("times", 1.0)),
-                  depth=got.values.get("depth", 0.0), period=got.values.get("period", 1), share=got.values.get("share", 0.0),
-                  target=got.values.get("target", 0), shares=tuple(zip(got.values.get("op_types", []), got.values.get("shares", []))))
-            for kind, got, _ in made]
-
-
-def _agree(body: Checked, ops: tuple[OpMix, ...], shapes: list[Shape], path: str, problems: list[Problem]) -> None:
+    return [
+        Shape(
+            kind,
+            got["at"],
+            got["for"],
+            start=got.values.get("from", 1.0),
+            end=got.values.get("to", got.values.get("times", 1.0)),
+            depth=got.values.get("depth", 0.0),
+            period=got.values.get("period", 1),
+            share=got.values.get("share", 0.0),
+            target=got.values.get("target", 0),
+            shares=tuple(zip(got.values.get("op_types", []), got.values.get("shares", []))),
+        )
+        for kind, got, _ in made
+    ]
+
+
+def _agree(
+    body: Checked, ops: tuple[OpMix, ...], shapes: list[Shape], path: str, problems: list[Problem]
+) -> None:
     names = {op.name for op in ops}
     if not sum(op.share for op in ops):
         problems.append(Problem(path, body.line, "every op type's share is 0"))
-    if body["arrivals"] == "bursty" and body["burst_times"] * body["burst_span"] > body["calm_span"] + body["burst_span"]:
-        problems.append(Problem(path, body.lines["burst_times"], "bursts alone are more than the rate: burst_times times burst_span "
-                                                                 "exceeds calm_span and burst_span together"))
+    if (
+        body["arrivals"] == "bursty"
+        and body["burst_times"] * body["burst_span"] > body["calm_span"] + body["burst_span"]
+    ):
+        problems.append(
+            Problem(
+                path,
+                body.lines["burst_times"],
+                "bursts alone are more than the rate: burst_times times burst_span "
+                "exceeds calm_span and burst_span together",
+            )
+        )
     for shape in shapes:
         if shape.kind == "shift" and shape.target >= len(body["targets"]):
-            problems.append(Problem(path, body.line, f"shape shift names target {shape.target}, there are {len(body['targets'])}"))
+            problems.append(
+                Problem(
+                    path,
+                    body.line,
+                    f"shape shift names target {shape.target}, there are {len(body['targets'])}",
+                )
+            )
         for name, _ in shape.shares:
             if name not in names:
                 problems.append(Problem(path, body.line, f"shape mix names {name!r}, which is no op type"))
@@ -115,11 +187,15 @@
     names = {op.name for op in plan.ops}
     unknown = sorted({row.op_type for row in trace.rows} - names)
     if unknown:
-        trace.told.append(f"op types of the trace without a block op_type, played with the first one's op_timeout and work: "
-                          f"{', '.join(unknown[:20])}")
+        trace.told.append(
+            f"op types of the trace without a block op_type, played with the first one's op_timeout and work: "
+            f"{', '.join(unknown[:20])}"
+        )
     beyond = sum(row.at >= plan.length for row in trace.rows)
     if beyond:
-        trace.told.append(f"{beyond} rows of the trace lie beyond length = {plan.length / 1e6:g} s and are not played")
+        trace.told.append(
+            f"{beyond} rows of the trace lie beyond length = {plan.length / 1e6:g} s and are not played"
+        )
 
 
 __all__ = ["LoadFile", "load_file"]
