--- a/cedarshift/rehearsal/day.py
+++ b/cedarshift/rehearsal/day.py
@@ -1,4 +1,5 @@
 """A rehearsal's script: fleet, load, faults and their times, from an HCL file; and the deployment it plays on."""
+
 from __future__ import annotations
 
 import os
@@ -6,8 +7,7 @@
 from dataclasses import dataclass, replace
 from typing import Any, Optional
 
-from cedarshift.deployment import Deployment, FileRefused, Problem, load
-from cedarshift.deployment import hcl
+from cedarshift.deployment import Deployment, FileRefused, Problem, hcl, load
 from cedarshift.deployment.hcl import MUST, Shape
 from cedarshift.rehearsal.evidence import AnswerBounds
 
@@ -26,6 +26,7 @@
 @dataclass(frozen=True)
 class Fault:
     """`kind` is one of FAULTS; `at` in us from the day's begin; `line` in the file, for messages."""
+
     kind: str
     at: int
     values: dict[str, Any]
@@ -53,20 +54,28 @@
     kinds: tuple[EndpointKind, ...]
     shares: dict[str, float]
     faults: tuple[Fault, ...]
-    broken: tuple[str, ...]       # rules that this day breaks on purpose
-    list_ages: bool = True        # whether the list tells when processes started
-    learn: bool = False           # pilots learn from each other
-    roster: str = "service"       # where pilots have their list from: "service", "file" or "zookeeper"
-    session_timeout: int = 4_000_000   # us; of the members' sessions, where they keep ephemeral nodes
-    window: tuple[int, int] = (0, 0)   # us; a stretch of the day that is told by itself
+    broken: tuple[str, ...]  # rules that this day breaks on purpose
+    list_ages: bool = True  # whether the list tells when processes started
+    learn: bool = False  # pilots learn from each other
+    roster: str = "service"  # where pilots have their list from: "service", "file" or "zookeeper"
+    session_timeout: int = 4_000_000  # us; of the members' sessions, where they keep ephemeral nodes
+    window: tuple[int, int] = (0, 0)  # us; a stretch of the day that is told by itself
     answer: Optional[AnswerBounds] = None
-    mix: tuple[str, ...] = ()     # days of which two are drawn by the seed, whose faults are played over each other
+    mix: tuple[
+        str, ...
+    ] = ()  # days of which two are drawn by the seed, whose faults are played over each other
     proxy_kind: str = "plain"
-    let_in: tuple[float, ...] = ()   # of proxies of the kind "fixed", by op type
+    let_in: tuple[float, ...] = ()  # of proxies of the kind "fixed", by op type
 
 
-KIND = Shape({"share": (hcl.number(0, 1000), 1.0), "cores": (hcl.whole(1, 256), 4), "speed": (hcl.number(0.01, 100), 1.0),
-              "queue": (hcl.whole(1, 100_000), 40)})
+KIND = Shape(
+    {
+        "share": (hcl.number(0, 1000), 1.0),
+        "cores": (hcl.whole(1, 256), 4),
+        "speed": (hcl.number(0.01, 100), 1.0),
+        "queue": (hcl.whole(1, 100_000), 40),
+    }
+)
 AT = {"at": (hcl.span(), MUST)}
 FOR = {"for": (hcl.span(1_000), MUST)}
 WHICH = {"which": (hcl.whole(), 0)}
@@ -76,8 +85,10 @@
 # kind -> (what it does, its attributes)
 FAULTS: dict[str, tuple[str, dict[str, Any]]] = {
     "kill_pilot": ("a pilot is killed (kill -9) and started again", {**AT, **FOR, **WHICH}),
-    "kill_pilot_in_order": ("a pilot is killed when its order has reached `after` proxies",
-                            {**AT, **FOR, **WHICH, "after": (hcl.whole(), 1)}),
+    "kill_pilot_in_order": (
+        "a pilot is killed when its order has reached `after` proxies",
+        {**AT, **FOR, **WHICH, "after": (hcl.whole(), 1)},
+    ),
     "pause_pilot": ("a pilot is stopped (SIGSTOP) and goes on", {**AT, **FOR, **WHICH}),
     "reload_pilot": ("SIGHUP", {**AT, **WHICH}),
     "stop_pilot": ("SIGTERM, and started again", {**AT, **FOR, **WHICH}),
@@ -88,60 +99,137 @@
     "hang": ("an endpoint holds everything and answers nothing", {**AT, **FOR, **WHICH}),
     "fast_errors": ("an endpoint fails a share of its ops at once", {**AT, **FOR, **WHICH, **SHARE}),
     "class_fail": ("an endpoint fails one op type", {**AT, **FOR, **WHICH, "op_type": (hcl.text, MUST)}),
-    "cut_replies": ("an endpoint dies in the middle of a share of its replies", {**AT, **FOR, **WHICH, **SHARE}),
-    "slow_endpoint": ("an endpoint takes longer for each op", {**AT, **FOR, **WHICH, "times": (hcl.number(1, 100), MUST)}),
-    "slow_many": ("endpoints take longer for each op", {**AT, **FOR, **COUNT, "times": (hcl.number(1, 100), MUST)}),
+    "cut_replies": (
+        "an endpoint dies in the middle of a share of its replies",
+        {**AT, **FOR, **WHICH, **SHARE},
+    ),
+    "slow_endpoint": (
+        "an endpoint takes longer for each op",
+        {**AT, **FOR, **WHICH, "times": (hcl.number(1, 100), MUST)},
+    ),
+    "slow_many": (
+        "endpoints take longer for each op",
+        {**AT, **FOR, **COUNT, "times": (hcl.number(1, 100), MUST)},
+    ),
     "outage": ("every endpoint holds everything and answers nothing", {**AT, **FOR}),
-    "flap": ("endpoints fail everything and are well again, in turn", {**AT, **FOR, **COUNT, "every": (hcl.span(100_000), 2_000_000)}),
+    "flap": (
+        "endpoints fail everything and are well again, in turn",
+        {**AT, **FOR, **COUNT, "every": (hcl.span(100_000), 2_000_000)},
+    ),
     "herd": ("the store and half of the pilots are killed at once, and all come back at once", {**AT, **FOR}),
     "deaf_pilot": ("a pilot hears no other, while the others hear it", {**AT, **FOR, **WHICH}),
-    "half_blind": ("a pilot hears only proxies of one zone", {**AT, **FOR, **WHICH, "zone": (hcl.text, MUST)}),
-    "deploy": ("endpoints are drained, stopped, and replaced by new ones that come in cold",
-               {**AT, **COUNT, "every": (hcl.span(1_000), 4_000_000), "drain": (hcl.span(100_000), 8_000_000)}),
-    "shrink": ("endpoints are drained and stopped for good", {**AT, **COUNT, "drain": (hcl.span(100_000), 8_000_000)}),
+    "half_blind": (
+        "a pilot hears only proxies of one zone",
+        {**AT, **FOR, **WHICH, "zone": (hcl.text, MUST)},
+    ),
+    "deploy": (
+        "endpoints are drained, stopped, and replaced by new ones that come in cold",
+        {**AT, **COUNT, "every": (hcl.span(1_000), 4_000_000), "drain": (hcl.span(100_000), 8_000_000)},
+    ),
+    "shrink": (
+        "endpoints are drained and stopped for good",
+        {**AT, **COUNT, "drain": (hcl.span(100_000), 8_000_000)},
+    ),
     "burst": ("arrivals are multiplied", {**AT, **FOR, "times": (hcl.number(0.01, 100), MUST)}),
     "hot_key": ("one key draws a share of all traffic", {**AT, **FOR, **SHARE}),
     "shift": ("traffic turns to the proxies of one zone", {**AT, **FOR, "zone": (hcl.text, MUST)}),
     "reconnect": ("a share of the streams between proxies and pilots break at once", {**AT, **SHARE}),
-    "cut_proxies": ("proxies reach no pilot; `how`: dropped in silence or refused",
-                    {**AT, **FOR, **COUNT, "how": (hcl.choice("drop", "refuse"), "drop")}),
-    "cut_store": ("a pilot does not reach the store", {**AT, **FOR, **WHICH, "how": (hcl.choice("drop", "refuse"), "drop")}),
-    "slow_channel": ("what pilots send takes longer to arrive", {**AT, **FOR, "delay": (hcl.span(1_000, 2_000_000), MUST)}),
-    "slow_link": ("ops between a zone's proxies and another zone's endpoints take longer",
-                  {**AT, **FOR, "from": (hcl.text, MUST), "to": (hcl.text, MUST), "delay": (hcl.span(1_000, 5_000_000), MUST)}),
+    "cut_proxies": (
+        "proxies reach no pilot; `how`: dropped in silence or refused",
+        {**AT, **FOR, **COUNT, "how": (hcl.choice("drop", "refuse"), "drop")},
+    ),
+    "cut_store": (
+        "a pilot does not reach the store",
+        {**AT, **FOR, **WHICH, "how": (hcl.choice("drop", "refuse"), "drop")},
+    ),
+    "slow_channel": (
+        "what pilots send takes longer to arrive",
+        {**AT, **FOR, "delay": (hcl.span(1_000, 2_000_000), MUST)},
+    ),
+    "slow_link": (
+        "ops between a zone's proxies and another zone's endpoints take longer",
+        {
+            **AT,
+            **FOR,
+            "from": (hcl.text, MUST),
+            "to": (hcl.text, MUST),
+            "delay": (hcl.span(1_000, 5_000_000), MUST),
+        },
+    ),
     "list_unreachable": ("the list service does not answer", {**AT, **FOR}),
-    "cut_list": ("a pilot does not reach the list service",
-                 {**AT, **FOR, **WHICH, "how": (hcl.choice("drop", "refuse"), "refuse")}),
+    "cut_list": (
+        "a pilot does not reach the list service",
+        {**AT, **FOR, **WHICH, "how": (hcl.choice("drop", "refuse"), "refuse")},
+    ),
     "expire": ("the sessions of `count` endpoints expire while they run", {**AT, **COUNT, **WHICH}),
     "expire_all": ("the ensemble forgets every session, as when it is restarted from nothing", {**AT}),
     "expire_pilot": ("a pilot's session expires", {**AT, **WHICH}),
-    "cut_server": ("a server of the ensemble loses the others: it only reads, and nobody hears news there", {**AT, **FOR, **WHICH}),
-    "lag_server": ("a server of the ensemble is late by `delay`", {**AT, **FOR, **WHICH, "delay": (hcl.span(1_000), MUST)}),
+    "cut_server": (
+        "a server of the ensemble loses the others: it only reads, and nobody hears news there",
+        {**AT, **FOR, **WHICH},
+    ),
+    "lag_server": (
+        "a server of the ensemble is late by `delay`",
+        {**AT, **FOR, **WHICH, "delay": (hcl.span(1_000), MUST)},
+    ),
     "list_wrong": ("the list calls `count` running endpoints gone", {**AT, **FOR, **COUNT}),
-    "bad_proxy": ("a proxy of a broken kind takes the place of a plain one; for seeing the checkers fire",
-                  {**AT, **WHICH, "how": (hcl.choice("deaf", "forgetful", "pushy"), MUST)}),
-    "loose_pilots": ("pilots are told a channel without limits, while the rules keep to the day's; for the checkers", {**AT}),
+    "bad_proxy": (
+        "a proxy of a broken kind takes the place of a plain one; for seeing the checkers fire",
+        {**AT, **WHICH, "how": (hcl.choice("deaf", "forgetful", "pushy"), MUST)},
+    ),
+    "loose_pilots": (
+        "pilots are told a channel without limits, while the rules keep to the day's; for the checkers",
+        {**AT},
+    ),
 }
 
 ENSEMBLE = ("expire", "expire_all", "expire_pilot", "cut_server", "lag_server")
 LISTED = ("list_unreachable", "list_wrong")
-SERVERS = 3               # of the stand-in ensemble
-LIKE_MOST = 8             # days that build on each other
-ANSWER = Shape({
-    "cause_at": (hcl.span(), MUST), "calm_at": (hcl.span(), MUST), "back_within": (hcl.span(), None),
-    "repeats_most": (hcl.number(), None), "top": (hcl.text, ""), "top_least": (hcl.number(0, 1), None),
-    "earned_least": (hcl.number(0, 1), None), "lapses_most": (hcl.whole(), None)})
-DAY = Shape({
-    "deployment": (hcl.text, MUST), "length": (hcl.span(1_000_000), MUST), "seed": (hcl.whole(), 1),
-    "endpoints": (hcl.whole(1, 200), MUST), "proxies": (hcl.whole(1, 200), MUST), "clients": (hcl.whole(1, 16), 2),
-    "rate": (hcl.number(0.1, 5_000), MUST), "work": (hcl.span(1_000), 300_000), "keys": (hcl.whole(1), 2_000),
-    "zipf": (hcl.number(0, 3), 0.7), "retries": (hcl.whole(0, 5), 2), "notice": (hcl.span(), 2_000_000),
-    "add_notice": (hcl.span(), 1_500_000), "broken": (hcl.texts, []),
-    "list_ages": (hcl.flag, True), "learn": (hcl.flag, False),
-    "roster": (hcl.choice("service", "file", "zookeeper"), "service"), "session_timeout": (hcl.span(400_000), 4_000_000),
-    "window_from": (hcl.span(), 0), "window_to": (hcl.span(), 0), "mix": (hcl.texts, [])},
-    {"endpoint_kind": (KIND, 1, 0, 16), "answer": (ANSWER, 0, 0, 1), "op_share": (Shape({"share": (hcl.number(0, 1000), MUST)}), 1, 0, 64),
-     "fault": (Shape({}), 1, 0, 200)})
+SERVERS = 3  # of the stand-in ensemble
+LIKE_MOST = 8  # days that build on each other
+ANSWER = Shape(
+    {
+        "cause_at": (hcl.span(), MUST),
+        "calm_at": (hcl.span(), MUST),
+        "back_within": (hcl.span(), None),
+        "repeats_most": (hcl.number(), None),
+        "top": (hcl.text, ""),
+        "top_least": (hcl.number(0, 1), None),
+        "earned_least": (hcl.number(0, 1), None),
+        "lapses_most": (hcl.whole(), None),
+    }
+)
+DAY = Shape(
+    {
+        "deployment": (hcl.text, MUST),
+        "length": (hcl.span(1_000_000), MUST),
+        "seed": (hcl.whole(), 1),
+        "endpoints": (hcl.whole(1, 200), MUST),
+        "proxies": (hcl.whole(1, 200), MUST),
+        "clients": (hcl.whole(1, 16), 2),
+        "rate": (hcl.number(0.1, 5_000), MUST),
+        "work": (hcl.span(1_000), 300_000),
+        "keys": (hcl.whole(1), 2_000),
+        "zipf": (hcl.number(0, 3), 0.7),
+        "retries": (hcl.whole(0, 5), 2),
+        "notice": (hcl.span(), 2_000_000),
+        "add_notice": (hcl.span(), 1_500_000),
+        "broken": (hcl.texts, []),
+        "list_ages": (hcl.flag, True),
+        "learn": (hcl.flag, False),
+        "roster": (hcl.choice("service", "file", "zookeeper"), "service"),
+        "session_timeout": (hcl.span(400_000), 4_000_000),
+        "window_from": (hcl.span(), 0),
+        "window_to": (hcl.span(), 0),
+        "mix": (hcl.texts, []),
+    },
+    {
+        "endpoint_kind": (KIND, 1, 0, 16),
+        "answer": (ANSWER, 0, 0, 1),
+        "op_share": (Shape({"share": (hcl.number(0, 1000), MUST)}), 1, 0, 64),
+        "fault": (Shape({}), 1, 0, 200),
+    },
+)
 FILE = Shape({}, {"rehearsal": (DAY, 1, 1, 1)})
 
 
@@ -151,8 +239,12 @@
         return name
     path = os.path.join(DAYS, name + ".hcl")
     if not os.path.exists(path):
-        known = sorted(f[:-4] for f in os.listdir(DAYS) if f.endswith(".hcl") and not f.startswith("deployment-"))
-        raise FileRefused([Problem(name, 0, f"there is no such file and no such day; days: {', '.join(known)}")])
+        known = sorted(
+            f[:-4] for f in os.listdir(DAYS) if f.endswith(".hcl") and not f.startswith("deployment-")
+        )
+        raise FileRefused(
+            [Problem(name, 0, f"there is no such file and no such day; days: {', '.join(known)}")]
+        )
     return path
 
 
@@ -170,15 +262,28 @@
     body = found.blocks["rehearsal"][0]
     deployment = load(os.path.join(os.path.dirname(path), body["deployment"]))
     kinds = tuple(EndpointKind(name=k.labels[0], **k.values) for k in body.blocks["endpoint_kind"]) or (
-        EndpointKind("usual", 1.0, 4, 1.0, 40),)
+        EndpointKind("usual", 1.0, 4, 1.0, 40),
+    )
     shares = {one.labels[0]: one["share"] for one in body.blocks["op_share"]}
-    values = {name: body[name] for name in DAY.attributes if name not in (
-        "deployment", "broken", "window_from", "window_to", "mix")}
-    day = Day(name=body.labels[0], file=path, deployment=deployment, kinds=kinds, shares=shares, faults=tuple(faults),
-              broken=tuple(body["broken"]), mix=tuple(body["mix"]),
-              answer=AnswerBounds(**body.blocks["answer"][0].values) if body.blocks["answer"] else None,
-              window=(body["window_from"], body["window_to"]), spare_ports=sum(
-                  f.values.get("count", 0) for f in faults if f.kind == "deploy"), **values)
+    values = {
+        name: body[name]
+        for name in DAY.attributes
+        if name not in ("deployment", "broken", "window_from", "window_to", "mix")
+    }
+    day = Day(
+        name=body.labels[0],
+        file=path,
+        deployment=deployment,
+        kinds=kinds,
+        shares=shares,
+        faults=tuple(faults),
+        broken=tuple(body["broken"]),
+        mix=tuple(body["mix"]),
+        answer=AnswerBounds(**body.blocks["answer"][0].values) if body.blocks["answer"] else None,
+        window=(body["window_from"], body["window_to"]),
+        spare_ports=sum(f.values.get("count", 0) for f in faults if f.kind == "deploy"),
+        **values,
+    )
     _agree(day, problems)
     if problems:
         raise FileRefused(problems)
@@ -194,8 +299,16 @@
             continue
         base = os.path.join(os.path.dirname(path), f"{like.value}.hcl")
         if depth >= LIKE_MOST or not os.path.exists(base):
-            raise FileRefused([Problem(path, like.line, f"like = {like.value!r}: there is no such day beside this one, or days build "
-                                                        "on each other in a ring")])
+            raise FileRefused(
+                [
+                    Problem(
+                        path,
+                        like.line,
+                        f"like = {like.value!r}: there is no such day beside this one, or days build "
+                        "on each other in a ring",
+                    )
+                ]
+            )
         with open(base, encoding="utf-8") as source:
             below = hcl.parse(source.read(), base)
         _build_on(below, base, depth + 1)
@@ -210,7 +323,9 @@
     for block in [b for day in top.blocks for b in day.blocks if b.kind == "fault" and len(b.labels) == 1]:
         kind = block.labels[0]
         if kind not in FAULTS:
-            problems.append(Problem(path, block.line, f"fault {kind!r} is unknown; known: {', '.join(sorted(FAULTS))}"))
+            problems.append(
+                Problem(path, block.line, f"fault {kind!r} is unknown; known: {', '.join(sorted(FAULTS))}")
+            )
         else:
             got = hcl.check(block, Shape(FAULTS[kind][1]), path, problems, f' in fault "{kind}"')
             faults.append(Fault(kind, got["at"] or 0, got.values, block.line))
@@ -226,17 +341,26 @@
     chance = random.Random(f"mix {seed}")
     faults = list(day.faults)
     for name in chance.sample(day.mix, 2):
-        other, shift = load_day(os.path.join(os.path.dirname(day.file), f"{name}.hcl")), chance.randrange(6) * 1_000_000
-        faults += [replace(fault, at=fault.at + shift) for fault in other.faults if fault.at + shift < day.length]
+        other, shift = (
+            load_day(os.path.join(os.path.dirname(day.file), f"{name}.hcl")),
+            chance.randrange(6) * 1_000_000,
+        )
+        faults += [
+            replace(fault, at=fault.at + shift) for fault in other.faults if fault.at + shift < day.length
+        ]
     return replace(day, faults=tuple(sorted(faults, key=lambda fault: fault.at)))
 
 
 def _agree(day: Day, problems: list[Problem]) -> None:
     ops = {op.name for op in day.deployment.op_types}
     if day.answer is not None and not day.answer.cause_at < day.answer.calm_at < day.length:
-        problems.append(Problem(day.file, 0, "answer: cause_at comes before calm_at, and that before the day's end"))
+        problems.append(
+            Problem(day.file, 0, "answer: cause_at comes before calm_at, and that before the day's end")
+        )
     if day.answer is not None and day.answer.top and day.answer.top not in ops:
-        problems.append(Problem(day.file, 0, f"answer: top {day.answer.top!r} is no op type of {day.deployment.file}"))
+        problems.append(
+            Problem(day.file, 0, f"answer: top {day.answer.top!r} is no op type of {day.deployment.file}")
+        )
     if len(day.mix) == 1:
         problems.append(Problem(day.file, 0, "mix names one day, two are drawn"))
     for name in day.mix:
@@ -245,15 +369,38 @@
     for name in day.shares:
         if name not in ops:
             problems.append(Problem(day.file, 0, f"op_share {name!r} is no op type of {day.deployment.file}"))
-    limits = {"kill_proxy": day.proxies, "pause_proxy": day.proxies, "kill_endpoint": day.endpoints, "hang": day.endpoints, "bad_proxy": day.proxies,
-              "kill_pilot": len(day.deployment.pilots), "kill_pilot_in_order": len(day.deployment.pilots),
-              "pause_pilot": len(day.deployment.pilots), "deaf_pilot": len(day.deployment.pilots),
-              "half_blind": len(day.deployment.pilots), "cut_store": len(day.deployment.pilots), "cut_list": len(day.deployment.pilots),
-              "expire_pilot": len(day.deployment.pilots), "cut_server": SERVERS, "lag_server": SERVERS}
+    limits = {
+        "kill_proxy": day.proxies,
+        "pause_proxy": day.proxies,
+        "kill_endpoint": day.endpoints,
+        "hang": day.endpoints,
+        "bad_proxy": day.proxies,
+        "kill_pilot": len(day.deployment.pilots),
+        "kill_pilot_in_order": len(day.deployment.pilots),
+        "pause_pilot": len(day.deployment.pilots),
+        "deaf_pilot": len(day.deployment.pilots),
+        "half_blind": len(day.deployment.pilots),
+        "cut_store": len(day.deployment.pilots),
+        "cut_list": len(day.deployment.pilots),
+        "expire_pilot": len(day.deployment.pilots),
+        "cut_server": SERVERS,
+        "lag_server": SERVERS,
+    }
     for fault in day.faults:
-        if fault.kind in ENSEMBLE and day.roster != "zookeeper" or fault.kind in LISTED and day.roster != "service":
-            problems.append(Problem(day.file, fault.line, f"fault {fault.kind} does not go with the roster {day.roster}"))
+        if (
+            fault.kind in ENSEMBLE
+            and day.roster != "zookeeper"
+            or fault.kind in LISTED
+            and day.roster != "service"
+        ):
+            problems.append(
+                Problem(day.file, fault.line, f"fault {fault.kind} does not go with the roster {day.roster}")
+            )
         if fault.at >= day.length:
             problems.append(Problem(day.file, fault.line, f"fault {fault.kind} begins after the day's end"))
         if fault.values.get("which", 0) >= limits.get(fault.kind, 1 << 30):
-            problems.append(Problem(day.file, fault.line, f"which = {fault.values['which']}, there are {limits[fault.kind]}"))
+            problems.append(
+                Problem(
+                    day.file, fault.line, f"which = {fault.values['which']}, there are {limits[fault.kind]}"
+                )
+            )
--- a/cedarshift/rehearsal/faults.py
+++ b/cedarshift/rehearsal/faults.py
@@ -1,4 +1,5 @@
 """Carries out a day's faults on the running fleet. Each fault is a coroutine of its own; what is done is recorded."""
+
 from __future__ import annotations
 
 import signal
@@ -19,7 +20,7 @@
     def spawn_all(self, begin: int) -> None:
         for number, fault in enumerate(self.day.faults):
             run = getattr(self, "_" + fault.kind, None)
-            if run is not None:              # bursts, hot keys and shifts are in the clients' plans from the start
+            if run is not None:  # bursts, hot keys and shifts are in the clients' plans from the start
                 self.stage.loop.spawn(self._at(fault, begin, run), f"fault {number} {fault.kind}")
 
     def _at(self, fault: Fault, begin: int, run: Callable[[dict[str, Any]], Coroutine]) -> Coroutine:
@@ -29,8 +30,11 @@
 
     def note(self, what: str, values: dict[str, Any]) -> None:
         self.stage.recorder.note("fault", what, {k: v for k, v in values.items() if k != "at"})
-        shown = ", ".join(f"{k} {v / 1e6:g} s" if k in ("for", "every", "drain", "delay") else f"{k} {v}"
-                          for k, v in values.items() if k != "at")
+        shown = ", ".join(
+            f"{k} {v / 1e6:g} s" if k in ("for", "every", "drain", "delay") else f"{k} {v}"
+            for k, v in values.items()
+            if k != "at"
+        )
         self.say(f"{what}: {shown}")
 
     def _wait(self, span: int) -> Coroutine:
@@ -111,18 +115,18 @@
         yield from self._restart(name, v["for"])
 
     def _bad_proxy(self, v: dict[str, Any]) -> Coroutine:
-        yield from self._wait(0)             # it took the plain one's place when the fleet came up
+        yield from self._wait(0)  # it took the plain one's place when the fleet came up
 
     def _loose_pilots(self, v: dict[str, Any]) -> Coroutine:
-        yield from self._wait(0)             # their files were written so
+        yield from self._wait(0)  # their files were written so
 
     def _reconnect(self, v: dict[str, Any]) -> Coroutine:
         links = self._proxy_links(self.stage.proxies)
         self.stage.chance.shuffle(links)
-        yield from self._links(links[:max(1, round(len(links) * v["share"]))], "reset", 0)
+        yield from self._links(links[: max(1, round(len(links) * v["share"]))], "reset", 0)
 
     def _cut_proxies(self, v: dict[str, Any]) -> Coroutine:
-        names = self.stage.proxies[:v["count"]]
+        names = self.stage.proxies[: v["count"]]
         yield from self._links(self._proxy_links(names), v["how"], v["for"])
 
     def _slow_channel(self, v: dict[str, Any]) -> Coroutine:
@@ -131,7 +135,9 @@
     def _slow_link(self, v: dict[str, Any]) -> Coroutine:
         names = [x for x in self.stage.proxies if self.stage.zone_of[x] == v["from"]]
         for name in names:
-            yield from self.stage.fleet.ask(name, "/control", {"slow_zone": v["to"], "slow_ms": v["delay"] / 1000})
+            yield from self.stage.fleet.ask(
+                name, "/control", {"slow_zone": v["to"], "slow_ms": v["delay"] / 1000}
+            )
         yield from self._wait(v["for"])
         for name in names:
             yield from self.stage.fleet.ask(name, "/control", {})
@@ -178,10 +184,12 @@
     def _some(self, count: int) -> list[str]:
         """So many of those that run, spread over the zones and kinds as they come."""
         running = [e for e in self.stage.endpoints if self.stage.fleet.alive(e)]
-        return running[::max(1, len(running) // max(1, count))][:count]
+        return running[:: max(1, len(running) // max(1, count))][:count]
 
     def _order_all(self, names: list[str], order: dict[str, Any]) -> Coroutine:
-        calls = [self.stage.loop.spawn(self.stage.fleet.ask(name, "/control", order), "control") for name in names]
+        calls = [
+            self.stage.loop.spawn(self.stage.fleet.ask(name, "/control", order), "control") for name in names
+        ]
         for call in calls:
             yield from call.join()
 
@@ -203,7 +211,7 @@
             yield from self._wait(v["every"])
 
     def _herd(self, v: dict[str, Any]) -> Coroutine:
-        names = ["store", *self.stage.pilots[:-(-len(self.stage.pilots) // 2)]]
+        names = ["store", *self.stage.pilots[: -(-len(self.stage.pilots) // 2)]]
         for name in names:
             self.stage.fleet.kill(name)
         yield from self._wait(v["for"])
@@ -219,11 +227,15 @@
         yield from self._one_way([f"{me}~{other}" for other in others], "back", span)
 
     def _one_way(self, links: list[str], way: str, span: float) -> Coroutine:
-        yield from self.stage.fleet.ask("relay", "/control", {"links": links, "mode": "drop", "way": way, "for_s": span})
+        yield from self.stage.fleet.ask(
+            "relay", "/control", {"links": links, "mode": "drop", "way": way, "for_s": span}
+        )
 
     def _half_blind(self, v: dict[str, Any]) -> Coroutine:
         me = self.stage.pilots[v["which"]]
-        yield from self._links([f"{x}>{me}" for x in self.stage.proxies if self.stage.zone_of[x] != v["zone"]], "drop", v["for"])
+        yield from self._links(
+            [f"{x}>{me}" for x in self.stage.proxies if self.stage.zone_of[x] != v["zone"]], "drop", v["for"]
+        )
 
     def _deploy(self, v: dict[str, Any]) -> Coroutine:
         for _ in range(v["count"]):
@@ -253,7 +265,7 @@
         yield from self.stage.fleet.ask("list", "/control", {"mode": "unreachable", "for_s": v["for"] / 1e6})
 
     def _list_wrong(self, v: dict[str, Any]) -> Coroutine:
-        names = [e for e in self.stage.endpoints if self.stage.fleet.alive(e)][:v["count"]]
+        names = [e for e in self.stage.endpoints if self.stage.fleet.alive(e)][: v["count"]]
         for name in names:
             self.stage.announce(name, "off", 0)
         yield from self._wait(v["for"])
@@ -269,7 +281,7 @@
     def _expire(self, v: dict[str, Any]) -> Coroutine:
         running = [e for e in self.stage.endpoints if self.stage.fleet.alive(e)]
         first = v["which"] % max(1, len(running))
-        yield from self._order_ensemble({"expire": (running[first:] + running[:first])[:v["count"]]})
+        yield from self._order_ensemble({"expire": (running[first:] + running[:first])[: v["count"]]})
 
     def _expire_all(self, v: dict[str, Any]) -> Coroutine:
         yield from self._order_ensemble({"expire": "all"})
--- a/cedarshift/rehearsal/fleet.py
+++ b/cedarshift/rehearsal/fleet.py
@@ -1,4 +1,5 @@
 """The processes of a rehearsal: ports, plans, starts, kills; each writes a record and a log into the run's folder."""
+
 from __future__ import annotations
 
 import dataclasses
@@ -18,7 +19,7 @@
 
 HOST = "127.0.0.1"
 BLOCK, BLOCKS = 200, 60
-FIRST_PORT = 20_000       # below the ports that the system hands out for outgoing connections
+FIRST_PORT = 20_000  # below the ports that the system hands out for outgoing connections
 READY_WITHIN = 20_000_000  # us for a process to take connections
 
 
@@ -81,9 +82,14 @@
     def ask(self, name: str, target: str, order: Optional[dict[str, Any]] = None) -> Coroutine:
         """A control call; None where the process does not answer."""
         try:
-            reply = yield from self.pool.ask(self.addresses[name], "GET" if order is None else "POST", target, [],
-                                             b"" if order is None else msgspec.json.encode(order),
-                                             self.loop.now() + 1_000_000)
+            reply = yield from self.pool.ask(
+                self.addresses[name],
+                "GET" if order is None else "POST",
+                target,
+                [],
+                b"" if order is None else msgspec.json.encode(order),
+                self.loop.now() + 1_000_000,
+            )
             return reply
         except (StreamBroken, TimedOut):
             return None
@@ -102,7 +108,14 @@
 
     def standin(self, name: str, kind: str, plan: msgspec.Struct, address: Optional[tuple[str, int]]) -> None:
         file = self.write(f"plan-{name}.json", msgspec.json.encode(plan))
-        self.commands[name] = [sys.executable, "-m", "cedarshift.standins", kind, file, self.path(f"record-{name}.jsonl")]
+        self.commands[name] = [
+            sys.executable,
+            "-m",
+            "cedarshift.standins",
+            kind,
+            file,
+            self.path(f"record-{name}.jsonl"),
+        ]
         if address is not None:
             self.addresses[name] = address
         self.start(name)
@@ -114,7 +127,9 @@
 
     def start(self, name: str) -> None:
         with open(self.path(f"log-{name}.txt"), "ab") as log:
-            self.running[name] = subprocess.Popen(self.commands[name], stdin=subprocess.DEVNULL, stdout=log, stderr=log)
+            self.running[name] = subprocess.Popen(
+                self.commands[name], stdin=subprocess.DEVNULL, stdout=log, stderr=log
+            )
 
     def kill(self, name: str) -> None:
         process = self.running.pop(name, None) or self.leaving.pop(name, None)
@@ -122,7 +137,7 @@
             process.send_signal(signal.SIGCONT)
             process.kill()
             process.wait()
-            with open(self.path(f"record-{name}.jsonl"), "ab") as record:   # what it had in hand ended here
+            with open(self.path(f"record-{name}.jsonl"), "ab") as record:  # what it had in hand ended here
                 record.write(msgspec.json.encode([self.loop.now(), "died"]) + b"\n")
 
     def leave(self, name: str) -> None:
@@ -143,7 +158,9 @@
 
     def ended(self) -> list[str]:
         """Processes that ended by themselves since the last look, with their codes."""
-        gone = [(name, process.returncode) for name, process in self.running.items() if process.poll() is not None]
+        gone = [
+            (name, process.returncode) for name, process in self.running.items() if process.poll() is not None
+        ]
         for name, _ in gone:
             del self.running[name]
         return [f"{name} (exit {code})" for name, code in gone]
@@ -183,16 +200,26 @@
     def take(self) -> tuple[str, int]: ...
 
 
-def placed(deployment: Deployment, ports: TakesPorts, folder: str, list_address: tuple[str, int]) -> Deployment:
+def placed(
+    deployment: Deployment, ports: TakesPorts, folder: str, list_address: tuple[str, int]
+) -> Deployment:
     """The deployment with free ports in place of its own, its list from the rehearsal's service."""
-    pilots = tuple(dataclasses.replace(p, listen=ports.take(), admin=ports.take(),
-                                       gossip=ports.take() if deployment.membership is not None else None) for p in deployment.pilots)
+    pilots = tuple(
+        dataclasses.replace(
+            p,
+            listen=ports.take(),
+            admin=ports.take(),
+            gossip=ports.take() if deployment.membership is not None else None,
+        )
+        for p in deployment.pilots
+    )
     store = deployment.store
     if store is not None:
         store = dataclasses.replace(store, listen=ports.take(), path="store.db", embedded=False)
     listed = dataclasses.replace(deployment.listed, service=list_address, file="", saved="")
-    return dataclasses.replace(deployment, pilots=pilots, store=store, listed=listed,
-                               file=os.path.join(folder, "deployment.hcl"))
+    return dataclasses.replace(
+        deployment, pilots=pilots, store=store, listed=listed, file=os.path.join(folder, "deployment.hcl")
+    )
 
 
 def write_deployment(deployment: Deployment, path: str) -> str:
--- a/cedarshift/rehearsal/hunt.py
+++ b/cedarshift/rehearsal/hunt.py
@@ -1,4 +1,5 @@
 """Many seeds of one day on a virtual clock, on all cores: which of them break a rule, and how to play those again."""
+
 from __future__ import annotations
 
 import os
@@ -12,6 +13,7 @@
 
 class Played(NamedTuple):
     """`broken`: rules that were not to break; `failed`: why the run itself came to no end, "" where it did."""
+
     seed: int
     broken: list[str]
     crashed: list[str]
@@ -25,9 +27,13 @@
     folder = os.path.join(out, f"seed-{seed}")
     try:
         report = play(load_day(name), folder, seed, None, virtual=True, page=False)
-    except Exception as error:               # a bug that a seed found is a find, not the end of the hunt
+    except Exception as error:  # a bug that a seed found is a find, not the end of the hunt
         return Played(seed, [], [], 0.0, 0.0, f"{type(error).__name__}: {error}")
-    broken = [rule["rule"] for rule in report["rules"] if not rule["held"] and rule["rule"] not in report["broken_on_purpose"]]
+    broken = [
+        rule["rule"]
+        for rule in report["rules"]
+        if not rule["held"] and rule["rule"] not in report["broken_on_purpose"]
+    ]
     service = report["service"]
     if report["as_expected"]:
         shutil.rmtree(folder)
@@ -50,10 +56,22 @@
     played.sort()
     earned = [one.earned for one in played if not one.failed]
     bad = [one for one in played if one.broken or one.crashed or one.failed]
-    return {"day": name, "seeds": len(played), "bad": [one._asdict() for one in bad],
-            "earned": {"mean": sum(earned) / max(1, len(earned)), "least": min(earned, default=0.0), "most": max(earned, default=0.0)},
-            "worst_seed": min((one for one in played if not one.failed), key=lambda one: one.earned, default=Played(0, [], [], 0, 0, "")).seed,
-            "again": [f"cedarshift rehearse {name} --virtual --seed {one.seed}" for one in bad]}
+    return {
+        "day": name,
+        "seeds": len(played),
+        "bad": [one._asdict() for one in bad],
+        "earned": {
+            "mean": sum(earned) / max(1, len(earned)),
+            "least": min(earned, default=0.0),
+            "most": max(earned, default=0.0),
+        },
+        "worst_seed": min(
+            (one for one in played if not one.failed),
+            key=lambda one: one.earned,
+            default=Played(0, [], [], 0, 0, ""),
+        ).seed,
+        "again": [f"cedarshift rehearse {name} --virtual --seed {one.seed}" for one in bad],
+    }
 
 
 __all__ = ["Played", "hunt"]
--- a/cedarshift/rehearsal/planted.py
+++ b/cedarshift/rehearsal/planted.py
@@ -2,6 +2,7 @@
 
 Each is a small change of `judge.budgets` in a subclass; the checker gets it in the place of the sound one.
 """
+
 from __future__ import annotations
 
 from typing import Any, Iterable, NamedTuple
@@ -30,12 +31,18 @@
     """Takes an older right for the newest."""
 
     def hear(self, now: int, number: int, era: int, shares: Iterable[b.Share]) -> bool:
-        late = [share for share in shares if self.taken[share.budget] and share.number <= self.taken[share.budget][-1].number]
+        late = [
+            share
+            for share in shares
+            if self.taken[share.budget] and share.number <= self.taken[share.budget][-1].number
+        ]
         asked_at = self.asked.get(number)
         heard = super().hear(now, number, era, shares)
         if heard and asked_at is not None:
             for share in late:
-                self.taken[share.budget].append(b.Taken(share.number, share.amount, asked_at + int(share.span * (1 - self.drift))))
+                self.taken[share.budget].append(
+                    b.Taken(share.number, share.amount, asked_at + int(share.span * (1 - self.drift)))
+                )
         return heard
 
 
@@ -93,7 +100,9 @@
 class NothingKept(b.Giver):
     """Begins with an empty ledger and without a wait."""
 
-    def __init__(self, plan: b.Plan, lease: int, era: int, now: int, rows: Any = (), *more: Any, **named: Any) -> None:
+    def __init__(
+        self, plan: b.Plan, lease: int, era: int, now: int, rows: Any = (), *more: Any, **named: Any
+    ) -> None:
         super().__init__(plan, lease, era, now, (), *more, **named)
         self.quiet_until = now
 
@@ -124,6 +133,7 @@
 
 class Planted(NamedTuple):
     """`by`: "states" or "seeds"; `made` goes to the one or the other."""
+
     name: str
     by: str
     made: dict[str, Any]
@@ -144,7 +154,7 @@
     Planted("shrink said before proxies gave back", "seeds", {"hub": SaidTooSoon}),
     Planted("a new life's floor handed out at once", "seeds", {"hub": RestartRemembers}),
 ]
-SEEDS = 120               # days that are played for a planted fault at most
+SEEDS = 120  # days that are played for a planted fault at most
 DEPTH, STATES = 8, 100_000
 
 
@@ -152,7 +162,10 @@
     """What the checker says of it; "" where it finds nothing."""
     if planted.by == "states":
         got = explore(DEPTH, STATES, **planted.made)
-        return got.broken and f"{got.broken}, after {got.states:,} states, by {', '.join(' '.join(map(str, step)) for step in got.steps)}"
+        return (
+            got.broken
+            and f"{got.broken}, after {got.states:,} states, by {', '.join(' '.join(map(str, step)) for step in got.steps)}"
+        )
     for seed in range(1, SEEDS + 1):
         day, _ = play(seed, **planted.made)
         if day.over:
--- a/cedarshift/rehearsal/rules.py
+++ b/cedarshift/rehearsal/rules.py
@@ -2,6 +2,7 @@
 
 Nothing that a pilot believes is read. Each checker returns a verdict with what broke it first.
 """
+
 from __future__ import annotations
 
 import heapq
@@ -15,8 +16,13 @@
 
 
 def check_all(evidence: Evidence) -> list[Verdict]:
-    found = [nobody_without(evidence), one_owner(evidence), drains(evidence), no_cold_pushed(evidence),
-             short_queue(evidence)]
+    found = [
+        nobody_without(evidence),
+        one_owner(evidence),
+        drains(evidence),
+        no_cold_pushed(evidence),
+        short_queue(evidence),
+    ]
     if evidence.limits.budgets:
         found.append(budgets_kept(evidence))
     if evidence.limits.answer is not None:
@@ -26,6 +32,7 @@
 
 # ---- budgets, where the deployment has any
 
+
 def beyond_rate(times: Sequence[int], rate: float) -> tuple[float, int]:
     """By how many the worst span of any length passes `rate` a second, and where it ends; `times` in us, in order."""
     low, worst, worst_at = 0.0, 0.0, 0
@@ -42,17 +49,24 @@
     and each stop of a process between its check and its record."""
     verdict = Verdict("budgets", "the fleet spends no more than the whole of each budget")
     for use, (rate, burst, spenders) in sorted(evidence.limits.budgets.items()):
-        times = [row.at for row in evidence.of("spend", "call") if (row.told[0] if row.what == "spend" else "list_calls") == use]
+        times = [
+            row.at
+            for row in evidence.of("spend", "call")
+            if (row.told[0] if row.what == "spend" else "list_calls") == use
+        ]
         allowed, (worst, worst_at) = rate * burst / 1e6 + spenders, beyond_rate(times, rate)
         verdict.figures[f"{use}_spent"] = float(len(times))
         verdict.figures[f"{use}_beyond_rate"] = worst
         if worst > allowed:
-            verdict.broken(f"{use}: {worst:.1f} spends beyond {rate:g} a second by {evidence.seconds(worst_at):.3f} s, {allowed:.1f} allowed")
+            verdict.broken(
+                f"{use}: {worst:.1f} spends beyond {rate:g} a second by {evidence.seconds(worst_at):.3f} s, {allowed:.1f} allowed"
+            )
     return verdict
 
 
 # ---- rule one
 
+
 def nobody_without(evidence: Evidence) -> Verdict:
     verdict = Verdict("nobody-without", "no joined proxy is left without an endpoint for a slice")
     longest = 0
@@ -66,8 +80,10 @@
             return
         longest = max(longest, at - since)
         if evidence.limits.without(since, at) > evidence.limits.empty_for:
-            verdict.broken(f"{who} had no endpoint for slice {number} from {evidence.seconds(since):.3f} s "
-                           f"to {evidence.seconds(at):.3f} s")
+            verdict.broken(
+                f"{who} had no endpoint for slice {number} from {evidence.seconds(since):.3f} s "
+                f"to {evidence.seconds(at):.3f} s"
+            )
 
     held: dict[str, dict[int, str]] = defaultdict(dict)
     for row in evidence.of("start", "joined", "lost", "slice"):
@@ -83,7 +99,7 @@
                     bare[who].setdefault(number, row.at)
         elif row.what == "lost":
             joined[who].discard(row.told[0])
-            if not joined[who]:              # cut off: the rule speaks of joined proxies
+            if not joined[who]:  # cut off: the rule speaks of joined proxies
                 for number in list(bare[who]):
                     over(who, number, row.at)
         else:
@@ -102,6 +118,7 @@
 
 # ---- rule two
 
+
 class Write(NamedTuple):
     begun: int
     over: int
@@ -125,7 +142,10 @@
             for who, op in [key for key in begun if key[0] == row.who]:
                 at, overdue, number = begun.pop((who, op))
                 made.append(Write(at, min(row.at, overdue), who, op, number))
-    made += [Write(at, min(evidence.end, overdue), who, op, number) for (who, op), (at, overdue, number) in begun.items()]
+    made += [
+        Write(at, min(evidence.end, overdue), who, op, number)
+        for (who, op), (at, overdue, number) in begun.items()
+    ]
     return sorted(made)
 
 
@@ -137,7 +157,11 @@
     for row in evidence.of("order", "held"):
         if row.what == "order":
             pilot, _, _, _, mark, lines = row.told
-            found: list[tuple] = [(number, endpoint, epoch, (pilot, mark)) for number, endpoint, weight, epoch in lines if weight > 0]
+            found: list[tuple] = [
+                (number, endpoint, epoch, (pilot, mark))
+                for number, endpoint, weight, epoch in lines
+                if weight > 0
+            ]
         else:
             found = [(number, owner, epoch, ("held",)) for number, epoch, owner in row.told[1] if owner]
         for number, endpoint, epoch, source in found:
@@ -153,7 +177,9 @@
 
 
 def one_owner(evidence: Evidence) -> Verdict:
-    verdict = Verdict("one-owner", "no effect twice: one owner's writes at a time, never a former owner after a later")
+    verdict = Verdict(
+        "one-owner", "no effect twice: one owner's writes at a time, never a former owner after a later"
+    )
     names = {row.who: row.told[0] for row in evidence.of("start") if row.who.startswith("e")}
     owners = defaultdict(list, evidence.owners) if evidence.owners is not None else owners_of(evidence)
     open_writes: dict[int, list[tuple[int, Write]]] = defaultdict(list)
@@ -165,15 +191,19 @@
             heapq.heappop(others)
         for _, other in others:
             if other.endpoint != write.endpoint:
-                verdict.broken(f"op {write.op} reached {write.endpoint} at {evidence.seconds(write.begun):.3f} s while "
-                               f"{other.endpoint} held op {other.op} of slice {write.slice}")
+                verdict.broken(
+                    f"op {write.op} reached {write.endpoint} at {evidence.seconds(write.begun):.3f} s while "
+                    f"{other.endpoint} held op {other.op} of slice {write.slice}"
+                )
                 break
         heapq.heappush(others, (write.over, write))
         period = _period(owners[write.slice], names.get(write.endpoint, write.endpoint), write.begun)
         later = newest.get(write.slice)
         if later is not None and later[0] > period and later[1].endpoint != write.endpoint:
-            verdict.broken(f"op {write.op} reached {write.endpoint}, a former owner of slice {write.slice}, at "
-                           f"{evidence.seconds(write.begun):.3f} s, after op {later[1].op} at {later[1].endpoint}")
+            verdict.broken(
+                f"op {write.op} reached {write.endpoint}, a former owner of slice {write.slice}, at "
+                f"{evidence.seconds(write.begun):.3f} s, after op {later[1].op} at {later[1].endpoint}"
+            )
         elif later is None or period > later[0]:
             newest[write.slice] = (period, write)
     _never_twice(evidence, verdict)
@@ -196,8 +226,10 @@
         if op_type in evidence.limits.once_only:
             if op in taken:
                 twice += 1
-                verdict.broken(f"once-only op {op} was taken in at {taken[op].who} and again at {row.who} at "
-                               f"{evidence.seconds(row.at):.3f} s")
+                verdict.broken(
+                    f"once-only op {op} was taken in at {taken[op].who} and again at {row.who} at "
+                    f"{evidence.seconds(row.at):.3f} s"
+                )
             taken.setdefault(op, row)
     verdict.figures["once_only_ops"] = len(taken)
     verdict.figures["taken_twice"] = twice
@@ -205,11 +237,12 @@
 
 # ---- rule three
 
+
 def drains(evidence: Evidence) -> Verdict:
     verdict = Verdict("drains", "an endpoint that drains or is gone is left within the grace")
-    told: dict[tuple[str, str], int] = {}            # (pilot, endpoint) -> when it was told to leave it
-    since: dict[tuple[str, str], int] = {}           # (proxy, pilot) -> joined at
-    given: dict[tuple[str, int], tuple[int, int]] = {}   # (proxy, slice) -> (epoch, when)
+    told: dict[tuple[str, str], int] = {}  # (pilot, endpoint) -> when it was told to leave it
+    since: dict[tuple[str, str], int] = {}  # (proxy, pilot) -> joined at
+    given: dict[tuple[str, int], tuple[int, int]] = {}  # (proxy, slice) -> (epoch, when)
     latest = 0
     for row in evidence.of("told", "joined", "lost", "held", "send"):
         if row.what == "told":
@@ -234,8 +267,10 @@
             start = max(left, since[row.who, pilot], given.get((row.who, number), (0, 0))[1])
             latest = max(latest, row.at - start)
             if evidence.limits.without(start, row.at) > evidence.limits.drain_grace:
-                verdict.broken(f"{row.who} sent op {op} to {endpoint} at {evidence.seconds(row.at):.3f} s, "
-                               f"{(row.at - start) / 1e6:.3f} s after {pilot} was told to leave it")
+                verdict.broken(
+                    f"{row.who} sent op {op} to {endpoint} at {evidence.seconds(row.at):.3f} s, "
+                    f"{(row.at - start) / 1e6:.3f} s after {pilot} was told to leave it"
+                )
     verdict.figures["last_send_after_s"] = latest / 1e6
     verdict.figures["endpoints_left"] = len({endpoint for _, endpoint in told})
     return verdict
@@ -243,6 +278,7 @@
 
 # ---- rule four
 
+
 def no_cold_pushed(evidence: Evidence) -> Verdict:
     verdict = Verdict("no-cold-pushed", "no cold endpoint is pushed over")
     cold = 0
@@ -251,18 +287,24 @@
             cold += not row.told[4]
         elif row.what == "tipped":
             work, share, waiting = row.told
-            verdict.broken(f"{row.who} fell over at {evidence.seconds(row.at):.3f} s: {work / 1e6:.2f} s of work within the "
-                           f"window at {share:.2f} of its capacity; in hand: {', '.join(waiting[:4]) or 'none'}")
+            verdict.broken(
+                f"{row.who} fell over at {evidence.seconds(row.at):.3f} s: {work / 1e6:.2f} s of work within the "
+                f"window at {share:.2f} of its capacity; in hand: {', '.join(waiting[:4]) or 'none'}"
+            )
     verdict.figures["cold_starts"] = cold
     return verdict
 
 
 # ---- rule five
 
+
 def short_queue(evidence: Evidence) -> Verdict:
     """Each order tells how long it lay in the channel, so what waited when is seen from the proxies' side."""
     limits = evidence.limits
-    verdict = Verdict("short-queue", "no more lines wait in a pilot's channel, and no more messages go to one proxy, than stated")
+    verdict = Verdict(
+        "short-queue",
+        "no more lines wait in a pilot's channel, and no more messages go to one proxy, than stated",
+    )
     moves: dict[str, list[tuple[int, int, float]]] = defaultdict(list)
     recent: dict[tuple[str, str], deque[int]] = defaultdict(deque)
     most_messages = 0
@@ -276,8 +318,10 @@
             times.popleft()
         most_messages = max(most_messages, len(times))
         if limits.messages_most and len(times) > limits.messages_most:
-            verdict.broken(f"{pilot} wrote {len(times)} messages to {row.who} within "
-                           f"{limits.messages_span / 1e6:g} s by {evidence.seconds(row.at):.3f} s")
+            verdict.broken(
+                f"{pilot} wrote {len(times)} messages to {row.who} within "
+                f"{limits.messages_span / 1e6:g} s by {evidence.seconds(row.at):.3f} s"
+            )
     peak = 0.0
     for pilot, steps in moves.items():
         waiting, above = 0.0, False
@@ -285,8 +329,10 @@
             waiting += lines
             peak = max(peak, waiting)
             if waiting > limits.lines_waiting_most and not above:
-                verdict.broken(f"{waiting:.0f} lines waited in the channel of {pilot} at {evidence.seconds(at):.3f} s, "
-                               f"{limits.lines_waiting_most:.0f} are allowed")
+                verdict.broken(
+                    f"{waiting:.0f} lines waited in the channel of {pilot} at {evidence.seconds(at):.3f} s, "
+                    f"{limits.lines_waiting_most:.0f} are allowed"
+                )
             above = waiting > limits.lines_waiting_most
     verdict.figures["lines_waiting_at_most"] = peak
     verdict.figures["messages_to_one_at_most"] = most_messages
@@ -295,6 +341,7 @@
 
 # ---- figures beside the rules
 
+
 def handover_gaps(evidence: Evidence) -> list[float]:
     """Seconds for which a slice's writes were closed at a proxy, for every closing that was followed by an opening."""
     shut: dict[tuple[str, int], int] = {}
@@ -308,6 +355,6 @@
             shut.setdefault((row.who, number), row.at)
         elif (row.who, number) in shut:
             began = shut.pop((row.who, number))
-            if began >= evidence.begin:      # at the start every slice waits for its first owner
+            if began >= evidence.begin:  # at the start every slice waits for its first owner
                 gaps.append((row.at - began) / 1e6)
     return sorted(gaps)
--- a/cedarshift/rehearsal/shares.py
+++ b/cedarshift/rehearsal/shares.py
@@ -4,6 +4,7 @@
 `explore` goes over all states that a few steps can lead to: three holders, a whole of six, two budgets on it. `play` draws a
 long day of pilots, proxies and their buckets. Both look, at each instant, at the sum of what all may spend.
 """
+
 from __future__ import annotations
 
 import heapq
@@ -17,15 +18,16 @@
 
 # ---- every order of events
 
-LEASE = 40                # units of the giver's clock, of which a tick is ten
-CLOCKS = (8, 10, 12)      # units of each holder's clock in a tick
-DRIFT = 0.25              # between the slowest of them and the giver's
+LEASE = 40  # units of the giver's clock, of which a tick is ten
+CLOCKS = (8, 10, 12)  # units of each holder's clock in a tick
+DRIFT = 0.25  # between the slowest of them and the giver's
 WANTED = ({"a": 6, "b": 6}, {"a": 0, "b": 0})
-IN_FLIGHT = 2             # messages at a time
+IN_FLIGHT = 2  # messages at a time
 
 
 class Message(NamedTuple):
     """An ask on its way to the giver, or an answer to a holder's life."""
+
     holder: int
     life: int
     number: int
@@ -40,7 +42,8 @@
 
 class Faults(NamedTuple):
     """How many of each a run may have."""
-    restarts: int = 1                        # of holders
+
+    restarts: int = 1  # of holders
     stores: int = 1
     doubled: int = 1
 
@@ -48,7 +51,9 @@
 class State:
     """One world. `rows` are as the disk has them, `before` one write earlier."""
 
-    def __init__(self, make: Callable[..., Giver], hold: Callable[..., Holder], faults: Faults, warm: int) -> None:
+    def __init__(
+        self, make: Callable[..., Giver], hold: Callable[..., Holder], faults: Faults, warm: int
+    ) -> None:
         self.make, self.hold = make, hold
         self.tick = 100
         self.rows: dict[tuple, Row] = {}
@@ -92,17 +97,23 @@
     def arrive(self, at: int, twice: bool) -> None:
         message = self.flying[at]
         if not twice:
-            self.flying = self.flying[:at] + self.flying[at + 1:]
+            self.flying = self.flying[:at] + self.flying[at + 1 :]
         if message.shares is None:
-            shares, rows = self.giver.ask(self.now(), f"p{message.holder}", message.life, message.era, message.number, message.asks)
+            shares, rows = self.giver.ask(
+                self.now(), f"p{message.holder}", message.life, message.era, message.number, message.asks
+            )
             if rows:
                 self.before = dict(self.rows)
                 self.rows.update({(row.budget, row.holder, row.life): row for row in rows})
-            self.flying += (Message(message.holder, message.life, message.number, self.era, (), tuple(shares)),)
+            self.flying += (
+                Message(message.holder, message.life, message.number, self.era, (), tuple(shares)),
+            )
         elif self.holders[message.holder].life == message.life:
             holder = self.holders[message.holder]
             if not holder.hear(self.clock(message.holder), message.number, message.era, message.shares):
-                if message.era >= holder.era:    # a stream is to one life of the store: words of a former one do not come later
+                if (
+                    message.era >= holder.era
+                ):  # a stream is to one life of the store: words of a former one do not come later
                     holder.joined(message.era)
 
     def steps(self) -> list[tuple]:
@@ -130,7 +141,7 @@
             if step[2]:
                 self.left = self.left._replace(doubled=self.left.doubled - 1)
         elif kind == "lose":
-            self.flying = self.flying[:step[1]] + self.flying[step[1] + 1:]
+            self.flying = self.flying[: step[1]] + self.flying[step[1] + 1 :]
         elif kind == "restart":
             former = self.holders[step[1]]
             self.holders[step[1]] = self.hold({"a": 1, "b": 0}, former.life + 1, DRIFT)
@@ -151,19 +162,50 @@
             for leaf in holder.floors:
                 for name in plan.above[leaf]:
                     sums[name] += holder.right(self.clock(n), leaf)
-        over = [f"{name}: {total} of {plan.budgets[name].whole}" for name, total in sums.items() if total > plan.budgets[name].whole]
+        over = [
+            f"{name}: {total} of {plan.budgets[name].whole}"
+            for name, total in sums.items()
+            if total > plan.budgets[name].whole
+        ]
         return "; ".join(over)
 
     def key(self) -> tuple:
         """The same for worlds that go on the same way."""
         now, g = self.now(), self.giver
-        accounts = tuple((key, a.number, a.demand, max(-LEASE, a.heard - now), tuple((r.number, r.amount, r.until - now)
-                          for r in a.rights if r.until > now)) for key, a in sorted(g.accounts.items()))
-        holders = tuple((h.life, h.era, h.drawn, tuple(sorted((k, v - self.clock(n)) for k, v in h.asked.items())),
-                         tuple((name, tuple((t.number, t.amount, max(0, t.until - self.clock(n))) for t in taken))
-                               for name, taken in h.taken.items())) for n, h in enumerate(self.holders))
-        return (accounts, tuple(sorted(g.heard.items())), max(0, g.quiet_until - now), holders, self.flying, self.left, self.era,
-                tuple(sorted(self.before.items())), tuple(sorted(self.rows.items())))
+        accounts = tuple(
+            (
+                key,
+                a.number,
+                a.demand,
+                max(-LEASE, a.heard - now),
+                tuple((r.number, r.amount, r.until - now) for r in a.rights if r.until > now),
+            )
+            for key, a in sorted(g.accounts.items())
+        )
+        holders = tuple(
+            (
+                h.life,
+                h.era,
+                h.drawn,
+                tuple(sorted((k, v - self.clock(n)) for k, v in h.asked.items())),
+                tuple(
+                    (name, tuple((t.number, t.amount, max(0, t.until - self.clock(n))) for t in taken))
+                    for name, taken in h.taken.items()
+                ),
+            )
+            for n, h in enumerate(self.holders)
+        )
+        return (
+            accounts,
+            tuple(sorted(g.heard.items())),
+            max(0, g.quiet_until - now),
+            holders,
+            self.flying,
+            self.left,
+            self.era,
+            tuple(sorted(self.before.items())),
+            tuple(sorted(self.rows.items())),
+        )
 
 
 def _copy_giver(giver: Giver) -> Giver:
@@ -192,14 +234,22 @@
 
 class Explored(NamedTuple):
     """`broken`: what was wrong, and the steps that lead there; "" where nothing was."""
+
     states: int
     depth: int
     broken: str
     steps: tuple
 
 
-def explore(depth: int, most: int, make: Callable[..., Giver] = Giver, hold: Callable[..., Holder] = Holder,
-            faults: Faults = Faults(), warm: int = 2, only: Callable[[tuple], bool] = lambda step: True) -> Explored:
+def explore(
+    depth: int,
+    most: int,
+    make: Callable[..., Giver] = Giver,
+    hold: Callable[..., Holder] = Holder,
+    faults: Faults = Faults(),
+    warm: int = 2,
+    only: Callable[[tuple], bool] = lambda step: True,
+) -> Explored:
     """All states within `depth` steps, breadth first, `most` at most; ends at the first that breaks a whole. `only`: which steps
     are taken. A depth is told as reached when all of it was gone over."""
     first = State(make, hold, faults, warm)
@@ -255,7 +305,9 @@
 
     def holder(self, pilot: str) -> Holder:
         if pilot not in self.holders:
-            self.holders[pilot] = self.day.hold(dict.fromkeys(self.day.plan.leaves, 0), self.life, self.day.drift)
+            self.holders[pilot] = self.day.hold(
+                dict.fromkeys(self.day.plan.leaves, 0), self.life, self.day.drift
+            )
             for leaf in self.day.plan.leaves:
                 self.buckets[pilot, leaf] = Bucket(BURST, self.day.drift, self.now())
         return self.holders[pilot]
@@ -272,15 +324,29 @@
 class Day:
     """One day. `hub`, `giver`, `hold`: what is hosted, so that planted faults can be."""
 
-    def __init__(self, seed: int, giver: Callable[..., Giver] = Giver, hub: Callable[..., Hub] = Hub, hold: type[Holder] = Holder,
-                 drift: float = 2 * CLOCKS_APART) -> None:
+    def __init__(
+        self,
+        seed: int,
+        giver: Callable[..., Giver] = Giver,
+        hub: Callable[..., Hub] = Hub,
+        hold: type[Holder] = Holder,
+        drift: float = 2 * CLOCKS_APART,
+    ) -> None:
         self.draw = random.Random(f"shares {seed}")
         self.make, self.make_hub, self.hold, self.drift = giver, hub, hold, drift
         count = self.draw.randrange(2, PILOTS_MOST + 1)
         self.whole = self.draw.choice((3, 10, 40)) * PARTS
         floor = self.whole // (count * self.draw.choice((2, 4))) // 2
-        self.plan = Plan([Budget("all", self.whole), Budget("a", self.whole, floor, "all"),
-                          Budget("b", self.whole * 2 // 3, floor, "all", self.draw.choice((0, 1)), self.draw.choice((1, 3)))], count)
+        self.plan = Plan(
+            [
+                Budget("all", self.whole),
+                Budget("a", self.whole, floor, "all"),
+                Budget(
+                    "b", self.whole * 2 // 3, floor, "all", self.draw.choice((0, 1)), self.draw.choice((1, 3))
+                ),
+            ],
+            count,
+        )
         self.now = 10 * SECOND
         self.lives = 0
         self.drawn = 0
@@ -301,8 +367,10 @@
         self.used = 0
         for name in self.pilots:
             self.start(name)
-        self.proxies = [Spender(self, f"x{n}", 1 + self.draw.uniform(-CLOCKS_APART, CLOCKS_APART))
-                        for n in range(self.draw.randrange(2, 9))]
+        self.proxies = [
+            Spender(self, f"x{n}", 1 + self.draw.uniform(-CLOCKS_APART, CLOCKS_APART))
+            for n in range(self.draw.randrange(2, 9))
+        ]
         for proxy in self.proxies:
             self.after(self.draw.randrange(SECOND), self._beat, proxy)
             self.after(self.draw.randrange(SECOND), self._spend, proxy)
@@ -339,7 +407,9 @@
 
     def start(self, name: str) -> None:
         self.stopped.discard(name)
-        hub = self.hubs[name] = self.make_hub(self.plan, self.life(), self.drift, PROXY_LEASE, self.clock(name))
+        hub = self.hubs[name] = self.make_hub(
+            self.plan, self.life(), self.drift, PROXY_LEASE, self.clock(name)
+        )
         hub.holder.__class__ = self.hold
         self.after(self.draw.randrange(1000), self._ask, name, hub)
 
@@ -387,12 +457,25 @@
             if self.hubs[name] is not None:
                 holder = proxy.holder(name)
                 number, wants = holder.ask(proxy.now(), proxy.demand)
-                self.send(proxy.name, name, self._hub_hears, name, self.hubs[name], proxy, proxy.life, holder.era, number, wants)
+                self.send(
+                    proxy.name,
+                    name,
+                    self._hub_hears,
+                    name,
+                    self.hubs[name],
+                    proxy,
+                    proxy.life,
+                    holder.era,
+                    number,
+                    wants,
+                )
             elif name in proxy.holders:
                 proxy.lost(name)
         self.after(PROXY_LEASE // 4, self._beat, proxy)
 
-    def _hub_hears(self, name: str, hub: Hub, proxy: Spender, life: int, era: int, number: int, wants: list[Want]) -> None:
+    def _hub_hears(
+        self, name: str, hub: Hub, proxy: Spender, life: int, era: int, number: int, wants: list[Want]
+    ) -> None:
         if self.hubs[name] is not hub:
             return
         if name in self.stopped:
@@ -401,7 +484,9 @@
         shares, _ = hub.giver.ask(self.clock(name), proxy.name, life, era, number, wants)
         self.send(name, proxy.name, self._proxy_hears, name, proxy, life, number, hub.giver.era, shares)
 
-    def _proxy_hears(self, name: str, proxy: Spender, life: int, number: int, era: int, shares: list[Share]) -> None:
+    def _proxy_hears(
+        self, name: str, proxy: Spender, life: int, number: int, era: int, shares: list[Share]
+    ) -> None:
         if proxy.life != life:
             return
         holder, now = proxy.holder(name), proxy.now()
@@ -409,7 +494,7 @@
             for leaf in self.plan.leaves:
                 proxy.buckets[name, leaf].grant(now, holder.right(now, leaf), holder.until(now, leaf))
             if not self.over:
-                self._look()                 # rights grow here and nowhere else
+                self._look()  # rights grow here and nowhere else
         elif era > holder.era:
             holder.joined(era)
 
@@ -440,7 +525,9 @@
         for leaf in [None, *self.plan.leaves]:
             whole = (self.whole if leaf is None else self.plan.budgets[leaf].whole) / PARTS
             times = sorted(at for at, kind in self.spends if leaf in (None, kind))
-            allowed = whole * BURST / SECOND + len(self.proxies) * len(self.pilots) * (2 if leaf is None else 1)
+            allowed = whole * BURST / SECOND + len(self.proxies) * len(self.pilots) * (
+                2 if leaf is None else 1
+            )
             worst, at = beyond_rate(times, whole)
             if worst > allowed + 1e-6:
                 return f"{leaf or 'all'}: {worst:.1f} tokens over its rate, {allowed:.1f} allowed, at {at}"
@@ -450,8 +537,24 @@
 def fault(day: Day) -> str:
     """One fault by chance."""
     name, span = day.draw.choice(day.pilots), int(day.draw.uniform(0.2, 6) * SECOND)
-    kind = day.draw.choice(("kill", "kill both", "stop", "cut", "store", "short", "old", "flap", "at once", "shift", "shift", "shift", "proxy"))
-    if kind == "at once":                    # so soon that no proxy has seen the former life go
+    kind = day.draw.choice(
+        (
+            "kill",
+            "kill both",
+            "stop",
+            "cut",
+            "store",
+            "short",
+            "old",
+            "flap",
+            "at once",
+            "shift",
+            "shift",
+            "shift",
+            "proxy",
+        )
+    )
+    if kind == "at once":  # so soon that no proxy has seen the former life go
         day.start(name)
     elif kind in ("kill", "kill both", "flap"):
         if day.hubs[name] is None:
@@ -473,7 +576,10 @@
         one = day.draw.choice(day.proxies)
         for proxy in day.proxies:
             heavy = proxy is one
-            proxy.demand = {leaf: day.draw.choice((0, day.whole * 2)) if heavy else day.whole // 20 for leaf in day.plan.leaves}
+            proxy.demand = {
+                leaf: day.draw.choice((0, day.whole * 2)) if heavy else day.whole // 20
+                for leaf in day.plan.leaves
+            }
     elif kind == "proxy":
         day.draw.choice(day.proxies).start()
     return f"{kind} {name} {span / SECOND:.1f}"
--- a/cedarshift/rehearsal/stage.py
+++ b/cedarshift/rehearsal/stage.py
@@ -1,4 +1,5 @@
 """What stands on a rehearsal's stage: who there is, on which address and in which zone, and what the list says of it."""
+
 from __future__ import annotations
 
 import dataclasses
@@ -25,15 +26,21 @@
 
 LEARNT = LearnTerms((), 20_000_000, 2_000_000, 2_000_000, 2_000_000, 0.05, True)
 PATH = "/rehearsal/members"
-HOLD = 1_000_000          # us that a vanished node may stay untold
-ROOMY = 1e9               # a channel without limits, for the day that breaks rules on purpose
+HOLD = 1_000_000  # us that a vanished node may stay untold
+ROOMY = 1e9  # a channel without limits, for the day that breaks rules on purpose
 
 
 class Stage:
     """`fleet` and `ports` decide whether the programs are processes on loopback or hosts on a virtual clock."""
 
-    def __init__(self, loop: Loop, day: Day, fleet: Union[Fleet, VirtualFleet], ports: Union[Ports, VirtualPorts],
-                 seed: int) -> None:
+    def __init__(
+        self,
+        loop: Loop,
+        day: Day,
+        fleet: Union[Fleet, VirtualFleet],
+        ports: Union[Ports, VirtualPorts],
+        seed: int,
+    ) -> None:
         self.loop = loop
         self.day = day
         self.seed = seed
@@ -44,13 +51,17 @@
         self.list_address = self.ports.take()
         deployment = dataclasses.replace(day.deployment, learn=LEARNT) if day.learn else day.deployment
         self.servers = [self.ports.take() for _ in range(SERVERS)] if day.roster == "zookeeper" else []
-        self.deployment: Deployment = dataclasses.replace(placed(deployment, self.ports, fleet.folder, self.list_address),
-                                                          listed=self._listed(deployment.listed))
+        self.deployment: Deployment = dataclasses.replace(
+            placed(deployment, self.ports, fleet.folder, self.list_address),
+            listed=self._listed(deployment.listed),
+        )
         self.zones = list(self.deployment.zones) or [""]
         self.pilots = [p.name for p in self.deployment.pilots]
         self.proxies = [f"x{n}" for n in range(day.proxies)]
         self.endpoints: list[str] = []
-        self.zone_of: dict[str, str] = {x: self.zones[n % len(self.zones)] for n, x in enumerate(self.proxies)}
+        self.zone_of: dict[str, str] = {
+            x: self.zones[n % len(self.zones)] for n, x in enumerate(self.proxies)
+        }
         self.kind_of: dict[str, EndpointKind] = {}
         self.address_of: dict[str, tuple[str, int]] = {}
         self.entries: dict[str, dict[str, Any]] = {}
@@ -60,7 +71,7 @@
         self.doors: dict[str, tuple[str, int]] = {}
         for _ in range(day.endpoints):
             self.new_endpoint()
-        for _ in range(day.spare_ports):     # known to the proxies from the start, as their zones are
+        for _ in range(day.spare_ports):  # known to the proxies from the start, as their zones are
             self._reserve()
 
     def _listed(self, listed: ListSource) -> ListSource:
@@ -70,8 +81,12 @@
             return dataclasses.replace(made, file="endpoints.json", refresh=250_000, asks=False)
         if self.day.roster == "service":
             return dataclasses.replace(made, service=self.list_address)
-        nodes = listed.nodes or NodeRoster((), PATH, self.day.session_timeout, "serverset", "", "recursive", True, HOLD, "", ())
-        return dataclasses.replace(made, nodes=dataclasses.replace(nodes, servers=tuple(self.servers)), asks=False)
+        nodes = listed.nodes or NodeRoster(
+            (), PATH, self.day.session_timeout, "serverset", "", "recursive", True, HOLD, "", ()
+        )
+        return dataclasses.replace(
+            made, nodes=dataclasses.replace(nodes, servers=tuple(self.servers)), asks=False
+        )
 
     # ---- endpoints
 
@@ -93,21 +108,50 @@
 
     def start_endpoint(self, name: str, cold: bool) -> None:
         kind, rules, self.starts = self.kind_of[name], self.deployment.rules, self.starts + 1
-        self.entries[name] = {"endpoint": _text(self.address_of[name]), "phase": "on", "size": round(kind.cores * kind.speed, 3),
-                              "zone": self.zone_of[name], "start": str(self.starts),
-                              "born_us": self.loop.now() if cold else self.loop.now() - 10 * rules.warm_within}
-        self.fleet.standin(name, "endpoint", EndpointPlan(
-            name=_text(self.address_of[name]), address=self.address_of[name], zone=self.zone_of[name], cores=kind.cores,
-            speed=kind.speed, queue=kind.queue, knee=2 * kind.cores + 16, cold_share=rules.cold_share,
-            warm_within_us=rules.warm_within, tip_multiple=rules.tip_multiple, tip_after_us=rules.tip_after,
-            warm=not cold, seed=self.seed * 1000 + self.starts, node=self._own_node(name)), self.address_of[name])
+        self.entries[name] = {
+            "endpoint": _text(self.address_of[name]),
+            "phase": "on",
+            "size": round(kind.cores * kind.speed, 3),
+            "zone": self.zone_of[name],
+            "start": str(self.starts),
+            "born_us": self.loop.now() if cold else self.loop.now() - 10 * rules.warm_within,
+        }
+        self.fleet.standin(
+            name,
+            "endpoint",
+            EndpointPlan(
+                name=_text(self.address_of[name]),
+                address=self.address_of[name],
+                zone=self.zone_of[name],
+                cores=kind.cores,
+                speed=kind.speed,
+                queue=kind.queue,
+                knee=2 * kind.cores + 16,
+                cold_share=rules.cold_share,
+                warm_within_us=rules.warm_within,
+                tip_multiple=rules.tip_multiple,
+                tip_after_us=rules.tip_after,
+                warm=not cold,
+                seed=self.seed * 1000 + self.starts,
+                node=self._own_node(name),
+            ),
+            self.address_of[name],
+        )
 
     def _own_node(self, name: str) -> Optional[OwnNode]:
         nodes = self.deployment.listed.nodes
         if nodes is None:
             return None
         entry = self.entries[name]
-        return OwnNode(list(nodes.servers), nodes.path, nodes.session_timeout, nodes.format, entry["size"], entry["start"], name)
+        return OwnNode(
+            list(nodes.servers),
+            nodes.path,
+            nodes.session_timeout,
+            nodes.format,
+            entry["size"],
+            entry["start"],
+            name,
+        )
 
     def announce(self, name: str, phase: str, after: int) -> None:
         """The list learns of it `after` us; an endpoint with a node of its own says so itself, at once."""
@@ -129,12 +173,17 @@
 
     def _write_list(self, changed: list[dict[str, Any]]) -> None:
         """Whole, beside, and then in place. Each pilot counts as told now, though it looks a little later."""
-        rows = [{key: e[key] for key in ("endpoint", "phase", "size", "zone", "start")} for _, e in sorted(self.told.items())]
+        rows = [
+            {key: e[key] for key in ("endpoint", "phase", "size", "zone", "start")}
+            for _, e in sorted(self.told.items())
+        ]
         part = self.fleet.write("endpoints.json.part", msgspec.json.encode({"endpoints": rows}))
         os.replace(part, self.fleet.path("endpoints.json"))
         self.writes += 1
         for name in self.pilots:
-            self.recorder.note("told", name, self.writes, [[e["endpoint"], e["phase"], e["start"]] for e in changed])
+            self.recorder.note(
+                "told", name, self.writes, [[e["endpoint"], e["phase"], e["start"]] for e in changed]
+            )
 
     # ---- bringing it up
 
@@ -161,10 +210,16 @@
         if self.day.roster == "zookeeper":
             nodes = self.deployment.listed.nodes
             assert nodes is not None
-            self.fleet.standin("list", "ensemble", EnsemblePlan(list(nodes.servers), self.list_address, nodes.path, nodes.format,
-                                                                self.seed), self.list_address)
+            self.fleet.standin(
+                "list",
+                "ensemble",
+                EnsemblePlan(list(nodes.servers), self.list_address, nodes.path, nodes.format, self.seed),
+                self.list_address,
+            )
         else:
-            self.fleet.standin("list", "lists", ListPlan(self.list_address, self.day.list_ages), self.list_address)
+            self.fleet.standin(
+                "list", "lists", ListPlan(self.list_address, self.day.list_ages), self.list_address
+            )
 
     def _fill_list(self) -> Coroutine:
         """Until the list has every endpoint that was started."""
@@ -190,12 +245,17 @@
         if listed.nodes is not None:
             doors = tuple(self.doors[f"{pilot}>zk{n}"] for n in range(SERVERS))
             self.fleet.write(f"zk-auth-{pilot}", f"digest {pilot}:{pilot}\n".encode())
-            listed = dataclasses.replace(listed, nodes=dataclasses.replace(listed.nodes, servers=doors,
-                                                                           auth_file=f"zk-auth-{pilot}"))
+            listed = dataclasses.replace(
+                listed, nodes=dataclasses.replace(listed.nodes, servers=doors, auth_file=f"zk-auth-{pilot}")
+            )
         elif listed.service is not None:
             listed = dataclasses.replace(listed, service=self.doors[f"{pilot}>list"])
-        pilots = tuple(place if place.gossip is None or place.name == pilot else dataclasses.replace(
-            place, gossip=self.doors[f"{pilot}~{place.name}"]) for place in self.deployment.pilots)
+        pilots = tuple(
+            place
+            if place.gossip is None or place.name == pilot
+            else dataclasses.replace(place, gossip=self.doors[f"{pilot}~{place.name}"])
+            for place in self.deployment.pilots
+        )
         seen = dataclasses.replace(self.deployment, store=store, listed=listed, pilots=pilots)
         if any(f.kind == "loose_pilots" for f in self.day.faults):
             loose = dataclasses.replace(seen.channel, lines_waiting_most=ROOMY, messages_most=0)
@@ -214,28 +274,57 @@
                 links[link] = (self.ports.take(), self.servers[number] if self.servers else self.list_address)
             for name in self.proxies:
                 links[f"{name}>{place.name}"] = (self.ports.take(), place.listen)
-        gossip = [(a, b) for a in self.deployment.pilots for b in self.deployment.pilots if a is not b and a.gossip is not None]
+        gossip = [
+            (a, b)
+            for a in self.deployment.pilots
+            for b in self.deployment.pilots
+            if a is not b and a.gossip is not None
+        ]
         for one, other in gossip:
             assert other.gossip is not None
             links[f"{one.name}~{other.name}"] = (self.ports.take(), other.gossip)
         self.doors = {name: door for name, (door, _) in links.items()}
         control = self.ports.take()
-        self.fleet.standin("relay", "relay", RelayPlan(control, links, [f"{a.name}~{b.name}" for a, b in gossip], self.seed), control)
+        self.fleet.standin(
+            "relay",
+            "relay",
+            RelayPlan(control, links, [f"{a.name}~{b.name}" for a, b in gossip], self.seed),
+            control,
+        )
 
     def _start_proxy(self, name: str) -> None:
         d, store = self.deployment, self.deployment.store
         assert store is not None
         bad = [f for f in self.day.faults if f.kind == "bad_proxy" and f"x{f.values['which']}" == name]
         address = self.ports.take()
-        self.fleet.standin(name, "proxy", ProxyPlan(
-            name=name, address=address, deployment=d.name, slices=d.slices,
-            op_types=[(op.name, op.writes, op.op_timeout) for op in d.op_types],
-            pilots={p: self.doors[f"{name}>{p}"] for p in self.pilots}, store=store.listen, zone=self.zone_of[name],
-            secret=d.secret.decode(), single_owner=d.single_owner, even=d.pick == "even", lease_us=d.proxy.lease,
-            buffer_us=d.proxy.buffer_for, connect_us=d.proxy.connect_most, outlier_after=d.proxy.outlier_after,
-            zones={_text(self.address_of[e]): self.zone_of[e] for e in self.address_of},
-            kind=bad[0].values["how"] if bad else self.day.proxy_kind, let_in=list(self.day.let_in), favourite=self._favourite(bad), at_us=bad[0].at if bad else 0,
-            seed=self.seed * 1000 + int(name[1:])), address)
+        self.fleet.standin(
+            name,
+            "proxy",
+            ProxyPlan(
+                name=name,
+                address=address,
+                deployment=d.name,
+                slices=d.slices,
+                op_types=[(op.name, op.writes, op.op_timeout) for op in d.op_types],
+                pilots={p: self.doors[f"{name}>{p}"] for p in self.pilots},
+                store=store.listen,
+                zone=self.zone_of[name],
+                secret=d.secret.decode(),
+                single_owner=d.single_owner,
+                even=d.pick == "even",
+                lease_us=d.proxy.lease,
+                buffer_us=d.proxy.buffer_for,
+                connect_us=d.proxy.connect_most,
+                outlier_after=d.proxy.outlier_after,
+                zones={_text(self.address_of[e]): self.zone_of[e] for e in self.address_of},
+                kind=bad[0].values["how"] if bad else self.day.proxy_kind,
+                let_in=list(self.day.let_in),
+                favourite=self._favourite(bad),
+                at_us=bad[0].at if bad else 0,
+                seed=self.seed * 1000 + int(name[1:]),
+            ),
+            address,
+        )
 
     def _favourite(self, bad: list[Fault]) -> str:
         """A pushy proxy sends to the endpoint that comes in first on this day."""
@@ -245,14 +334,31 @@
     def start_clients(self, begin: int) -> list[str]:
         names = [f"c{n}" for n in range(self.day.clients)]
         shares = self.day.shares or {op.name: 1.0 for op in self.deployment.op_types}
-        ops = [ClientOp(op.name, shares.get(op.name, 0.0), op.target_latency, op.op_timeout, op.repeats, self.day.work)
-               for op in self.deployment.op_types]
+        ops = [
+            ClientOp(
+                op.name, shares.get(op.name, 0.0), op.target_latency, op.op_timeout, op.repeats, self.day.work
+            )
+            for op in self.deployment.op_types
+        ]
         for n, name in enumerate(names):
-            self.fleet.standin(name, "client", ClientPlan(
-                name=name, proxies={x: self.fleet.addresses[x] for x in self.proxies},
-                rate=self.day.rate / self.day.clients, begin_us=begin, length_us=self.day.length, op_types=ops,
-                keys=self.day.keys, zipf=self.day.zipf, retries=self.day.retries, bursts=self._bursts(),
-                seed=self.seed * 1000 + n), None)
+            self.fleet.standin(
+                name,
+                "client",
+                ClientPlan(
+                    name=name,
+                    proxies={x: self.fleet.addresses[x] for x in self.proxies},
+                    rate=self.day.rate / self.day.clients,
+                    begin_us=begin,
+                    length_us=self.day.length,
+                    op_types=ops,
+                    keys=self.day.keys,
+                    zipf=self.day.zipf,
+                    retries=self.day.retries,
+                    bursts=self._bursts(),
+                    seed=self.seed * 1000 + n,
+                ),
+                None,
+            )
         return names
 
     def _bursts(self) -> list[Burst]:
@@ -264,7 +370,11 @@
             elif fault.kind == "hot_key":
                 made.append(Burst(fault.at, v["for"], hot=v["share"], key=f"hot{n}"))
             elif fault.kind == "shift":
-                made.append(Burst(fault.at, v["for"], toward=[x for x in self.proxies if self.zone_of[x] == v["zone"]]))
+                made.append(
+                    Burst(
+                        fault.at, v["for"], toward=[x for x in self.proxies if self.zone_of[x] == v["zone"]]
+                    )
+                )
         return made
 
 
--- a/cedarshift/rehearsal/surge.py
+++ b/cedarshift/rehearsal/surge.py
@@ -3,23 +3,36 @@
 It plays in milliseconds what rehearsals play in a minute, so that the answer can be held against many loads and seeds. Ops are not
 single here: in each step of 50 ms an endpoint takes in work, does what it can, and what waits longer than its time is dropped undone.
 """
+
 from __future__ import annotations
 
 import random
 from dataclasses import dataclass, field
 from typing import Callable, Optional
 
-from cedarshift.judge.overload import CALM, Answer, Flow, Governor, Lanes, Picture, Row, Worth, gain_for, shares
-
-STEP = 0.05               # s
-LOOK = 0.5                # s between two looks of a pilot
-SUMS = 0.5                # s that sums cover
-SPAN = 3_000_000          # us that a pilot's view of an endpoint covers
+from cedarshift.judge.overload import (
+    CALM,
+    Answer,
+    Flow,
+    Governor,
+    Lanes,
+    Picture,
+    Row,
+    Worth,
+    gain_for,
+    shares,
+)
+
+STEP = 0.05  # s
+LOOK = 0.5  # s between two looks of a pilot
+SUMS = 0.5  # s that sums cover
+SPAN = 3_000_000  # us that a pilot's view of an endpoint covers
 
 
 @dataclass
 class Kind:
     """An op type of the model: its part of what comes, and as in `Worth`. Spans in s."""
+
     worth: Worth
     part: float
     timeout: float = 6.0
@@ -28,6 +41,7 @@
 @dataclass
 class Place:
     """An endpoint: work a second, its part of what comes, how much waits (work, by op type), and whether it hangs."""
+
     can: float
     part: float
     waits: list[float]
@@ -37,21 +51,22 @@
 @dataclass
 class Surge:
     """`target` and a queue's `room` in s. `load(t)`: work a second that comes. `repeats`: how many times a client comes again."""
+
     kinds: list[Kind]
     places: list[Place]
     load: Callable[[float], float]
     pilots: int = 3
     target: float = 2.0
     room: float = 1.6
-    work: float = 0.15                       # s that an op takes where nothing waits
-    thrash: float = 0.4                      # of the capacity is lost where the queue is full
+    work: float = 0.15  # s that an op takes where nothing waits
+    thrash: float = 0.4  # of the capacity is lost where the queue is full
     repeats: int = 2
-    lost: float = 0.0                        # of the rows between pilots
+    lost: float = 0.0  # of the rows between pilots
     noise: float = 0.03
     seed: int = 1
     answering: bool = True
-    blind: set[int] = field(default_factory=set)         # pilots that hear no other
-    lying: dict[int, float] = field(default_factory=dict)   # pilots whose rows are so many times too large
+    blind: set[int] = field(default_factory=set)  # pilots that hear no other
+    lying: dict[int, float] = field(default_factory=dict)  # pilots whose rows are so many times too large
     t: float = 0.0
 
     def __post_init__(self) -> None:
@@ -63,14 +78,16 @@
         self.governors = [Governor(worths, 0, gain) for _ in names]
         self.lanes = [Lanes(int(self.target * 1e6), SPAN, gain) for _ in names]
         self.answers: list[Answer] = [CALM] * self.pilots
-        self.own: list[dict[str, float]] = [{} for _ in names]   # shares at endpoints
+        self.own: list[dict[str, float]] = [{} for _ in names]  # shares at endpoints
         self.seen = [[[0.0] * 7 for _ in self.kinds] for _ in names]
         self.sums: list[Optional[tuple[Flow, ...]]] = [None] * self.pilots
         self.open: list[dict[str, float]] = [{} for _ in names]
         self.look_at = [LOOK * (1 + n / self.pilots) for n in range(self.pilots)]
         self.sums_at = [SUMS * (1 + n / self.pilots) for n in range(self.pilots)]
-        self.again: list[tuple[float, int, float]] = []   # when, op type, work that comes again
-        self.told: list[dict[str, float]] = []            # by step: work that came, came again, was shed, was acked in time
+        self.again: list[tuple[float, int, float]] = []  # when, op type, work that comes again
+        self.told: list[
+            dict[str, float]
+        ] = []  # by step: work that came, came again, was shed, was acked in time
         self.history: list[list[float]] = []
 
     def run(self, until: float) -> None:
@@ -92,11 +109,16 @@
         for pilot in range(self.pilots):
             if self.t >= self.sums_at[pilot]:
                 self.sums_at[pilot] += SUMS
-                self.sums[pilot] = tuple(Flow._make([*(value / SUMS for value in kind[:6]), kind[6] / kind[3] if kind[3] else 0.0])
-                                         for kind in self.seen[pilot])
+                self.sums[pilot] = tuple(
+                    Flow._make([*(value / SUMS for value in kind[:6]), kind[6] / kind[3] if kind[3] else 0.0])
+                    for kind in self.seen[pilot]
+                )
                 self.seen[pilot] = [[0.0] * 7 for _ in self.kinds]
-                self.open[pilot] = {f"e{at}": (sum(place.waits) + self.work * place.can * (sum(place.waits) > 0)) / self.pilots
-                                    for at, place in enumerate(self.places)}
+                self.open[pilot] = {
+                    f"e{at}": (sum(place.waits) + self.work * place.can * (sum(place.waits) > 0))
+                    / self.pilots
+                    for at, place in enumerate(self.places)
+                }
             if self.t >= self.look_at[pilot]:
                 self.look_at[pilot] += LOOK
                 self._look(pilot)
@@ -128,7 +150,13 @@
                 row["repeats"] += repeats
                 row["shed"] += fresh * (1 - let[kind])
                 if self.repeats and taken > fits:
-                    self.again.append((self.t + 0.1 + self.chance.random() * 0.3, kind, (taken - fits) * self.repeats / (self.repeats + 1)))
+                    self.again.append(
+                        (
+                            self.t + 0.1 + self.chance.random() * 0.3,
+                            kind,
+                            (taken - fits) * self.repeats / (self.repeats + 1),
+                        )
+                    )
                 self.lanes[pilot].met(name, 0.0, 0.0, taken - fits)
             self.lanes[pilot].came(name, came)
         self._work(at, place, row)
@@ -162,8 +190,15 @@
         governor = self.governors[pilot]
         row = Row(1, int(self.t * 1000), now, sums, pressure, ops, governor.share, governor.state)
         times = self.lying.get(pilot, 1.0)
-        shown = row if times == 1.0 else row._replace(
-            flows=tuple(Flow._make([*(value * times for value in flow[:6]), flow.took]) for flow in sums), pressure=min(9.0, pressure * times), share=0.0)
+        shown = (
+            row
+            if times == 1.0
+            else row._replace(
+                flows=tuple(Flow._make([*(value * times for value in flow[:6]), flow.took]) for flow in sums),
+                pressure=min(9.0, pressure * times),
+                share=0.0,
+            )
+        )
         for other, picture in enumerate(self.pictures):
             if other == pilot:
                 picture.hear(f"p{pilot}", row)
--- a/cedarshift/rehearsal/verdict.py
+++ b/cedarshift/rehearsal/verdict.py
@@ -1,10 +1,11 @@
 """What a checker says of one rule: held or broken, by what first, and its figures."""
+
 from __future__ import annotations
 
 from dataclasses import dataclass, field
 from typing import Any
 
-SHOWN = 5                 # breaks that a verdict names; the first ones say most
+SHOWN = 5  # breaks that a verdict names; the first ones say most
 
 
 @dataclass
--- a/cedarshift/rehearsal/virtual.py
+++ b/cedarshift/rehearsal/virtual.py
@@ -4,6 +4,7 @@
 durable at once. So latencies are those of waits and of the stand-ins' work; rules and service can be held against each
 other seed by seed, which on a loaded machine they can't.
 """
+
 from __future__ import annotations
 
 import importlib
@@ -17,7 +18,6 @@
 from cedarshift.budgets.desk import ShareDesk, open_desk
 from cedarshift.budgets.ledger import MemoryShares
 from cedarshift.budgets.pilot import open_budgets
-from cedarshift.pilot.rights import bring_rights
 from cedarshift.codec import Badge
 from cedarshift.deployment import Deployment, load
 from cedarshift.gossip.service import Membership, MembershipTerms
@@ -27,14 +27,18 @@
 from cedarshift.overload.start import open_overload
 from cedarshift.pilot import PilotService
 from cedarshift.pilot.admin import admin_page
+from cedarshift.pilot.rights import bring_rights
 from cedarshift.rehearsal.fleet import HOST, Folk
 from cedarshift.store.ledger import MemoryLedger
 from cedarshift.store.service import StoreService
 from cedarshift.web import serve_http
 
 FIRST_PORT = 20_000
-LAST_WORDS = 300_000      # us for the last frames to leave after a stop, as in the real program
-START = (120_000, 400_000)   # us that a program takes to come up: the least, and a spread; an interpreter takes that
+LAST_WORDS = 300_000  # us for the last frames to leave after a stop, as in the real program
+START = (
+    120_000,
+    400_000,
+)  # us that a program takes to come up: the least, and a spread; an interpreter takes that
 
 
 class VirtualPorts:
@@ -59,11 +63,11 @@
         self.chance = random.Random(f"fleet {seed}")
         self.running: dict[str, Host] = {}
         self.leaving: dict[str, Host] = {}
-        self.services: dict[str, Any] = {}   # what runs on each host, for tests that look inside
+        self.services: dict[str, Any] = {}  # what runs on each host, for tests that look inside
         self.commands: dict[str, tuple[str, list[str], bytes]] = {}
         self.logs: dict[str, int] = {}
         self.starts: dict[str, int] = {}
-        self.ledgers: dict[str, MemoryLedger] = {}   # a disk outlives the program
+        self.ledgers: dict[str, MemoryLedger] = {}  # a disk outlives the program
         self.shares: dict[str, MemoryShares] = {}
 
     # ---- programs
@@ -88,12 +92,15 @@
 
     def _reporter(self, name: str) -> Any:
         if name not in self.logs:
-            self.logs[name] = os.open(self.path(f"log-{name}.txt"), os.O_WRONLY | os.O_CREAT | os.O_APPEND, 0o644)
+            self.logs[name] = os.open(
+                self.path(f"log-{name}.txt"), os.O_WRONLY | os.O_CREAT | os.O_APPEND, 0o644
+            )
 
         def report(event: str, **fields: Any) -> None:
             told = {"at_us": self.loop.now(), "event": event, **fields}
             if name in self.logs:
                 os.write(self.logs[name], msgspec.json.encode(told, enc_hook=str) + b"\n")
+
         return report
 
     def _begin(self, name: str, host: Host) -> None:
@@ -112,9 +119,18 @@
         assert place is not None
         ledger = self.ledgers.setdefault(place.path, MemoryLedger(deployment.slices))
         badge = Badge(deployment.name, "store", "store", "", deployment.secret)
-        return StoreService(loop, listen(loop, place.listen), ledger, badge, [p.name for p in deployment.pilots],
-                            place.session_lease, place.takeover, place.back_after, self._challenge("store"),
-                            self._desk(loop, deployment))
+        return StoreService(
+            loop,
+            listen(loop, place.listen),
+            ledger,
+            badge,
+            [p.name for p in deployment.pilots],
+            place.session_lease,
+            place.takeover,
+            place.back_after,
+            self._challenge("store"),
+            self._desk(loop, deployment),
+        )
 
     def _desk(self, loop: Loop, deployment: Deployment) -> Optional[ShareDesk]:
         if deployment.budgets is None or deployment.store is None:
@@ -128,9 +144,13 @@
     def _pilot(self, loop: Loop, deployment: Deployment, name: str) -> PilotService:
         place = deployment.pilot(name)
         seed = random.Random(f"{self.seed} {name} {self.starts[name]}").getrandbits(64)
-        service = PilotService(loop, listen(loop, place.listen), deployment, name, seed, loop.report, self._challenge(name))
+        service = PilotService(
+            loop, listen(loop, place.listen), deployment, name, seed, loop.report, self._challenge(name)
+        )
         service.membership = self._membership(loop, deployment, name, seed)
-        service.budgets = open_budgets(loop, deployment.budgets, len(deployment.pilots), self._life(name), loop.report)
+        service.budgets = open_budgets(
+            loop, deployment.budgets, len(deployment.pilots), self._life(name), loop.report
+        )
         bring_rights(service)
         service.overload = open_overload(loop, deployment, service, self._life(name), loop.report)
         if place.admin is not None:
@@ -141,9 +161,19 @@
         if deployment.membership is None:
             return None
         addresses = {place.name: place.gossip for place in deployment.pilots if place.gossip is not None}
-        start = (self.starts[name] << 20) | (seed & 0xFFFFF)   # a later life has a higher one, as a wall clock gives
-        return Membership(loop, MembershipTerms(deployment.membership.period, addresses), name, deployment.name, deployment.secret,
-                          start, seed, loop.report)
+        start = (self.starts[name] << 20) | (
+            seed & 0xFFFFF
+        )  # a later life has a higher one, as a wall clock gives
+        return Membership(
+            loop,
+            MembershipTerms(deployment.membership.period, addresses),
+            name,
+            deployment.name,
+            deployment.secret,
+            start,
+            seed,
+            loop.report,
+        )
 
     def _challenge(self, name: str) -> Any:
         chance = random.Random(f"{self.seed} challenges of {name} {self.starts[name]}")
@@ -155,7 +185,7 @@
         host = self.running.pop(name, None) or self.leaving.pop(name, None)
         if host is not None:
             host.end()
-            with open(self.path(f"record-{name}.jsonl"), "ab") as record:   # what it had in hand ended here
+            with open(self.path(f"record-{name}.jsonl"), "ab") as record:  # what it had in hand ended here
                 record.write(msgspec.json.encode([self.loop.now(), "died"]) + b"\n")
 
     def leave(self, name: str) -> None:
--- a/cedarshift/roster/entries.py
+++ b/cedarshift/roster/entries.py
@@ -1,4 +1,5 @@
 """Entries of a list as they are written, checked, and as the module takes them."""
+
 from __future__ import annotations
 
 from typing import Optional
@@ -7,7 +8,7 @@
 
 from cedarshift.interface import Entry
 
-UNIT = 100                # us in a tenth of a millisecond
+UNIT = 100  # us in a tenth of a millisecond
 ENTRIES_MOST = 20_000
 
 
@@ -17,6 +18,7 @@
 
 class Listed(msgspec.Struct):
     """`start` names the process: another text is another start. `age_ms`: how long ago it started, if known."""
+
     endpoint: str
     phase: str = "on"
     size: float = 1.0
@@ -28,6 +30,7 @@
 class WholeList(msgspec.Struct):
     """`name`: which list this is, and which life of the service that counts its `rev`s; two pilots that are told the same
     name can compare what they have seen."""
+
     endpoints: list[Listed]
     kind: str = "replace"
     rev: int = 0
@@ -45,7 +48,7 @@
     except (msgspec.DecodeError, UnicodeDecodeError) as error:
         raise ListRefused(f"{where}: {error}") from None
     if found.kind not in ("replace", "update"):
-        raise ListRefused(f"{where}: kind {found.kind!r}, \"replace\" and \"update\" are allowed")
+        raise ListRefused(f'{where}: kind {found.kind!r}, "replace" and "update" are allowed')
     if len(found.endpoints) > ENTRIES_MOST:
         raise ListRefused(f"{where}: {len(found.endpoints)} endpoints, {ENTRIES_MOST} at most")
     seen: set[str] = set()
@@ -54,7 +57,7 @@
         if not one.endpoint or one.endpoint in seen:
             raise ListRefused(f"{place}: {'stands twice' if one.endpoint else 'has no name'}")
         if one.phase not in ("on", "fading", "off"):
-            raise ListRefused(f"{place}: phase {one.phase!r}, \"on\", \"fading\" and \"off\" are allowed")
+            raise ListRefused(f'{place}: phase {one.phase!r}, "on", "fading" and "off" are allowed')
         if not 0 < one.size < 1e9:
             raise ListRefused(f"{place}: size {one.size}, it must lie above 0")
         seen.add(one.endpoint)
@@ -66,7 +69,7 @@
 
     def __init__(self) -> None:
         self.known: dict[str, tuple[str, Optional[int]]] = {}
-        self.primed = False                  # a whole list was taken
+        self.primed = False  # a whole list was taken
 
     def entries(self, now: int, listed: list[Listed]) -> list[Entry]:
         made = [self.entry(now, one) for one in listed]
--- a/cedarshift/roster/ephemeral.py
+++ b/cedarshift/roster/ephemeral.py
@@ -1,5 +1,6 @@
 """The list read from ephemeral nodes: a client, a follower of the members' path, and the judgement between them and the
 module. It has the calls of the other sources, and hears the data plane's sums beside."""
+
 from __future__ import annotations
 
 from typing import Any, Callable, NamedTuple, Optional
@@ -15,15 +16,16 @@
 from cedarshift.roster.zookeeper import CONNECTED, GONE, LOST, ZooClient
 from cedarshift.units import up
 
-MASS_AGAIN = 5_000_000    # us; one report for each vanishing
-MASS_LOOK = 500_000       # us after it was noticed
-SOON = 20_000             # us; sums come in bursts, and each look goes over the whole list
-SAVE_WITHIN = 1_000_000   # us after a change
-REFUSED_SHOWN = 20        # broken nodes named in a report
+MASS_AGAIN = 5_000_000  # us; one report for each vanishing
+MASS_LOOK = 500_000  # us after it was noticed
+SOON = 20_000  # us; sums come in bursts, and each look goes over the whole list
+SAVE_WITHIN = 1_000_000  # us after a change
+REFUSED_SHOWN = 20  # broken nodes named in a report
 
 
 class EphemeralTerms(NamedTuple):
     """Where the members' nodes are and how to read them. Spans in us; `auth` are (scheme, credential) pairs."""
+
     servers: tuple[tuple[str, int], ...]
     path: str
     session_timeout: int
@@ -38,29 +40,53 @@
 class EphemeralSource:
     """`chance()` draws from 0 to 1: for the order of servers and for waits. `pools`: each zone is one of its own."""
 
-    def __init__(self, loop: Loop, terms: EphemeralTerms, pools: bool, chance: Callable[[], float], saved: SavedList,
-                 tell: Tell, report: Callable[..., None]) -> None:
+    def __init__(
+        self,
+        loop: Loop,
+        terms: EphemeralTerms,
+        pools: bool,
+        chance: Callable[[], float],
+        saved: SavedList,
+        tell: Tell,
+        report: Callable[..., None],
+    ) -> None:
         self.loop = loop
         self.terms = terms
         self.tell = tell
         self.report = report
         self.name = f"zookeeper:{terms.path}"
-        self.rev = 0                         # the newest transaction that is in the list
+        self.rev = 0  # the newest transaction that is in the list
         self.starts = Starts()
         self.judge = Membership(terms.hold, pools)
-        self.refused: dict[str, str] = {}    # nodes that can't be read, and why
+        self.refused: dict[str, str] = {}  # nodes that can't be read, and why
         self.saved = saved
-        self.primed = False                  # everything was read once
+        self.primed = False  # everything was read once
         self.whole_told = False
-        self.seen_at: dict[str, int] = {}    # node -> when it was last read or heard of
+        self.seen_at: dict[str, int] = {}  # node -> when it was last read or heard of
         self.timer: Optional[Timer] = None
         self.saving: Optional[Timer] = None
         self.mass_at = -MASS_AGAIN
         self.expired_at: Optional[int] = None
-        self.follower = Follower(loop, terms.path, terms.recursive, lambda name: is_member(name, terms.form), self._nodes,
-                                 report, chance)
-        self.client = ZooClient(loop, list(terms.servers), terms.session_timeout, chance, self._state, self.follower.on_event,
-                                report, terms.auth, terms.read_only)
+        self.follower = Follower(
+            loop,
+            terms.path,
+            terms.recursive,
+            lambda name: is_member(name, terms.form),
+            self._nodes,
+            report,
+            chance,
+        )
+        self.client = ZooClient(
+            loop,
+            list(terms.servers),
+            terms.session_timeout,
+            chance,
+            self._state,
+            self.follower.on_event,
+            report,
+            terms.auth,
+            terms.read_only,
+        )
         self.follower.attach(self.client)
         self.state_since = loop.now()
         self.lost_at: Optional[int] = None
@@ -125,8 +151,10 @@
         for name, raw in seen.items():
             self.seen_at[name] = now
             node = self._read(name, raw)
-            if node is not None:             # one that can't be read any more keeps what it said last: a bad write must not
-                nodes[name] = node           # take an endpoint away
+            if (
+                node is not None
+            ):  # one that can't be read any more keeps what it said last: a bad write must not
+                nodes[name] = node  # take an endpoint away
         if whole:
             gone = set(self.judge.nodes) - set(self.follower.nodes)
             self.seen_at = {name: self.seen_at.get(name, now) for name in self.follower.nodes}
@@ -149,7 +177,9 @@
                     self.report("node_refused", node=f"{self.terms.path}/{name}", reason=str(error))
             return None
         self.refused.pop(name, None)
-        return Node(member.endpoint, member.phase, member.size, member.zone, member.start, raw.owner, raw.born)
+        return Node(
+            member.endpoint, member.phase, member.size, member.zone, member.start, raw.owner, raw.born
+        )
 
     def _hand_on(self) -> None:
         """Nothing before all was read once: half a list would call the other half's owners gone."""
@@ -162,7 +192,9 @@
             listed = [self._listed(told) for told in changed]
             self._keep(WholeList(listed, kind))
             entries = self.starts.entries(self.loop.now(), listed)
-            self.tell(kind, [entry._replace(late=up(told.late, UNIT)) for entry, told in zip(entries, changed)])
+            self.tell(
+                kind, [entry._replace(late=up(told.late, UNIT)) for entry, told in zip(entries, changed)]
+            )
         self._look_again()
 
     def _tell_of_mass(self) -> None:
@@ -177,8 +209,14 @@
         now = self.loop.now()
         mass = self.judge.mass(now) or mass
         expired = self.expired_at is not None and now - self.expired_at <= 2 * self.client.timeout
-        self.report("mass_vanishing", vanished=mass.vanished, listed=mass.listed, acking=mass.acking, losing=mass.losing,
-                    own_session="expired too" if expired else "lived")
+        self.report(
+            "mass_vanishing",
+            vanished=mass.vanished,
+            listed=mass.listed,
+            acking=mass.acking,
+            losing=mass.losing,
+            own_session="expired too" if expired else "lived",
+        )
 
     def _keep(self, got: WholeList) -> None:
         """Nodes change one by one, and a write is the whole list with a sync: many changes make one write, a moment later."""
@@ -218,18 +256,43 @@
         now, judge, client = self.loop.now(), self.judge, self.client
         rows = []
         for name, node in sorted(judge.nodes.items()):
-            rows.append({"node": name, "endpoint": node.endpoint, "phase": node.phase, "size": node.size, "zone": node.zone,
-                         "start": node.start, "session": f"{node.owner:#x}", "age_s": (now - self.seen_at.get(name, now)) / 1e6})
-        held = [{"endpoint": name, "since_s": (now - one.since) / 1e6, "in_doubt": name in judge.doubted}
-                for name, one in sorted(judge.gone.items())]
+            rows.append(
+                {
+                    "node": name,
+                    "endpoint": node.endpoint,
+                    "phase": node.phase,
+                    "size": node.size,
+                    "zone": node.zone,
+                    "start": node.start,
+                    "session": f"{node.owner:#x}",
+                    "age_s": (now - self.seen_at.get(name, now)) / 1e6,
+                }
+            )
+        held = [
+            {"endpoint": name, "since_s": (now - one.since) / 1e6, "in_doubt": name in judge.doubted}
+            for name, one in sorted(judge.gone.items())
+        ]
         server = "" if client.server is None else f"{client.server[0]}:{client.server[1]}"
         heard = None if client.heard_at is None else (now - client.heard_at) / 1e6
-        return {"source": self.name, "state": client.state, "state_since_s": (now - self.state_since) / 1e6, "server": server,
-                "heard_s": heard, "session": f"{client.session:#x}", "timeout_ms": client.timeout // 1000,
-                "zxid": f"{client.last_zxid:#x}", "watch": "recursive" if self.follower.recursive else "one-shot",
-                "denied": self.follower.denied, "members": rows, "vanished": held,
-                "refused": [{"node": name, "reason": why} for name, why in sorted({**self.refused, **self.follower.unreadable}.items())],
-                "counts": {**client.counts, **judge.counts}}
+        return {
+            "source": self.name,
+            "state": client.state,
+            "state_since_s": (now - self.state_since) / 1e6,
+            "server": server,
+            "heard_s": heard,
+            "session": f"{client.session:#x}",
+            "timeout_ms": client.timeout // 1000,
+            "zxid": f"{client.last_zxid:#x}",
+            "watch": "recursive" if self.follower.recursive else "one-shot",
+            "denied": self.follower.denied,
+            "members": rows,
+            "vanished": held,
+            "refused": [
+                {"node": name, "reason": why}
+                for name, why in sorted({**self.refused, **self.follower.unreadable}.items())
+            ],
+            "counts": {**client.counts, **judge.counts},
+        }
 
 
 __all__ = ["EphemeralSource", "EphemeralTerms"]
--- a/cedarshift/roster/formats.py
+++ b/cedarshift/roster/formats.py
@@ -7,15 +7,23 @@
 
 Neither of the first two has a size, zone or start; they are read from `metadata` and `payload`, where installations put such.
 """
+
 from __future__ import annotations
 
 from typing import Any, NamedTuple, Optional
 
 import msgspec
 
-DATA_MOST = 64 << 10      # bytes of a member's node
+DATA_MOST = 64 << 10  # bytes of a member's node
 FORMATS = ("serverset", "curator", "plain")
-STATUS = {"ALIVE": "on", "WARNING": "on", "STARTING": "off", "STOPPING": "fading", "STOPPED": "off", "DEAD": "off"}
+STATUS = {
+    "ALIVE": "on",
+    "WARNING": "on",
+    "STARTING": "off",
+    "STOPPING": "fading",
+    "STOPPED": "off",
+    "DEAD": "off",
+}
 MEMBER = "member_"
 
 
@@ -25,6 +33,7 @@
 
 class Member(NamedTuple):
     """One node as read. `start` names the process, "" where the node does not tell."""
+
     endpoint: str
     phase: str
     size: float
@@ -47,7 +56,13 @@
 
 
 def _place(host: Any, port: Any, what: str) -> str:
-    if not isinstance(host, str) or not host or not isinstance(port, int) or isinstance(port, bool) or not 0 < port < 65_536:
+    if (
+        not isinstance(host, str)
+        or not host
+        or not isinstance(port, int)
+        or isinstance(port, bool)
+        or not 0 < port < 65_536
+    ):
         raise NodeRefused(f"{what} is host {host!r}, port {port!r}")
     return f"{host}:{port}"
 
@@ -80,14 +95,20 @@
     what = f"additionalEndpoints[{port_name!r}]" if port_name else "serviceEndpoint"
     if not isinstance(where, dict):
         raise NodeRefused(f"{what} is missing")
-    return Member(_place(where.get("host"), where.get("port"), what), STATUS[status], *_more(found.get("metadata"), "metadata"))
+    return Member(
+        _place(where.get("host"), where.get("port"), what),
+        STATUS[status],
+        *_more(found.get("metadata"), "metadata"),
+    )
 
 
 def _curator(found: dict[str, Any], port_name: str) -> Member:
     enabled = found.get("enabled", True)
     if not isinstance(enabled, bool):
         raise NodeRefused(f"enabled is {enabled!r}")
-    port = found.get(port_name or "port") if found.get(port_name or "port") is not None else found.get("sslPort")
+    port = (
+        found.get(port_name or "port") if found.get(port_name or "port") is not None else found.get("sslPort")
+    )
     place = _place(found.get("address"), port, "address")
     return Member(place, "on" if enabled else "fading", *_more(found.get("payload"), "payload"))
 
@@ -120,11 +141,28 @@
     about = {"size": member.size, "zone": member.zone, "start": member.start}
     if form == "serverset":
         status = {"on": "ALIVE", "fading": "STOPPING", "off": "STOPPED"}[member.phase]
-        return msgspec.json.encode({"serviceEndpoint": {"host": host, "port": int(port)}, "additionalEndpoints": {},
-                                    "status": status, "metadata": {key: str(value) for key, value in about.items()}})
+        return msgspec.json.encode(
+            {
+                "serviceEndpoint": {"host": host, "port": int(port)},
+                "additionalEndpoints": {},
+                "status": status,
+                "metadata": {key: str(value) for key, value in about.items()},
+            }
+        )
     if form == "curator":
-        return msgspec.json.encode({"name": name, "id": member.endpoint, "address": host, "port": int(port), "sslPort": None,
-                                    "payload": about, "serviceType": "DYNAMIC", "uriSpec": None, "enabled": member.phase == "on"})
+        return msgspec.json.encode(
+            {
+                "name": name,
+                "id": member.endpoint,
+                "address": host,
+                "port": int(port),
+                "sslPort": None,
+                "payload": about,
+                "serviceType": "DYNAMIC",
+                "uriSpec": None,
+                "enabled": member.phase == "on",
+            }
+        )
     return msgspec.json.encode({"endpoint": member.endpoint, "phase": member.phase, **about})
 
 
--- a/cedarshift/roster/members.py
+++ b/cedarshift/roster/members.py
@@ -5,6 +5,7 @@
 says is only what is to be read again, but for a deletion, which is told at once: the reading that follows tells whether a
 node of that name stands there anew.
 """
+
 from __future__ import annotations
 
 from collections import deque
@@ -17,14 +18,15 @@
 from cedarshift.loop.core import Coroutine, Waker
 from cedarshift.roster.zookeeper import CONNECTED, GONE, READ_ONLY, Call, ZooClient
 
-IN_FLIGHT = 64            # calls at once: a list of thousands must not stand in a server's queue whole
-BATCH = 200               # children told on at once: judging a batch holds the loop up for some ms
-AGAIN = 250_000           # us before the next try where a reading failed on a standing connection
-AGAIN_MOST = 8_000_000    # us; an ACL that denies is not lifted by asking often
+IN_FLIGHT = 64  # calls at once: a list of thousands must not stand in a server's queue whole
+BATCH = 200  # children told on at once: judging a batch holds the loop up for some ms
+AGAIN = 250_000  # us before the next try where a reading failed on a standing connection
+AGAIN_MOST = 8_000_000  # us; an ACL that denies is not lifted by asking often
 
 
 class Raw(NamedTuple):
     """A child as read: its data, the session that owns it, and the transaction that made it."""
+
     data: Optional[bytes]
     owner: int
     born: int
@@ -45,12 +47,20 @@
 class Follower:
     """`tell(seen, gone, whole)` is called with each batch; `whole`, alone, after each time that everything was read anew."""
 
-    def __init__(self, loop: Loop, path: str, recursive: bool, wanted: Callable[[str], bool], tell: Tell,
-                 report: Callable[..., None], chance: Callable[[], float]) -> None:
+    def __init__(
+        self,
+        loop: Loop,
+        path: str,
+        recursive: bool,
+        wanted: Callable[[str], bool],
+        tell: Tell,
+        report: Callable[..., None],
+        chance: Callable[[], float],
+    ) -> None:
         self.loop = loop
         self.path = path
         self.wants_recursive = recursive
-        self.recursive = False               # whether that watch stands
+        self.recursive = False  # whether that watch stands
         self.wanted = wanted
         self.tell = tell
         self.report = report
@@ -58,10 +68,10 @@
         self.nodes: dict[str, Raw] = {}
         self.list_dirty = False
         self.dirty: dict[str, None] = {}
-        self.whole = False                   # everything is to be told as a whole once it is read
-        self.fresh = False                   # a session of which nothing was read yet
-        self.unreadable: dict[str, str] = {} # children that may not be read, and why
-        self.denied = ""                     # why nothing can be read, for people
+        self.whole = False  # everything is to be told as a whole once it is read
+        self.fresh = False  # a session of which nothing was read yet
+        self.unreadable: dict[str, str] = {}  # children that may not be read, and why
+        self.denied = ""  # why nothing can be read, for people
         self.waiting: Optional[Waker] = None
         self.redial = Redial(AGAIN, AGAIN_MOST, chance)
         self.task = loop.spawn(self._work(), "zookeeper follower")
@@ -91,7 +101,7 @@
         if event.path == self.path:
             self.list_dirty = True
         elif event.path.startswith(self._below()):
-            name = event.path[len(self._below()):]
+            name = event.path[len(self._below()) :]
             if "/" in name or not self.wanted(name):
                 return
             self.dirty[name] = None
@@ -115,7 +125,11 @@
 
     def _work(self) -> Coroutine:
         while True:
-            if self.client is None or self.client.state not in (CONNECTED, READ_ONLY) or not (self.list_dirty or self.dirty):
+            if (
+                self.client is None
+                or self.client.state not in (CONNECTED, READ_ONLY)
+                or not (self.list_dirty or self.dirty)
+            ):
                 self.waiting = self.loop.waker()
                 try:
                     yield
@@ -129,7 +143,7 @@
             except ZooError as error:
                 self.list_dirty = True
                 if error.code in (Code.CONNECTION_LOSS, Code.SESSION_EXPIRED):
-                    yield from self.loop.sleep(1)        # the client tells when there is a server again
+                    yield from self.loop.sleep(1)  # the client tells when there is a server again
                     continue
                 if str(error) != self.denied:
                     self.denied = str(error)
@@ -156,7 +170,7 @@
         except ZooError as error:
             if error.code != Code.UNIMPLEMENTED:
                 raise
-            self.wants_recursive = False     # older than 3.6
+            self.wants_recursive = False  # older than 3.6
             self.dirty.update(dict.fromkeys(self.nodes))
             self.report("source_one_shot", reason=str(error))
 
@@ -182,7 +196,7 @@
         assert self.client is not None
         try:
             yield from self.client.call(r.EXISTS, r.Watched(self.path, True))
-            self.list_dirty = True           # made between the two calls
+            self.list_dirty = True  # made between the two calls
         except ZooError as error:
             if error.code != Code.NO_NODE:
                 raise
@@ -197,7 +211,12 @@
                 while self.dirty and len(flight) < IN_FLIGHT:
                     name = next(iter(self.dirty))
                     del self.dirty[name]
-                    flight.append((name, self.client.post(r.GET_DATA, r.Watched(self._below() + name, not self.recursive))))
+                    flight.append(
+                        (
+                            name,
+                            self.client.post(r.GET_DATA, r.Watched(self._below() + name, not self.recursive)),
+                        )
+                    )
                 name, call = flight[0]
                 yield from self._take(name, call, batch)
                 flight.popleft()
@@ -231,7 +250,11 @@
 
     def _tell(self, batch: Batch) -> None:
         # What is to be read again was overtaken by an event: to tell it would bring back a node that has left.
-        changed = {name: raw for name, raw in batch.seen.items() if name not in self.dirty and self.nodes.get(name) != raw}
+        changed = {
+            name: raw
+            for name, raw in batch.seen.items()
+            if name not in self.dirty and self.nodes.get(name) != raw
+        }
         left = {name for name in batch.gone if self.nodes.pop(name, None) is not None}
         self.nodes.update(changed)
         if changed or left:
--- a/cedarshift/roster/register.py
+++ b/cedarshift/roster/register.py
@@ -1,4 +1,5 @@
 """Keeps a member's own ephemeral node: made, made again after an expiry, changed when it drains, deleted when it leaves."""
+
 from __future__ import annotations
 
 from typing import Callable, NamedTuple, Optional
@@ -11,7 +12,7 @@
 from cedarshift.roster.formats import MEMBER, Member, write_member
 from cedarshift.roster.zookeeper import CONNECTED, GONE, ZooClient
 
-AGAIN = 250_000           # us before the next try after a failure
+AGAIN = 250_000  # us before the next try after a failure
 AGAIN_MOST = 8_000_000
 OPEN_ACL = [r.Acl(r.MAY_ALL, r.Id("world", "anyone"))]
 # With a digest credential: whoever made the node may do all, everyone may read.
@@ -23,30 +24,44 @@
     path: str
     session_timeout: int  # us
     form: str
-    service: str          # the service's name, for Curator
+    service: str  # the service's name, for Curator
     auth: tuple[tuple[str, bytes], ...]
 
 
 class Registration:
     """`registered` is true while a node of this session stands, as far as is known."""
 
-    def __init__(self, loop: Loop, terms: RegisterTerms, member: Member, chance: Callable[[], float],
-                 report: Callable[..., None]) -> None:
+    def __init__(
+        self,
+        loop: Loop,
+        terms: RegisterTerms,
+        member: Member,
+        chance: Callable[[], float],
+        report: Callable[..., None],
+    ) -> None:
         self.loop = loop
         self.terms = terms
         self.member = member
         self.report = report
-        self.node = ""                       # its whole path
+        self.node = ""  # its whole path
         self.registered = False
         self.watched = False
-        self.stated: Optional[Member] = None   # what the node says, as far as this member wrote it
+        self.stated: Optional[Member] = None  # what the node says, as far as this member wrote it
         self.leaving = False
-        self.unsure = False                  # a create may have been done without an answer
+        self.unsure = False  # a create may have been done without an answer
         self.redial = Redial(AGAIN, AGAIN_MOST, chance)
         self.waiting: Optional[Waker] = None
         self.counts = {"created": 0, "adopted": 0, "failures": 0}
-        self.client = ZooClient(loop, list(terms.servers), terms.session_timeout, chance, self._state, self._event, report,
-                                terms.auth)
+        self.client = ZooClient(
+            loop,
+            list(terms.servers),
+            terms.session_timeout,
+            chance,
+            self._state,
+            self._event,
+            report,
+            terms.auth,
+        )
         self.task = loop.spawn(self._keep(), "registration")
 
     @property
@@ -54,7 +69,7 @@
         return GUARDED_ACL if self.terms.auth else OPEN_ACL
 
     def _state(self, state: str) -> None:
-        if state == GONE:                    # the servers have taken the node away with the session
+        if state == GONE:  # the servers have taken the node away with the session
             self.registered, self.watched, self.node, self.unsure = False, False, "", False
         self._wake()
 
@@ -140,7 +155,9 @@
     def _create(self, data: bytes) -> Coroutine:
         base = self.terms.path.rstrip("/") + "/"
         if self.terms.form == "serverset":
-            got = yield from self.client.call(r.CREATE, r.Create(base + MEMBER, data, self._acl, r.EPHEMERAL_SEQUENTIAL))
+            got = yield from self.client.call(
+                r.CREATE, r.Create(base + MEMBER, data, self._acl, r.EPHEMERAL_SEQUENTIAL)
+            )
             return got.path
         path = base + self.member.endpoint.replace("/", "_")
         try:
--- a/cedarshift/roster/sources.py
+++ b/cedarshift/roster/sources.py
@@ -1,4 +1,5 @@
 """Follows a list and tells of each change. `tell(kind, entries)` has the kinds of the module's `on_list`."""
+
 from __future__ import annotations
 
 import os
@@ -12,10 +13,12 @@
 from cedarshift.roster.entries import ENCODER, Listed, ListRefused, Starts, WholeList, parse_list
 from cedarshift.web import Pool
 
-CALL_TIMEOUT = 2_000_000      # us for an answer that is not a long poll
-LONG_POLL = 2_000_000         # us that the service may hold a call until something changes
-FAILED_WAIT = 250_000         # us before the next call after the first failed one
-FAILED_MOST = 2_000_000       # us; as long as a long poll, so that a service that is back is noticed as soon as ever
+CALL_TIMEOUT = 2_000_000  # us for an answer that is not a long poll
+LONG_POLL = 2_000_000  # us that the service may hold a call until something changes
+FAILED_WAIT = 250_000  # us before the next call after the first failed one
+FAILED_MOST = (
+    2_000_000  # us; as long as a long poll, so that a service that is back is noticed as soon as ever
+)
 
 Tell = Callable[[str, list[Entry]], None]
 
@@ -76,8 +79,8 @@
         self.starts = Starts()
         self.seen: Optional[tuple[int, int, int]] = None
         self.name = f"file:{path}"
-        self.rev = 0                         # counts the lists that were taken
-        self.confirmed: Optional[int] = None   # when the list in force was last seen to stand
+        self.rev = 0  # counts the lists that were taken
+        self.confirmed: Optional[int] = None  # when the list in force was last seen to stand
         self.task: Task = loop.spawn(lasting(loop, self._follow, "list file"), "list file")
 
     def ask(self) -> None:
@@ -119,9 +122,18 @@
 
     Where `asks` the service is called only after `ask`; else it is followed from the start."""
 
-    def __init__(self, loop: Loop, address: tuple[str, int], name: str, asks: bool, saved: SavedList, tell: Tell,
-                 report: Callable[..., None], chance: Callable[[], float],
-                 may_call: Optional[Callable[[], Coroutine]] = None) -> None:
+    def __init__(
+        self,
+        loop: Loop,
+        address: tuple[str, int],
+        name: str,
+        asks: bool,
+        saved: SavedList,
+        tell: Tell,
+        report: Callable[..., None],
+        chance: Callable[[], float],
+        may_call: Optional[Callable[[], Coroutine]] = None,
+    ) -> None:
         self.loop = loop
         self.may_call = may_call
         self.redial = Redial(FAILED_WAIT, FAILED_MOST, chance)
@@ -135,7 +147,7 @@
         self.starts = Starts()
         self.pool = Pool(loop, CALL_TIMEOUT)
         self.rev = 0
-        self.confirmed: Optional[int] = None   # when the service last said that the list in force stands
+        self.confirmed: Optional[int] = None  # when the service last said that the list in force stands
         self.wanted = not asks
         self.task: Task = loop.spawn(lasting(loop, self._follow, "list service"), "list service")
 
@@ -166,7 +178,7 @@
                 self.redial.well()
             except (StreamBroken, TimedOut, ListRefused) as error:
                 self.report("list_failed", reason=str(error) or "no answer in time")
-                if self.asks:                # the module asks again, with waits of its own
+                if self.asks:  # the module asks again, with waits of its own
                     self.wanted = False
                     self.tell("unavailable", [])
                     return
@@ -186,8 +198,9 @@
         # Revisions are one list's: a service that was started anew counts from the beginning, and without the name a lower one looks old.
         of = quote(self.name.removeprefix("list:"), safe="") if self.name.startswith("list:") else ""
         target = f"/v1/endpoints?since={self.rev}&wait_ms={LONG_POLL // 1000}&by={self.by}&of={of}"
-        reply = yield from self.pool.ask(self.address, "GET", target, [], b"",
-                                         self.loop.now() + LONG_POLL + CALL_TIMEOUT)
+        reply = yield from self.pool.ask(
+            self.address, "GET", target, [], b"", self.loop.now() + LONG_POLL + CALL_TIMEOUT
+        )
         if reply.status == 304:
             self.confirmed = self.loop.now()
             return
--- a/cedarshift/roster/zookeeper.py
+++ b/cedarshift/roster/zookeeper.py
@@ -4,6 +4,7 @@
 session may still live: what was read stands, and grows old), "expired" (the servers have ended the session: every ephemeral
 node and watch of it is gone, and nothing is known of what happened meanwhile), "refused" (the credentials are not taken).
 """
+
 from __future__ import annotations
 
 import re
@@ -18,18 +19,18 @@
 
 Address = tuple[str, int]
 
-CONNECT_LEAST = 200_000   # us for a connect and its handshake, whatever share of the time-out it gets
-FIRST_WAIT = 50_000       # us after a round of all servers without a session; doubled, jittered by half
-WAIT_MOST = 2_000_000     # us
-PING_SHARE = 3            # a ping after this part of the time-out without a word of ours
-SILENCE_SHARE = 2 / 3     # of the time-out without a word of the server's: another server is looked for
-GIVE_UP = 2               # times the time-out without a session after which the servers are asked whether they went back
-LETTERS_MOST = 4_096      # bytes of an answer to a four-letter word
+CONNECT_LEAST = 200_000  # us for a connect and its handshake, whatever share of the time-out it gets
+FIRST_WAIT = 50_000  # us after a round of all servers without a session; doubled, jittered by half
+WAIT_MOST = 2_000_000  # us
+PING_SHARE = 3  # a ping after this part of the time-out without a word of ours
+SILENCE_SHARE = 2 / 3  # of the time-out without a word of the server's: another server is looked for
+GIVE_UP = 2  # times the time-out without a session after which the servers are asked whether they went back
+LETTERS_MOST = 4_096  # bytes of an answer to a four-letter word
 ZXID = re.compile(rb"^Zxid: 0x([0-9a-fA-F]{1,16})$", re.MULTILINE)
-LOOK_WRITABLE = 1_000_000    # us before a client of a read-only server looks for another; doubled
+LOOK_WRITABLE = 1_000_000  # us before a client of a read-only server looks for another; doubled
 LOOK_WRITABLE_MOST = 60_000_000
-SET_WATCHES_MOST = 100_000   # bytes of paths in one setWatches: a server's frames are limited too
-EVENTS_MOST = 20_000      # watch events in one reading: what sends more is no server
+SET_WATCHES_MOST = 100_000  # bytes of paths in one setWatches: a server's frames are limited too
+EVENTS_MOST = 20_000  # watch events in one reading: what sends more is no server
 
 CONNECTED, READ_ONLY, LOST, GONE, REFUSED = "connected", "read-only", "disconnected", "expired", "refused"
 
@@ -104,8 +105,11 @@
                 n, path = rows.pop()
                 lists[n].append(path)
                 size += len(path) + 4
-            made.append((r.SET_WATCHES2, r.SetWatches2(zxid, *lists)) if lists[3] or lists[4]
-                        else (r.SET_WATCHES, r.SetWatches(zxid, *lists[:3])))
+            made.append(
+                (r.SET_WATCHES2, r.SetWatches2(zxid, *lists))
+                if lists[3] or lists[4]
+                else (r.SET_WATCHES, r.SetWatches(zxid, *lists[:3]))
+            )
         return made
 
 
@@ -115,9 +119,18 @@
     `on_state(state)` and `on_event(event)` are called from the client's own task and must not wait. `read_only`: whether a
     server that is cut off from its ensemble will do, until a better one is found."""
 
-    def __init__(self, loop: Loop, servers: list[Address], timeout: int, chance: Callable[[], float],
-                 on_state: Callable[[str], None], on_event: Callable[[r.WatchEvent], None], report: Callable[..., None],
-                 auth: tuple[tuple[str, bytes], ...] = (), read_only: bool = False) -> None:
+    def __init__(
+        self,
+        loop: Loop,
+        servers: list[Address],
+        timeout: int,
+        chance: Callable[[], float],
+        on_state: Callable[[str], None],
+        on_event: Callable[[r.WatchEvent], None],
+        report: Callable[..., None],
+        auth: tuple[tuple[str, bytes], ...] = (),
+        read_only: bool = False,
+    ) -> None:
         self.loop = loop
         self.servers = list(servers)
         self.wanted = timeout
@@ -139,7 +152,7 @@
         self.calls: deque[Call] = deque()
         self.heard_at: Optional[int] = None  # when a server last said anything in this session
         self.said_at = 0
-        self.asked_back_at = 0               # when the servers were last asked how far they are
+        self.asked_back_at = 0  # when the servers were last asked how far they are
         self.closing = False
         self.counts = {"connects": 0, "refusals": 0, "expiries": 0, "calls": 0, "events": 0, "bytes_read": 0}
         self.task = loop.spawn(self._run(), "zookeeper session")
@@ -149,7 +162,12 @@
     def post(self, op: int, body: Any, path: str = "") -> Call:
         """Sends a request; its answer comes by `wait` of what is returned, in the order of posting."""
         call = Call(self.loop, op, body, path or getattr(body, "path", ""))
-        if self.codec is None or self.stream is None or self.stream.closed or self.state not in (CONNECTED, READ_ONLY):
+        if (
+            self.codec is None
+            or self.stream is None
+            or self.stream.closed
+            or self.state not in (CONNECTED, READ_ONLY)
+        ):
             call.end(None, ZooError(Code.CONNECTION_LOSS, call.path))
             return call
         self._send(call)
@@ -165,7 +183,10 @@
         self.said_at = self.loop.now()
         try:
             self.stream.write(self.codec.request(call.op, call.body)[1])
-        except (StreamBroken, Broken) as error:   # the reading side hears of the end; the call fails with the others
+        except (
+            StreamBroken,
+            Broken,
+        ) as error:  # the reading side hears of the end; the call fails with the others
             self.report("source_stalled", reason=str(error))
             self.stream.close()
 
@@ -191,7 +212,7 @@
     def _run(self) -> Coroutine:
         failed, order = 0, self._shuffled()
         while not self.closing:
-            if not order:                    # a whole round without a session
+            if not order:  # a whole round without a session
                 wait = min(WAIT_MOST, FIRST_WAIT << min(failed, 10))
                 failed += 1
                 yield from self.loop.sleep(int(wait * (0.5 + self.chance() / 2)))
@@ -204,18 +225,26 @@
                     order = [one for one in self._shuffled() if one != server] or self._shuffled()
                     yield from self._serve()
             except (StreamBroken, TimedOut, Broken) as error:
-                self.report("source_lost", server=f"{server[0]}:{server[1]}", reason=str(error) or "it says nothing")
+                self.report(
+                    "source_lost", server=f"{server[0]}:{server[1]}", reason=str(error) or "it says nothing"
+                )
             finally:
                 self._dropped()
             if opened_at is not None and self.loop.now() - opened_at >= WAIT_MOST:
                 failed = 0
-            elif opened_at is not None:      # it opens and ends at once: with a refused credential, say; no hot circle
+            elif (
+                opened_at is not None
+            ):  # it opens and ends at once: with a refused credential, say; no hot circle
                 order.clear()
 
     def _look_back(self) -> Coroutine:
         """After rounds without a session for longer than any could have lived."""
         now, heard = self.loop.now(), self.heard_at
-        if heard is None or not self.last_zxid or now - max(heard, self.asked_back_at) < GIVE_UP * self.timeout:
+        if (
+            heard is None
+            or not self.last_zxid
+            or now - max(heard, self.asked_back_at) < GIVE_UP * self.timeout
+        ):
             return
         self.asked_back_at = now
         if (yield from self._gone_back()):
@@ -235,14 +264,18 @@
         span = max(CONNECT_LEAST, self.timeout // max(1, len(self.servers)))
         until = self.loop.now() + span
         self.stream = yield from dial(self.loop, server, span)
-        codec = self.codec = ClientSession(self.wanted // 1000, self.session, self.password, self.last_zxid, self.read_only)
+        codec = self.codec = ClientSession(
+            self.wanted // 1000, self.session, self.password, self.last_zxid, self.read_only
+        )
         self.stream.write(codec.hello())
         got: list[Any] = []
         while not got:
             data = yield from self.stream.read(until)
             if not data:
                 self.counts["refusals"] += 1
-                raise StreamBroken("the server closed without an answer: it is cut off, or older than what was seen")
+                raise StreamBroken(
+                    "the server closed without an answer: it is cut off, or older than what was seen"
+                )
             got = codec.feed(data)
         if codec.state == EXPIRED:
             self._expired("the servers say so")
@@ -290,8 +323,14 @@
         self.heard_at = self.said_at = self.loop.now()
         self.server = server
         self.counts["connects"] += 1
-        self.report("source_connected", server=f"{server[0]}:{server[1]}", session=f"{self.session:#x}", resumed=resumed,
-                    read_only=codec.served_read_only, timeout_ms=codec.timeout_ms)
+        self.report(
+            "source_connected",
+            server=f"{server[0]}:{server[1]}",
+            session=f"{self.session:#x}",
+            resumed=resumed,
+            read_only=codec.served_read_only,
+            timeout_ms=codec.timeout_ms,
+        )
         for scheme, credential in self.auth:
             self._send(Call(self.loop, r.AUTH, r.Auth(0, scheme, credential), ""))
         if resumed:
@@ -321,7 +360,9 @@
                 look_at = self.loop.now() + look_after
                 continue
             try:
-                data = yield from self.stream.read(min(ping_at, dead_at, look_at if self.state == READ_ONLY else dead_at))
+                data = yield from self.stream.read(
+                    min(ping_at, dead_at, look_at if self.state == READ_ONLY else dead_at)
+                )
             except TimedOut:
                 continue
             if not data:
--- a/cedarshift/sim/actors.py
+++ b/cedarshift/sim/actors.py
@@ -1,5 +1,6 @@
 """The data plane of a run: proxies with the real agent and tables, and endpoints that take ops in. What passes is noted in the rehearsals'
 own words, so that the same checkers judge it; ops themselves go from proxy to endpoint without HTTP, a message and its answer each."""
+
 from __future__ import annotations
 
 import random
@@ -16,8 +17,8 @@
 from cedarshift.standins.proxy import Proxy
 
 # Constants: unit, then the reason for the size.
-OP_TYPES = (("get", False, 400_000), ("put", True, 300_000))   # name, writes, op timeout (us)
-WORK_MOST = 40_000        # us that an op takes at an endpoint
+OP_TYPES = (("get", False, 400_000), ("put", True, 300_000))  # name, writes, op timeout (us)
+WORK_MOST = 40_000  # us that an op takes at an endpoint
 
 
 class Notes:
@@ -68,13 +69,15 @@
                 if answer is not None:
                     self.world.network.later(200, partial(answer, False))
 
-    def take(self, op: str, number: int, kind: int, proxy: str, until: int, answer: Callable[[bool], None]) -> None:
+    def take(
+        self, op: str, number: int, kind: int, proxy: str, until: int, answer: Callable[[bool], None]
+    ) -> None:
         """An op arrives; `until` by the world's clock. `answer(acked)` goes back."""
         now = self.world.clock.time
         if not self.alive:
             answer(False)
             return
-        if now >= until:                     # its client has given up; begun now it would end after any hand-over's wait
+        if now >= until:  # its client has given up; begun now it would end after any hand-over's wait
             return
         name, writes, _ = OP_TYPES[kind]
         work = 1 + self.chance.randrange(WORK_MOST)
@@ -95,13 +98,21 @@
 class SimProxy(Proxy):
     """`send(proxy, pick, number, kind, until, answer)` carries an op."""
 
-    def __init__(self, host: Host, world: World, name: str, plan: dict[str, Any], rows: list[Row], seed: str,
-                 send: Callable[..., None]) -> None:
+    def __init__(
+        self,
+        host: Host,
+        world: World,
+        name: str,
+        plan: dict[str, Any],
+        rows: list[Row],
+        seed: str,
+        send: Callable[..., None],
+    ) -> None:
         self.loop = host.loop
         self.host = host
         self.world = world
         self.name = name
-        self.recorder = Notes(world, name, rows)         # type: ignore[assignment]
+        self.recorder = Notes(world, name, rows)  # type: ignore[assignment]
         self.chance = random.Random(seed)
         self.shown = {}
         self.bare = []
@@ -111,10 +122,20 @@
         self.buffer_for = plan["buffer_for"]
         self.drawn = 0
         self.outcomes = {"acked": 0, "aborted": 0, "rejected": 0}
-        self.tables = Tables(self.slices, [OpKind(op, writes) for op, writes, _ in OP_TYPES], True, plan["lease"], True)
+        self.tables = Tables(
+            self.slices, [OpKind(op, writes) for op, writes, _ in OP_TYPES], True, plan["lease"], True
+        )
         badge = Badge("sim", "proxy", name, "", b"")
-        self.agent = Agent(self.loop, badge, plan["pilots"], plan["store"], self.tables, self.chance.random, self._observe,
-                           lambda: self.chance.randbytes(16))
+        self.agent = Agent(
+            self.loop,
+            badge,
+            plan["pilots"],
+            plan["store"],
+            self.tables,
+            self.chance.random,
+            self._observe,
+            lambda: self.chance.randbytes(16),
+        )
         self.recorder.note("start", name, "", "sim")
         self.loop.spawn(self._ops(), "ops")
 
@@ -148,6 +169,7 @@
             if self.host.alive:
                 waker.wake(acked)
                 self.world.rouse(self.host)
+
         self.send_op(self, op, pick, number, kind, self.host.clock.when(until), answered)
         try:
             return bool((yield from self.loop.park(until)))
--- a/cedarshift/sim/disk.py
+++ b/cedarshift/sim/disk.py
@@ -4,6 +4,7 @@
 kill or a loss of power; a transaction is there wholly or not at all; what can't be read is refused by name. That the SQLite ledger does
 so too is shown by tests that kill a process in the middle of its commits and by the same sequences played on both.
 """
+
 from __future__ import annotations
 
 import random
@@ -26,8 +27,8 @@
         self.cached: list[bytes] = []
         self.full = False
         self.unreadable = False
-        self.lies = False                    # the newest sync never reached the platter
-        self.short = 0                       # blocks that a lying disk has lost
+        self.lies = False  # the newest sync never reached the platter
+        self.short = 0  # blocks that a lying disk has lost
 
     def append(self, block: bytes) -> None:
         if self.full:
@@ -46,9 +47,9 @@
             self.synced.pop()
             self.short += 1
         self.lies = False
-        kept = self.cached[:self.chance.randrange(len(self.cached) + 1)] if self.cached else []
+        kept = self.cached[: self.chance.randrange(len(self.cached) + 1)] if self.cached else []
         if kept and self.chance.random() < 0.5:
-            kept[-1] = kept[-1][:self.chance.randrange(len(kept[-1]))]
+            kept[-1] = kept[-1][: self.chance.randrange(len(kept[-1]))]
         self.synced += kept
         self.cached.clear()
 
@@ -94,7 +95,9 @@
         return list(rows.values())
 
     def put(self, rows: Iterable[Row]) -> None:
-        self._write([(r.slice, r.epoch, r.version, r.pilot, r.owner, msgspec.msgpack.encode(r.levels)) for r in rows])
+        self._write(
+            [(r.slice, r.epoch, r.version, r.pilot, r.owner, msgspec.msgpack.encode(r.levels)) for r in rows]
+        )
         self.commits += 1
 
     def _write(self, rows: list[tuple]) -> None:
--- a/cedarshift/sim/hunt.py
+++ b/cedarshift/sim/hunt.py
@@ -1,4 +1,5 @@
 """Many seeds on all cores: what breaks, how much of what could happen was reached, and a search that goes on from runs that reached something new."""
+
 from __future__ import annotations
 
 import multiprocessing
@@ -11,9 +12,9 @@
 from cedarshift.sim.play import Played, play
 from cedarshift.sim.scenario import Scenario, altered, draw, from_json
 
-CHUNK = 8                 # runs that one process plays between two words
-POOL_MOST = 400           # scenarios that a guided search goes on from; the newest
-FRESH_PART = 0.3          # of a guided search's runs that are drawn anew, so that it does not stay where it is
+CHUNK = 8  # runs that one process plays between two words
+POOL_MOST = 400  # scenarios that a guided search goes on from; the newest
+FRESH_PART = 0.3  # of a guided search's runs that are drawn anew, so that it does not stay where it is
 
 
 class Found(NamedTuple):
@@ -42,7 +43,7 @@
         self.steps = 0
         self.virtual_s = 0.0
         self.reached: set[tuple] = set()
-        self.curve: list[tuple[int, int]] = []   # runs, what was reached by then
+        self.curve: list[tuple[int, int]] = []  # runs, what was reached by then
         self.found: list[Found] = []
 
     def add(self, seed: int, scenario: bytes, played: Played) -> int:
@@ -60,13 +61,22 @@
 
     def report(self) -> dict[str, Any]:
         real = max(1e-9, time.monotonic() - self.begun)
-        return {"runs": self.runs, "real_s": round(real, 1), "runs_a_minute": round(self.runs * 60 / real), "steps": self.steps,
-                "steps_a_second": round(self.steps / real), "virtual_seconds_a_second": round(self.virtual_s / real, 1),
-                "reached": len(self.reached), "curve": self.curve,
-                "found": [{"seed": one.seed, "what": one.what, "how": one.how} for one in self.found]}
-
-
-def hunt(seeds: list[int], jobs: int, out: str, say: Callable[[str], None], guided: bool = False) -> dict[str, Any]:
+        return {
+            "runs": self.runs,
+            "real_s": round(real, 1),
+            "runs_a_minute": round(self.runs * 60 / real),
+            "steps": self.steps,
+            "steps_a_second": round(self.steps / real),
+            "virtual_seconds_a_second": round(self.virtual_s / real, 1),
+            "reached": len(self.reached),
+            "curve": self.curve,
+            "found": [{"seed": one.seed, "what": one.what, "how": one.how} for one in self.found],
+        }
+
+
+def hunt(
+    seeds: list[int], jobs: int, out: str, say: Callable[[str], None], guided: bool = False
+) -> dict[str, Any]:
     """Plays all; scenarios that break something stand in `out` as files to replay. `guided`: as many runs, of which most alter one that
     reached something new."""
     tally = Tally()
@@ -92,11 +102,16 @@
     return new
 
 
-def _search(seeds: list[int], jobs: int, tally: Tally, pool: ProcessPoolExecutor, say: Callable[[str], None]) -> None:
+def _search(
+    seeds: list[int], jobs: int, tally: Tally, pool: ProcessPoolExecutor, say: Callable[[str], None]
+) -> None:
     """In rounds, so that what a round does hangs on the rounds before alone, not on which core was quicker."""
-    chance, corpus = random.Random(f"search {seeds[0]}"), []     # type: ignore[var-annotated]
+    chance, corpus = random.Random(f"search {seeds[0]}"), []  # type: ignore[var-annotated]
     for at in range(0, len(seeds), CHUNK * jobs):
-        tasks = [(seed, None if not corpus or chance.random() < FRESH_PART else chance.choice(corpus)) for seed in seeds[at:at + CHUNK * jobs]]
+        tasks = [
+            (seed, None if not corpus or chance.random() < FRESH_PART else chance.choice(corpus))
+            for seed in seeds[at : at + CHUNK * jobs]
+        ]
         for (seed, _), (raw, played) in zip(tasks, pool.map(_guided, tasks, chunksize=CHUNK)):
             if _note(tally, seed, from_json(raw), played, say):
                 corpus.append(raw)
--- a/cedarshift/sim/planted.py
+++ b/cedarshift/sim/planted.py
@@ -1,7 +1,8 @@
 """Faults planted in the real code, one at a time, each to be found by some seed. One that no seed finds is a hole in the scenarios or in what is checked.
 
-    python -m cedarshift.sim.planted [--seeds 400] [--jobs 8] [--only NAME]
+python -m cedarshift.sim.planted [--seeds 400] [--jobs 8] [--only NAME]
 """
+
 from __future__ import annotations
 
 import argparse
@@ -15,22 +16,22 @@
 from cedarshift.agent.client import Agent
 from cedarshift.agent.tables import Tables
 from cedarshift.brain import Pilot
-from cedarshift.judge import write_stops
-from cedarshift.judge.write_stops import WriteStops
 from cedarshift.codec import messages as m
+from cedarshift.judge import write_stops
 from cedarshift.judge.charge import Charge
+from cedarshift.judge.write_stops import WriteStops
 from cedarshift.link import Link
 from cedarshift.loop.core import Coroutine
-from cedarshift.pilot.service import PilotService
 from cedarshift.pilot import store_client
+from cedarshift.pilot.service import PilotService
 from cedarshift.pilot.store_client import StoreClient
 from cedarshift.roster.sources import ServiceSource
 from cedarshift.sim.disk import Disk
 from cedarshift.sim.play import play
 from cedarshift.sim.scenario import draw
 
-SEEDS = 400               # within which each is to be found
-SEEDS_AT_ONCE = 8         # played by one process between two looks whether one has found it
+SEEDS = 400  # within which each is to be found
+SEEDS_AT_ONCE = 8  # played by one process between two looks whether one has found it
 
 Patches = list[tuple[Any, str, Any]]
 
@@ -56,12 +57,14 @@
 
 # ---- the module
 
+
 def _no_settle() -> Patches:
     init = Pilot.__init__
 
     def made(self: Any, terms: Any) -> None:
         init(self, terms)
         self.settle = 0
+
     return [(Pilot, "__init__", made)]
 
 
@@ -77,26 +80,32 @@
         given(self, now, slice_id, held)
         if held:
             self.slices[slice_id].state = brain.EMPTY
+
     return [(Pilot, "on_given", on_given)]
 
 
 def _deaf_to_drains() -> Patches:
     def set_phase(self: Any, e: Any, phase: str, now: int) -> None:
         e.phase = "on"
+
     return [(Pilot, "_set_phase", set_phase)]
 
 
 # ---- proxies
 
+
 def _ack_first() -> Patches:
     take = Agent._take
 
     def late(self: Any, name: str, link: Any, message: Any, beats: Any, cost: int) -> Coroutine:
-        if isinstance(message, m.Order) and message.mark is not None and self.badge.id[-1] in "13":   # not all alike
+        if (
+            isinstance(message, m.Order) and message.mark is not None and self.badge.id[-1] in "13"
+        ):  # not all alike
             link.send(m.Ack(message.mark))
             yield from self.loop.sleep(300_000)
             message = m.Order(message.seq, message.waited, message.lines, message.levels)
         yield from take(self, name, link, message, beats, cost)
+
     return [(Agent, "_take", late)]
 
 
@@ -104,6 +113,7 @@
     def on_lease(self: Any, pilot: str, asked_at: int) -> None:
         view = self.views[pilot]
         view.lease_until = max(view.lease_until, asked_at + 3 * self.lease)
+
     return [(Tables, "on_lease", on_lease)]
 
 
@@ -113,6 +123,7 @@
     def picked(self: Any, now: int, slice_id: int, op_type: int, chance: float) -> Any:
         self.single_owner = False
         return pick(self, now, slice_id, op_type, chance)
+
     return [(Tables, "pick", picked)]
 
 
@@ -121,6 +132,7 @@
         holding = self.held[row.slice]
         holding.epoch, holding.pilot, holding.owner = row.epoch, pilot, row.owner
         holding.levels, holding.writes_until = list(row.levels), None
+
     return [(Tables, "_take", take)]
 
 
@@ -134,6 +146,7 @@
     def some(self: Any, pilot: str, line: Any) -> None:
         if line.weight > 0 or line.table % 2:
             set_owner(self, pilot, line)
+
     return [(Tables, "_set_owner", some), (Tables, "_level", lambda self, levels, table, op_type: None)]
 
 
@@ -147,11 +160,13 @@
     def beats(self: Any, name: str, link: Any, sent: Any, every: int) -> Coroutine:
         self.loop.spawn(on_and_on(self, every), f"agent {name} beat again")
         yield from beat(self, name, link, sent, every)
+
     return [(Agent, "_beat", beats)]
 
 
 # ---- the store
 
+
 def _epoch_stays() -> Patches:
     step = Charge.step
 
@@ -161,6 +176,7 @@
         for row in found.changed:
             row.epoch = max(1, before[row.slice])
         return found
+
     return [(Charge, "step", stepped)]
 
 
@@ -175,14 +191,17 @@
             if row.pilot == pilot:
                 row.pilot = ""
         return number
+
     return [(Charge, "open", open_anew)]
 
 
 def _sends_raise() -> Patches:
     """As it was until run 102 found it."""
+
     def send(self: Any, message: Any) -> None:
         if not self.closed:
             self.stream.write(self.session.send(message))
+
     return [(Link, "send", send)]
 
 
@@ -194,6 +213,7 @@
         name, self.name = self.name, "unnamed"
         self.name = name.removeprefix("list:")
         yield from call(self)
+
     return [(ServiceSource, "_call", called)]
 
 
@@ -205,6 +225,7 @@
         for pilot, numbers in found.taken.items():
             self.released(pilot, numbers)
         return found
+
     return [(Charge, "step", stepped)]
 
 
@@ -215,6 +236,7 @@
             return False
         holder.until = now + self.lease // 3
         return True
+
     return [(Charge, "renew", renew)]
 
 
@@ -226,29 +248,40 @@
         self.holders.clear()
         for row in self.rows.values():
             row.pilot = ""
+
     return [(Charge, "__init__", made)]
 
 
 def _no_sync() -> Patches:
-    return [(Disk, "sync", lambda self: self.synced.append(self.cached.pop(0)) if len(self.cached) > 3 else None)]
+    return [
+        (Disk, "sync", lambda self: self.synced.append(self.cached.pop(0)) if len(self.cached) > 3 else None)
+    ]
 
 
 def _same_epochs_again() -> Patches:
     init = Charge.__init__
 
-    def made(self: Any, rows: Any, pilots: Any, lease: int, takeover: int, back_after: int, now: int, life: int = 1) -> None:
+    def made(
+        self: Any, rows: Any, pilots: Any, lease: int, takeover: int, back_after: int, now: int, life: int = 1
+    ) -> None:
         init(self, rows, pilots, lease, takeover, back_after, now, 1)
+
     return [(Charge, "__init__", made)]
 
 
 # ---- the pilot
 
+
 def _always_in_charge() -> Patches:
-    return [(StoreClient, "in_charge", lambda self: not self.lapsed), (StoreClient, "_lapse", lambda self: None)]
+    return [
+        (StoreClient, "in_charge", lambda self: not self.lapsed),
+        (StoreClient, "_lapse", lambda self: None),
+    ]
 
 
 def _dropped_turn_forgotten() -> Patches:
     """As it was until run 3981 found it."""
+
     def commit(self: Any, writes: Any, then: Any) -> bool:
         if self.link is None or not self.in_charge():
             return False
@@ -256,6 +289,7 @@
         self.waiting[self.drawn] = then
         self.link.send(m.Commit(self.drawn, writes))
         return True
+
     return [(StoreClient, "commit", commit)]
 
 
@@ -271,6 +305,7 @@
         if self.deployment.slices:
             self._send_turn(turn)
         order(self, turn)
+
     return [(PilotService, "_order", sent)]
 
 
@@ -279,7 +314,11 @@
 
     def all_of_it(self: Any, turn: Any, writes: Any, denied: Any) -> None:
         committed(self, turn, writes, [])
-    return [(PilotService, "_committed", all_of_it), (PilotService, "on_store_taken", lambda self, slices: None)]
+
+    return [
+        (PilotService, "_committed", all_of_it),
+        (PilotService, "on_store_taken", lambda self, slices: None),
+    ]
 
 
 def _empty_turns_overtake() -> Patches:
@@ -290,6 +329,7 @@
             self._send_turn(turn)
         else:
             order(self, turn)
+
     return [(PilotService, "_order", ordered)]
 
 
@@ -300,10 +340,12 @@
 
 def _leaves_in_silence() -> Patches:
     """Proxies are not told that slices leave, and the store is told that they were."""
+
     def taken(self: Any, slices: list[int]) -> None:
         for number in slices:
             self.slices.pop(number, None)
             self.brain.on_given(self._now(), number, False)
+
     return [(PilotService, "on_store_taken", taken)]
 
 
@@ -317,6 +359,7 @@
             yield from call(self)
         finally:
             self.tell = tell
+
     return [(ServiceSource, "_call", kept)]
 
 
@@ -326,15 +369,27 @@
 
 PLANTED: dict[str, Planted] = {
     "no-settle": Planted("the settle time is skipped", _no_settle),
-    "no-ack": Planted("a revoke is not awaited at joined proxies", lambda: _stops(
-        lambda self, p, s, at: s.since if p.joined and at is None else at)),
-    "left-at-once": Planted("a proxy whose stream broke counts as stopped without its lease", lambda: _stops(
-        lambda self, p, s, at: at if p.joined else p.left_at)),
-    "newcomer": Planted("a proxy that joined after a revoke is not awaited", lambda: _stops(
-        lambda self, p, s, at: s.since if p.joined and at is None and p.joined_at >= s.since else at)),
-    "given-empty": Planted("a slice that was just given is granted without waiting out the former pilot", _given_empty),
+    "no-ack": Planted(
+        "a revoke is not awaited at joined proxies",
+        lambda: _stops(lambda self, p, s, at: s.since if p.joined and at is None else at),
+    ),
+    "left-at-once": Planted(
+        "a proxy whose stream broke counts as stopped without its lease",
+        lambda: _stops(lambda self, p, s, at: at if p.joined else p.left_at),
+    ),
+    "newcomer": Planted(
+        "a proxy that joined after a revoke is not awaited",
+        lambda: _stops(
+            lambda self, p, s, at: s.since if p.joined and at is None and p.joined_at >= s.since else at
+        ),
+    ),
+    "given-empty": Planted(
+        "a slice that was just given is granted without waiting out the former pilot", _given_empty
+    ),
     "deaf-to-drains": Planted("the list's drains and deaths are not heard", _deaf_to_drains),
-    "marks-again": Planted("a ring of two marks: one is used again while it may still be acked", _marks_come_again),
+    "marks-again": Planted(
+        "a ring of two marks: one is used again while it may still be acked", _marks_come_again
+    ),
     "ack-first": Planted("an order is acked before it is in force", _ack_first),
     "long-lease": Planted("a proxy's lease runs three times as long", _lease_when_answered),
     "no-lease": Planted("writes go out without a lease", _no_lease),
@@ -343,7 +398,9 @@
     "lines-lost": Planted("a proxy acks orders of which it passes over some lines", _lines_are_passed_over),
     "helpers-stay": Planted("a stream's beats go on after its end", _helpers_stay),
     "epoch-stays": Planted("a giving does not raise the epoch", _epoch_stays),
-    "reopened-at-once": Planted("a pilot's new session frees its slices for others at once", _reopened_at_once),
+    "reopened-at-once": Planted(
+        "a pilot's new session frees its slices for others at once", _reopened_at_once
+    ),
     "sends-raise": Planted("a message to a stream that has just broken ends its sender", _sends_raise),
     "list-unnamed": Planted("a list service that counts anew is taken for an old one", _list_without_name),
     "taken-at-once": Planted("a slice is given on before its pilot has told its proxies", _taken_at_once),
@@ -352,11 +409,19 @@
     "no-sync": Planted("the store answers before its disk has synced", _no_sync),
     "same-epochs": Planted("lives of the store use the same epochs", _same_epochs_again),
     "always-in-charge": Planted("a pilot goes on after its session must have ended", _always_in_charge),
-    "dropped-turn": Planted("a charge that had lapsed goes on after a turn was dropped", _dropped_turn_forgotten),
-    "no-drift": Planted("a pilot's session lasts as long by its clock as by the store's", _no_drift_taken_off),
+    "dropped-turn": Planted(
+        "a charge that had lapsed goes on after a turn was dropped", _dropped_turn_forgotten
+    ),
+    "no-drift": Planted(
+        "a pilot's session lasts as long by its clock as by the store's", _no_drift_taken_off
+    ),
     "sent-uncommitted": Planted("orders reach proxies before the store has them", _sent_before_committed),
-    "denied-goes-out": Planted("orders that the store refused reach proxies, and what was taken stays", _denied_goes_out),
-    "empty-overtake": Planted("turns without writes overtake those that wait for the store", _empty_turns_overtake),
+    "denied-goes-out": Planted(
+        "orders that the store refused reach proxies, and what was taken stays", _denied_goes_out
+    ),
+    "empty-overtake": Planted(
+        "turns without writes overtake those that wait for the store", _empty_turns_overtake
+    ),
     "acks-date-back": Planted("acks count as of 0.6 s before", _acks_date_back),
     "leaves-in-silence": Planted("proxies are not told that slices leave", _leaves_in_silence),
     "gone-is-kept": Planted("the list's news of endpoints that are not on is dropped", _gone_is_kept),
@@ -381,7 +446,11 @@
         left, begin = list(names), 1
         while left and begin <= seeds:
             end = min(seeds + 1, begin + SEEDS_AT_ONCE * max(1, math.ceil(jobs / len(left))))
-            tasks = [(name, at, min(end, at + SEEDS_AT_ONCE)) for name in left for at in range(begin, end, SEEDS_AT_ONCE)]
+            tasks = [
+                (name, at, min(end, at + SEEDS_AT_ONCE))
+                for name in left
+                for at in range(begin, end, SEEDS_AT_ONCE)
+            ]
             for name, seed, what in pool.map(first_found, tasks):
                 if seed is not None and name not in found:
                     found[name] = (seed, what)
@@ -398,7 +467,9 @@
     args = parser.parse_args()
     names = [args.only] if args.only else list(PLANTED)
     for name, (seed, what) in hunt_planted(names, args.seeds, args.jobs).items():
-        print(f"{name:<18} {'NOT FOUND' if seed is None else f'seed {seed}':<10} {what:<16} {PLANTED[name].what}")
+        print(
+            f"{name:<18} {'NOT FOUND' if seed is None else f'seed {seed}':<10} {what:<16} {PLANTED[name].what}"
+        )
 
 
 if __name__ == "__main__":
--- a/cedarshift/sim/play.py
+++ b/cedarshift/sim/play.py
@@ -1,4 +1,5 @@
 """One run of a scenario, and what came of it."""
+
 from __future__ import annotations
 
 import traceback
@@ -15,6 +16,7 @@
 
 class Played(NamedTuple):
     """`digest` is of every step and of every row: the same for the same scenario, wherever it is played."""
+
     broken: list[Broken]
     digest: str
     steps: int
@@ -28,7 +30,9 @@
     """A step broke something: the run ends there."""
 
 
-def play(scenario: Scenario, note: Optional[Callable[[int, str, str, dict[str, Any]], None]] = None) -> Played:
+def play(
+    scenario: Scenario, note: Optional[Callable[[int, str, str, dict[str, Any]], None]] = None
+) -> Played:
     stage = Stage(scenario, note)
     steps, digest = Steps(stage), blake2b(digest_size=16)
 
@@ -39,6 +43,7 @@
             stage._watch_store()
         if steps.broken is not None:
             raise Stop
+
     stage.world.after_turn = after
     main = stage.director.loop.spawn(stage.direct(), "director")
     broken: list[Broken] = []
@@ -49,10 +54,20 @@
         broken.append(steps.broken)
     except Hung as error:
         broken.append(Broken("hung", stage.world.clock.time, str(error)))
-    except Exception as error:               # what escapes a loop ends its process
+    except Exception as error:  # what escapes a loop ends its process
         where = traceback.extract_tb(error.__traceback__)
-        inside = [f"{frame.filename.rsplit('/', 1)[-1]}:{frame.lineno} {frame.name}" for frame in where if "cedarshift" in frame.filename]
-        broken.append(Broken("crashed", stage.world.clock.time, f"{type(error).__name__}: {error}; {', '.join(inside[-5:])}"))
+        inside = [
+            f"{frame.filename.rsplit('/', 1)[-1]}:{frame.lineno} {frame.name}"
+            for frame in where
+            if "cedarshift" in frame.filename
+        ]
+        broken.append(
+            Broken(
+                "crashed",
+                stage.world.clock.time,
+                f"{type(error).__name__}: {error}; {', '.join(inside[-5:])}",
+            )
+        )
     end = stage.world.clock.time
     if not broken:
         broken = whole_run(stage, end)
--- a/cedarshift/sim/stage.py
+++ b/cedarshift/sim/stage.py
@@ -1,4 +1,5 @@
 """A scenario on its stage: the store, pilots, list and proxies as hosts of one world, what befalls them, and where all of it is noted."""
+
 from __future__ import annotations
 
 import random
@@ -7,8 +8,16 @@
 from typing import Any, Callable, Optional
 
 from cedarshift.codec import Badge
-from cedarshift.deployment.deployment import (Channel, Deployment, Guarantees, ListSource, PilotPlace, ProxyTerms, ServedOp,
-                                              StorePlace)
+from cedarshift.deployment.deployment import (
+    Channel,
+    Deployment,
+    Guarantees,
+    ListSource,
+    PilotPlace,
+    ProxyTerms,
+    ServedOp,
+    StorePlace,
+)
 from cedarshift.judge.charge import Charge
 from cedarshift.loop import listen
 from cedarshift.loop.core import Coroutine
@@ -24,39 +33,56 @@
 from cedarshift.store.service import StoreService
 
 # The deployment: unit, then the reason for the size. All spans are short, so that many hand-overs fit a run.
-LEASE = 400_000           # us; of proxies
-IN_FLIGHT = 500_000       # us; the longest op timeout and some room
-SESSION = 800_000         # us; the store's
-TAKEOVER = 200_000        # us
-BACK_AFTER = 700_000      # us
-GRACE = 4_000_000         # us; a hand-over takes lease + in flight, and a channel's turn
-EMPTY_FOR = 6_000_000     # us
-WARM = 2_000_000          # us
-OP_DELAY = 2_000          # us that an op's message takes at most, one way, usually
-SLOW_DELAY = 350_000      # us, of some: up to the op timeout and beyond
-SLOW_PART = 0.03          # of ops that are slow on a sound link
-SLOW_LINK_PART = 0.3      # while a link is slow
+LEASE = 400_000  # us; of proxies
+IN_FLIGHT = 500_000  # us; the longest op timeout and some room
+SESSION = 800_000  # us; the store's
+TAKEOVER = 200_000  # us
+BACK_AFTER = 700_000  # us
+GRACE = 4_000_000  # us; a hand-over takes lease + in flight, and a channel's turn
+EMPTY_FOR = 6_000_000  # us
+WARM = 2_000_000  # us
+OP_DELAY = 2_000  # us that an op's message takes at most, one way, usually
+SLOW_DELAY = 350_000  # us, of some: up to the op timeout and beyond
+SLOW_PART = 0.03  # of ops that are slow on a sound link
+SLOW_LINK_PART = 0.3  # while a link is slow
 LINES_WAITING = 2_000.0
-AMBUSH_FOR = 2_500_000    # us that one lies in wait; the run's rest begins after it
+AMBUSH_FOR = 2_500_000  # us that one lies in wait; the run's rest begins after it
 STORE, LIST, OPS = ("10.0.0.1", 1), ("10.0.0.2", 1), "ops"
 
 
 def deployment_of(scenario: Scenario) -> Deployment:
-    ops = tuple(ServedOp(name, 200_000, timeout, 1.0, 0.0, "once-only" if writes else "retryable", writes, False)
-                for name, writes, timeout in OP_TYPES)
+    ops = tuple(
+        ServedOp(name, 200_000, timeout, 1.0, 0.0, "once-only" if writes else "retryable", writes, False)
+        for name, writes, timeout in OP_TYPES
+    )
     pilots = tuple(PilotPlace(f"p{n}", ("10.0.1.%d" % n, 1), None, "") for n in range(scenario.pilots))
     return Deployment(
-        "sim", "", scenario.slices, ("",), True, "even", "fraction", 1_000.0, 64, b"", ops, pilots,
-        StorePlace(STORE, "store", False, SESSION, TAKEOVER, BACK_AFTER), ListSource(LIST, "", "", 250_000, False, True),
+        "sim",
+        "",
+        scenario.slices,
+        ("",),
+        True,
+        "even",
+        "fraction",
+        1_000.0,
+        64,
+        b"",
+        ops,
+        pilots,
+        StorePlace(STORE, "store", False, SESSION, TAKEOVER, BACK_AFTER),
+        ListSource(LIST, "", "", 250_000, False, True),
         Channel(3_000.0, LINES_WAITING, 16.0, 0, 10 * SECOND, 100_000),
         ProxyTerms(LEASE, IN_FLIGHT, 100_000, 100_000, 500_000, 20, 0, 0, 2 * SECOND),
-        Guarantees(EMPTY_FOR, GRACE, 10 * SECOND, WARM, 0.3, 3.0, 500_000))
+        Guarantees(EMPTY_FOR, GRACE, 10 * SECOND, WARM, 0.3, 3.0, 500_000),
+    )
 
 
 class Stage:
     """`note` hears of faults and of what programs report, for a timeline."""
 
-    def __init__(self, scenario: Scenario, note: Optional[Callable[[int, str, str, dict[str, Any]], None]] = None) -> None:
+    def __init__(
+        self, scenario: Scenario, note: Optional[Callable[[int, str, str, dict[str, Any]], None]] = None
+    ) -> None:
         self.scenario = scenario
         self.note = note or (lambda at, who, event, fields: None)
         self.chance = random.Random(f"stage {scenario.seed}")
@@ -71,23 +97,36 @@
         self.disk = Disk(random.Random(f"disk {scenario.seed}"))
         self.owners: dict[int, list[tuple[int, str]]] = {}
         self.hindered: list[tuple[int, int]] = []
-        self.failed: list[str] = []          # tasks that ended with an error, and programs that would not start
-        self.slow_ops_until = 0              # a link is slow: ops' messages are too
+        self.failed: list[str] = []  # tasks that ended with an error, and programs that would not start
+        self.slow_ops_until = 0  # a link is slow: ops' messages are too
         self.begun = 0
         self.ambushes: list[Fault] = []
-        self.active: dict[str, int] = {}     # kinds of faults under way, for coverage
+        self.active: dict[str, int] = {}  # kinds of faults under way, for coverage
         self.reached: set[tuple] = set()
         count = scenario.endpoints + scenario.reserve
-        self.ends = {f"e{n}": SimEndpoint(self.world, f"e{n}", self.rows, random.Random(f"e{n} {scenario.seed}")) for n in range(count)}
+        self.ends = {
+            f"e{n}": SimEndpoint(self.world, f"e{n}", self.rows, random.Random(f"e{n} {scenario.seed}"))
+            for n in range(count)
+        }
         self.entries: dict[str, dict[str, Any]] = {}
         self.dropped: set[str] = set()
         self.director = self.world.host("director")
-        self.limits = Limits(EMPTY_FOR, GRACE, WARM, LINES_WAITING, 16.0, 0, 10 * SECOND,
-                             frozenset(name for name, writes, _ in OP_TYPES if writes))
+        self.limits = Limits(
+            EMPTY_FOR,
+            GRACE,
+            WARM,
+            LINES_WAITING,
+            16.0,
+            0,
+            10 * SECOND,
+            frozenset(name for name, writes, _ in OP_TYPES if writes),
+        )
 
     def _pieces(self, data: bytes) -> list[bytes]:
         """Cut at any byte."""
-        cuts = sorted(self.chance.randrange(len(data) + 1) for _ in range(self.chance.randrange(self.scenario.chunks)))
+        cuts = sorted(
+            self.chance.randrange(len(data) + 1) for _ in range(self.chance.randrange(self.scenario.chunks))
+        )
         return [piece for a, b in zip([0, *cuts], [*cuts, len(data)]) if (piece := data[a:b])]
 
     # ---- programs
@@ -99,7 +138,10 @@
             if event == "task_failed":
                 self.failed.append(f"{name}: {fields.get('error')}\n{fields.get('traceback', '')}")
             self.note(self.world.clock.time, name, event, fields)
-        host = self.world.host(name, report, self.scenario.rates.get(name, 1.0), self.scenario.offsets.get(name, 0))
+
+        host = self.world.host(
+            name, report, self.scenario.rates.get(name, 1.0), self.scenario.offsets.get(name, 0)
+        )
         self.hosts[name] = host
         return host
 
@@ -116,21 +158,51 @@
             self._start_list(host)
         elif name[0] == "p":
             chance = self._chance(name)
-            self.services[name] = PilotService(host.loop, listen(host.loop, self.deployment.pilot(name).listen), self.deployment, name,
-                                               chance.getrandbits(64), host.loop.report, lambda: chance.randbytes(16))
+            self.services[name] = PilotService(
+                host.loop,
+                listen(host.loop, self.deployment.pilot(name).listen),
+                self.deployment,
+                name,
+                chance.getrandbits(64),
+                host.loop.report,
+                lambda: chance.randbytes(16),
+            )
         else:
-            plan = {"slices": self.scenario.slices, "rate": self.scenario.rate, "buffer_for": 100_000, "lease": LEASE,
-                    "pilots": {p.name: p.listen for p in self.deployment.pilots}, "store": STORE}
-            self.services[name] = SimProxy(host, self.world, name, plan, self.rows, f"{self.scenario.seed} {name} {self.lives[name]}", self.send)
+            plan = {
+                "slices": self.scenario.slices,
+                "rate": self.scenario.rate,
+                "buffer_for": 100_000,
+                "lease": LEASE,
+                "pilots": {p.name: p.listen for p in self.deployment.pilots},
+                "store": STORE,
+            }
+            self.services[name] = SimProxy(
+                host,
+                self.world,
+                name,
+                plan,
+                self.rows,
+                f"{self.scenario.seed} {name} {self.lives[name]}",
+                self.send,
+            )
 
     def _start_store(self, host: Host) -> None:
         try:
             ledger = SimLedger(self.disk, self.scenario.slices)
             badge, chance = Badge("sim", "store", "store", "", b""), self._chance("store")
-            self.services["store"] = StoreService(host.loop, listen(host.loop, STORE), ledger, badge, [p.name for p in self.deployment.pilots],  # type: ignore[arg-type]
-                                                  SESSION, TAKEOVER, BACK_AFTER, lambda: chance.randbytes(16))
+            self.services["store"] = StoreService(
+                host.loop,
+                listen(host.loop, STORE),
+                ledger,  # type: ignore[arg-type]
+                badge,
+                [p.name for p in self.deployment.pilots],
+                SESSION,
+                TAKEOVER,
+                BACK_AFTER,
+                lambda: chance.randbytes(16),
+            )
             self._see_owners(self.services["store"].charge)
-        except (Damaged, sqlite3.Error) as error:   # refused by name: nothing of it is served
+        except (Damaged, sqlite3.Error) as error:  # refused by name: nothing of it is served
             self.note(self.world.clock.time, "store", "damaged", {"error": str(error)})
             host.end()
 
@@ -145,7 +217,8 @@
             if owner and (not owners or owners[-1][1] != owner):
                 owners.append((self.world.clock.time, owner))
             return write(slice_id, owner, levels)
-        charge.write = seen                  # type: ignore[method-assign]
+
+        charge.write = seen  # type: ignore[method-assign]
 
     def _start_list(self, host: Host) -> None:
         notes = Notes(self.world, "list", self.rows)
@@ -165,26 +238,50 @@
     def _watch_store(self) -> None:
         """A store that can't write ends, as the daemon does: its memory is ahead of its disk."""
         host, service = self.hosts.get("store"), self.services.get("store")
-        if host is not None and service is not None and host.alive and any(task.done for task in service.tasks):
+        if (
+            host is not None
+            and service is not None
+            and host.alive
+            and any(task.done for task in service.tasks)
+        ):
             self.failed = [one for one in self.failed if "OperationalError" not in one]
             self.end("store")
 
     # ---- the data plane
 
-    def send(self, proxy: SimProxy, op: str, pick: Any, number: int, kind: int, until: int, answered: Callable[[bool], None]) -> None:
-        slow = self.chance.random() < (SLOW_LINK_PART if self.world.clock.time < self.slow_ops_until else SLOW_PART)
+    def send(
+        self,
+        proxy: SimProxy,
+        op: str,
+        pick: Any,
+        number: int,
+        kind: int,
+        until: int,
+        answered: Callable[[bool], None],
+    ) -> None:
+        slow = self.chance.random() < (
+            SLOW_LINK_PART if self.world.clock.time < self.slow_ops_until else SLOW_PART
+        )
         there, back = (50 + self.chance.randrange(SLOW_DELAY if slow else OP_DELAY) for _ in range(2))
         end = self.ends[pick.endpoint]
 
         def answer(acked: bool) -> None:
             self.world.network.later(back, partial(answered, acked))
+
         self.world.network.later(there, partial(end.take, op, number, kind, proxy.name, until, answer))
 
     # ---- the list
 
     def list_endpoint(self, name: str, phase: str) -> None:
         end = self.ends[name]
-        self.entries[name] = {"endpoint": name, "phase": phase, "size": 1.0, "zone": "", "start": str(end.starts), "born_us": end.born}
+        self.entries[name] = {
+            "endpoint": name,
+            "phase": phase,
+            "size": 1.0,
+            "zone": "",
+            "start": str(end.starts),
+            "born_us": end.born,
+        }
         if name not in self.dropped:
             self._tell_list([self.entries[name]])
 
@@ -204,7 +301,12 @@
             if number < self.scenario.endpoints:
                 self.ends[name].start(True)
                 self.list_endpoint(name, "on")
-        for name in ["store", "list", *(p.name for p in self.deployment.pilots), *(f"x{n}" for n in range(self.scenario.proxies))]:
+        for name in [
+            "store",
+            "list",
+            *(p.name for p in self.deployment.pilots),
+            *(f"x{n}" for n in range(self.scenario.proxies)),
+        ]:
             self.start(name)
 
     def direct(self) -> Coroutine:
@@ -231,14 +333,21 @@
 
     def _reach(self, kind: str) -> None:
         """What the fault met: the states of slices at each pilot, and other faults under way."""
-        states = {s.state for name, one in self.services.items() if name[0] == "p" for s in one.brain.slices.values()}
+        states = {
+            s.state
+            for name, one in self.services.items()
+            if name[0] == "p"
+            for s in one.brain.slices.values()
+        }
         self.reached.update((kind, state) for state in states)
         self.reached.update((kind, other) for other in self.active if other != kind)
-        self.reached.update((*sorted((kind, other)), state) for other in self.active if other != kind for state in states)
+        self.reached.update(
+            (*sorted((kind, other)), state) for other in self.active if other != kind for state in states
+        )
 
     def _after(self, span: int, call: Callable[..., None], *args: Any) -> None:
         self.director.loop.at(self.world.clock.time + span, call, *args)
-        self.world.rouse(self.director)      # an ambush sets this from another host's step
+        self.world.rouse(self.director)  # an ambush sets this from another host's step
 
     # ---- faults
 
@@ -325,7 +434,10 @@
 
     def _drain(self, fault: Fault) -> None:
         """The list says that it drains, later that it is gone; another comes in cold, one that was never listed if there is one."""
-        if not self.ends[fault.who].alive or sum(entry["phase"] == "on" for entry in self.entries.values()) < 2:
+        if (
+            not self.ends[fault.who].alive
+            or sum(entry["phase"] == "on" for entry in self.entries.values()) < 2
+        ):
             return
         self.list_endpoint(fault.who, "fading")
         fresh = next((name for name, end in self.ends.items() if not end.starts), None)
@@ -361,7 +473,11 @@
     def _drop_listed(self, fault: Fault) -> None:
         """The list calls a running endpoint gone, for a while."""
         entry = self.entries[fault.who]
-        if entry["phase"] == "on" and sum(one["phase"] == "on" for one in self.entries.values()) > 1 and fault.who not in self.dropped:
+        if (
+            entry["phase"] == "on"
+            and sum(one["phase"] == "on" for one in self.entries.values()) > 1
+            and fault.who not in self.dropped
+        ):
             self._tell_list([{**entry, "phase": "off"}])
             self.dropped.add(fault.who)
             self._after(fault.span, self._listed_again, fault.who)
@@ -379,12 +495,12 @@
             return
         fault, now = self.ambushes.pop(0), self.world.clock.time
         if now > self.begun + fault.at + AMBUSH_FOR:
-            return                           # too late to leave time for what follows
+            return  # too late to leave time for what follows
         who = {"proxy": fault.who, "pilot": pilot, "store": "store"}
         self.hindered.append((now, now + fault.span + 2_000_000))
         kind, _, way = fault.to.partition(" ")
         self.note(now, "director", "sprung", {"what": fault.to, "pilot": pilot, "proxy": fault.who})
-        if kind == "sever":                  # the stream breaks, and neither way is there another
+        if kind == "sever":  # the stream breaks, and neither way is there another
             self._reset(Fault("reset", fault.at, 0, fault.who, pilot))
             self._cut(Fault("cut", fault.at, fault.span, fault.who, pilot))
             sprung = Fault("cut", fault.at, fault.span, pilot, fault.who)
@@ -394,7 +510,9 @@
         else:
             sprung = Fault(kind, fault.at, fault.span, who[kind.split("_")[1]])
         # Within the time that the commit's answer takes, or an order after it.
-        self.world.network.later(self.chance.choice([0, 100, 2_000]), partial(getattr(self, f"_{sprung.kind}"), sprung))
+        self.world.network.later(
+            self.chance.choice([0, 100, 2_000]), partial(getattr(self, f"_{sprung.kind}"), sprung)
+        )
 
     def _two_at_once(self, fault: Fault) -> None:
         """Two deaths in one tick."""
--- a/cedarshift/standins/__main__.py
+++ b/cedarshift/standins/__main__.py
@@ -1,4 +1,5 @@
 """`python -m cedarshift.standins KIND PLAN RECORD`: one stand-in as a process."""
+
 from __future__ import annotations
 
 import importlib
--- a/cedarshift/standins/client.py
+++ b/cedarshift/standins/client.py
@@ -1,4 +1,5 @@
 """Stand-in clients: open-loop arrivals, so that a stall shows as late ops and not as fewer; retries as each op type allows."""
+
 from __future__ import annotations
 
 import math
@@ -15,8 +16,8 @@
 from cedarshift.web import Pool
 from cedarshift.web.client import NotSent, Reply
 
-BACKOFF = 100_000         # us before a repeat where the answer names no time
-LEAST_LEFT = 50_000       # us that must be left of the op timeout for a repeat to make sense
+BACKOFF = 100_000  # us before a repeat where the answer names no time
+LEAST_LEFT = 50_000  # us that must be left of the op timeout for a repeat to make sense
 
 
 class ClientOp(msgspec.Struct):
@@ -30,6 +31,7 @@
 
 class Burst(msgspec.Struct):
     """From `at_us` for `for_us` the rate is multiplied; or `hot` of the traffic goes to one key; or to some proxies."""
+
     at_us: int
     for_us: int
     times: float = 1.0
@@ -41,14 +43,14 @@
 class ClientPlan(msgspec.Struct):
     name: str
     proxies: dict[str, tuple[str, int]]
-    rate: float                               # ops a second of this process
+    rate: float  # ops a second of this process
     begin_us: int
     length_us: int
     op_types: list[ClientOp]
     keys: int = 2_000
     zipf: float = 0.8
     retries: int = 2
-    sizes_cv: float = 0.6                     # how unequal the proxies' traffic is
+    sizes_cv: float = 0.6  # how unequal the proxies' traffic is
     bursts: list[Burst] = []
     seed: int = 0
     count_most: int = 200_000
@@ -132,7 +134,7 @@
                 wait = int((wait or BACKOFF) * (0.5 + self.chance.random()))
                 again = reply.headers.get("x-again", "") if reply is not None else ""
                 may = (never_ran or a.op.repeats == "retryable") and again != "no"
-                if again == "elsewhere":     # this proxy can't, another one may
+                if again == "elsewhere":  # this proxy can't, another one may
                     a = a._replace(proxy=self.chance.choice(self.names))
                 if not may or tries > self.plan.retries or self.loop.now() + wait + LEAST_LEFT > until:
                     break
@@ -142,12 +144,18 @@
             self.recorder.note("done", a.name, outcome, self.loop.now() - a.at, tries)
 
     def _try(self, a: Arrival, tries: int, until: int) -> Coroutine:
-        headers = [("x-op", a.name), ("x-key", a.key), ("x-type", a.op.name), ("x-try", str(tries)),
-                   ("x-work-us", str(a.work)), ("x-left-us", str(max(1, until - self.loop.now())))]
+        headers = [
+            ("x-op", a.name),
+            ("x-key", a.key),
+            ("x-type", a.op.name),
+            ("x-try", str(tries)),
+            ("x-work-us", str(a.work)),
+            ("x-left-us", str(max(1, until - self.loop.now()))),
+        ]
         address = self.plan.proxies[a.proxy]
         try:
             return (yield from self.pool.ask(address, "POST", "/op", headers, b"", until + 100_000))
-        except NotSent:                      # the proxy is down: nothing has left this client
+        except NotSent:  # the proxy is down: nothing has left this client
             return Reply(503, {"x-never-ran": "1"}, b"")
         except (StreamBroken, TimedOut):
             return None
--- a/cedarshift/standins/endpoint.py
+++ b/cedarshift/standins/endpoint.py
@@ -1,8 +1,9 @@
 """A stand-in endpoint: cores that work, a waiting room, a cold start, and ways to fail. It knows nothing of slices' owners.
 
-    POST /op       headers x-op, x-slice, x-type, x-try, x-proxy, x-writes, x-work-us, x-left-us
-    POST /control  {"drain": bool, "hang_s": s, "fail": share, "slow": factor, "cut": share, "fail_type": name}
+POST /op       headers x-op, x-slice, x-type, x-try, x-proxy, x-writes, x-work-us, x-left-us
+POST /control  {"drain": bool, "hang_s": s, "fail": share, "slow": factor, "cut": share, "fail_type": name}
 """
+
 from __future__ import annotations
 
 import random
@@ -21,6 +22,7 @@
 
 class OwnNode(msgspec.Struct):
     """Where an endpoint keeps its own ephemeral node, and what that says."""
+
     servers: list[tuple[str, int]]
     path: str
     timeout_us: int
@@ -32,6 +34,7 @@
 
 class EndpointPlan(msgspec.Struct):
     """`speed` 1 does work as asked; `tip_multiple` times the present capacity for `tip_after_us` makes it fall over."""
+
     name: str
     address: tuple[str, int]
     zone: str = ""
@@ -70,7 +73,7 @@
         self.chance = random.Random(plan.seed)
         self.busy = 0
         self.waiting: deque[Op] = deque()
-        self.came: deque[tuple[int, int]] = deque()      # (when, work) of the last `tip_after_us`
+        self.came: deque[tuple[int, int]] = deque()  # (when, work) of the last `tip_after_us`
         self.hangs_until = 0
         self.fail = 0.0
         self.fail_type = ""
@@ -83,8 +86,14 @@
         self.registration = self._register(plan.node) if plan.node is not None else None
 
     def _register(self, node: OwnNode) -> Registration:
-        terms = RegisterTerms(tuple(node.servers), node.path, node.timeout_us, node.form, "stand-in",
-                              (("digest", f"{node.user}:{node.user}".encode()),))
+        terms = RegisterTerms(
+            tuple(node.servers),
+            node.path,
+            node.timeout_us,
+            node.form,
+            "stand-in",
+            (("digest", f"{node.user}:{node.user}".encode()),),
+        )
         member = Member(self.plan.name, "on", node.size, self.plan.zone, node.start)
         return Registration(self.loop, terms, member, self.chance.random, self.loop.report)
 
@@ -122,8 +131,17 @@
             return Answer(503, b"full", (("x-never-ran", "1"), ("x-retry-after-ms", "200")))
         work = int(head.get("x-work-us", "100000"))
         overdue_at = now + int(head.get("x-left-us", "6000000"))
-        self.recorder.note("accept", name, int(head.get("x-slice", "-1")), op_type, int(head.get("x-try", "0")),
-                           head.get("x-proxy", ""), head.get("x-writes") == "1", work, overdue_at)
+        self.recorder.note(
+            "accept",
+            name,
+            int(head.get("x-slice", "-1")),
+            op_type,
+            int(head.get("x-try", "0")),
+            head.get("x-proxy", ""),
+            head.get("x-writes") == "1",
+            work,
+            overdue_at,
+        )
         self._weigh(now, work)
         fails = self.chance.random() < self.fail or (self.fail_type and op_type == self.fail_type)
         if fails and now >= self.hangs_until:
@@ -168,18 +186,18 @@
             return
         while self.waiting and self.busy < self.plan.cores:
             op = self.waiting.popleft()
-            if now >= op.overdue_at or op.asked.hung_up():   # overdue, or nobody waits for it: it never runs
+            if now >= op.overdue_at or op.asked.hung_up():  # overdue, or nobody waits for it: it never runs
                 op.waker.wake("expired")
                 continue
             self.busy += 1
             held = self.busy + len(self.waiting)
             slower = 1 + self.plan.thrash * max(0, held - self.plan.knee)
             span = int(op.work * slower * self.slow / self.plan.speed / self.capacity(now))
-            self.loop.at(min(now + span, op.overdue_at), self._finish, op)   # overdue work stops
+            self.loop.at(min(now + span, op.overdue_at), self._finish, op)  # overdue work stops
 
     def _finish(self, op: Op) -> None:
         now = self.loop.now()
-        if now < self.hangs_until:           # hung with the op in hand
+        if now < self.hangs_until:  # hung with the op in hand
             self.loop.at(self.hangs_until, self._finish, op)
             return
         self.busy -= 1
