--- a/cedarshift/standins/ensemble.py
+++ b/cedarshift/standins/ensemble.py
@@ -9,6 +9,7 @@
 A cut server has lost its ensemble: it serves only clients that allow reading only. `reset` is an ensemble that comes back from
 an old backup: an empty tree whose zxids begin anew.
 """
+
 from __future__ import annotations
 
 import hashlib
@@ -29,16 +30,17 @@
 from cedarshift.standins.record import Recorder
 from cedarshift.web import Answer, Asked, serve_http
 
-HANDSHAKE = 3_000_000     # us for a ConnectRequest
-TICK = 20_000             # us between two looks at what has expired
-TIMEOUT_LEAST, TIMEOUT_MOST = 400, 60_000   # ms that a session's time-out may have
-DATA_MOST = 1 << 20       # bytes of a node
+HANDSHAKE = 3_000_000  # us for a ConnectRequest
+TICK = 20_000  # us between two looks at what has expired
+TIMEOUT_LEAST, TIMEOUT_MOST = 400, 60_000  # ms that a session's time-out may have
+DATA_MOST = 1 << 20  # bytes of a node
 VERSION = "3.6.0-stand-in"
 ANYONE = r.Id("world", "anyone")
 
 
 class EnsemblePlan(msgspec.Struct):
     """`read_path`: what a session is told of the children of this path is recorded, by the user that it shows itself as."""
+
     addresses: list[tuple[str, int]]
     control: Optional[tuple[str, int]] = None
     read_path: str = ""
@@ -49,7 +51,20 @@
 class ZNode:
     """`acl` is shared between nodes and never changed in place."""
 
-    __slots__ = ("data", "acl", "czxid", "mzxid", "pzxid", "ctime", "mtime", "version", "cversion", "aversion", "owner", "children")
+    __slots__ = (
+        "data",
+        "acl",
+        "czxid",
+        "mzxid",
+        "pzxid",
+        "ctime",
+        "mtime",
+        "version",
+        "cversion",
+        "aversion",
+        "owner",
+        "children",
+    )
 
     def __init__(self, data: Optional[bytes], acl: list[r.Acl], zxid: int, at: int, owner: int) -> None:
         self.data = data
@@ -61,8 +76,19 @@
         self.children: dict[str, None] = {}
 
     def stat(self) -> r.Stat:
-        return r.Stat(self.czxid, self.mzxid, self.ctime, self.mtime, self.version, self.cversion, self.aversion, self.owner,
-                      len(self.data or b""), len(self.children), self.pzxid)
+        return r.Stat(
+            self.czxid,
+            self.mzxid,
+            self.ctime,
+            self.mtime,
+            self.version,
+            self.cversion,
+            self.aversion,
+            self.owner,
+            len(self.data or b""),
+            len(self.children),
+            self.pzxid,
+        )
 
 
 def parent_of(path: str) -> str:
@@ -85,7 +111,9 @@
             getattr(self, "_" + what)(zxid, at, path, events, *more)
         return events
 
-    def _create(self, zxid: int, at: int, path: str, events: list, data: bytes, acl: list[r.Acl], owner: int) -> None:
+    def _create(
+        self, zxid: int, at: int, path: str, events: list, data: bytes, acl: list[r.Acl], owner: int
+    ) -> None:
         self.nodes[path] = ZNode(data, acl, zxid, at, owner)
         above = self.nodes[parent_of(path)]
         above.children[path.rpartition("/")[2]] = None
@@ -123,7 +151,7 @@
     def __init__(self, number: int, password: bytes, timeout: int, now: int) -> None:
         self.number = number
         self.password = password
-        self.timeout = timeout        # us
+        self.timeout = timeout  # us
         self.heard_at = now
         self.user = ""
         self.connection: Optional[Connection] = None
@@ -144,9 +172,15 @@
         if path in self.persistent:
             told = True
         else:
-            told = kind != r.CHILDREN and any(path == top or path.startswith(top.rstrip("/") + "/") for top in self.recursive)
-        spent = {r.CREATED: (self.exists, self.data), r.CHANGED: (self.data, self.exists),
-                 r.DELETED: (self.data, self.exists, self.children), r.CHILDREN: (self.children,)}[kind]
+            told = kind != r.CHILDREN and any(
+                path == top or path.startswith(top.rstrip("/") + "/") for top in self.recursive
+            )
+        spent = {
+            r.CREATED: (self.exists, self.data),
+            r.CHANGED: (self.data, self.exists),
+            r.DELETED: (self.data, self.exists, self.children),
+            r.CHILDREN: (self.children,),
+        }[kind]
         for paths in spent:
             if path in paths:
                 paths.discard(path)
@@ -162,8 +196,10 @@
         self.live: Optional[LiveSession] = None
         self.watching = Watching()
         self.ids: set[r.Id] = {ANYONE}
-        self.wait: Optional[tuple[int, bytes]] = None    # an answer that waits until this server has applied a zxid
-        self.behind: deque[Request] = deque()            # requests that came after it: they see what it wrote
+        self.wait: Optional[tuple[int, bytes]] = (
+            None  # an answer that waits until this server has applied a zxid
+        )
+        self.behind: deque[Request] = deque()  # requests that came after it: they see what it wrote
 
     def say(self, zxid: int, frame: bytes) -> None:
         if zxid > self.server.tree.zxid:
@@ -212,8 +248,8 @@
         self.ensemble = ensemble
         self.number = number
         self.tree = Tree()
-        self.applied = 0                     # of the leader's log
-        self.lag = 0                         # us
+        self.applied = 0  # of the leader's log
+        self.lag = 0  # us
         self.cut = False
         self.connections: set[Connection] = set()
         self.listener = listen(ensemble.loop, address)
@@ -264,20 +300,24 @@
 
     def _admit(self, connection: Connection, asked: r.ConnectRequest) -> bool:
         ensemble, codec = self.ensemble, connection.codec
-        if asked.last_zxid > self.tree.zxid:   # it has seen more than this server has
+        if asked.last_zxid > self.tree.zxid:  # it has seen more than this server has
             return False
         if self.cut:
             if not codec.read_only:
                 return False
-            connection.live = LiveSession(asked.session or -1 - self.number, asked.password or b"", asked.timeout * 1000, 0)
-            connection.stream.write(codec.welcome(asked.timeout, connection.live.number, connection.live.password, True))
+            connection.live = LiveSession(
+                asked.session or -1 - self.number, asked.password or b"", asked.timeout * 1000, 0
+            )
+            connection.stream.write(
+                codec.welcome(asked.timeout, connection.live.number, connection.live.password, True)
+            )
             return True
         timeout = max(TIMEOUT_LEAST, min(TIMEOUT_MOST, asked.timeout))
         live = ensemble.sessions.get(asked.session) if asked.session else ensemble.new_session(timeout * 1000)
         if live is None or (asked.session and live.password != asked.password):
             connection.stream.write(codec.welcome(0, 0, b"\0" * 16))
             return False
-        if live.connection is not None:      # the session moves: what it had elsewhere is closed
+        if live.connection is not None:  # the session moves: what it had elsewhere is closed
             live.connection.stream.close()
         live.connection, live.heard_at, live.timeout = connection, ensemble.loop.now(), timeout * 1000
         connection.live = live
@@ -390,8 +430,10 @@
 
     def _remove_watches(self, connection: Connection, body: r.RemoveWatches) -> None:
         watching = connection.watching
-        kinds = {1: (watching.children,), 2: (watching.data, watching.exists)}.get(body.kind, (
-            watching.children, watching.data, watching.exists, watching.persistent, watching.recursive))
+        kinds = {1: (watching.children,), 2: (watching.data, watching.exists)}.get(
+            body.kind,
+            (watching.children, watching.data, watching.exists, watching.persistent, watching.recursive),
+        )
         if not any(body.path in paths for paths in kinds):
             raise ZooError(Code.NO_WATCHER)
         for paths in kinds:
@@ -402,7 +444,11 @@
     def catch_up(self) -> None:
         """Applies what is due of the leader's log."""
         ensemble, now = self.ensemble, self.ensemble.loop.now()
-        while not self.cut and self.applied < len(ensemble.log) and ensemble.log[self.applied][1] + self.lag <= now:
+        while (
+            not self.cut
+            and self.applied < len(ensemble.log)
+            and ensemble.log[self.applied][1] + self.lag <= now
+        ):
             zxid, at, changes = ensemble.log[self.applied]
             self.applied += 1
             events = self.tree.apply(zxid, at // 1000, changes)
@@ -415,7 +461,17 @@
             connection.stream.close()
 
 
-WRITES = (r.CREATE, r.CREATE2, r.DELETE, r.SET_DATA, r.SET_ACL, r.MULTI, r.CREATE_CONTAINER, r.CREATE_TTL, r.CHECK)
+WRITES = (
+    r.CREATE,
+    r.CREATE2,
+    r.DELETE,
+    r.SET_DATA,
+    r.SET_ACL,
+    r.MULTI,
+    r.CREATE_CONTAINER,
+    r.CREATE_TTL,
+    r.CHECK,
+)
 
 
 class Ensemble:
@@ -430,9 +486,9 @@
         self.zxid = 0
         self.log: list[tuple[int, int, list[tuple]]] = []
         self.sessions: dict[int, LiveSession] = {}
-        self.next_session = (plan.seed & 0xffff) << 32
+        self.next_session = (plan.seed & 0xFFFF) << 32
         self.delay = 0
-        self.believed: dict[tuple[str, str], str] = {}   # (user, node) -> endpoint that the user was told of
+        self.believed: dict[tuple[str, str], str] = {}  # (user, node) -> endpoint that the user was told of
         self.servers = [Server(self, n, (address[0], address[1])) for n, address in enumerate(plan.addresses)]
         if plan.control is not None:
             loop.spawn(serve_http(loop, listen(loop, plan.control), self._answer), "control")
@@ -517,11 +573,15 @@
                 codes[n] = Code(error.code)
                 return self.commit([]), r.MultiReply([(r.ERROR, None, code) for code in codes])
         zxid = self.commit(changes)
-        return zxid, r.MultiReply([(op, self._answer_of(op, path), 0) for (op, _), path in zip(body.ops, paths)])
+        return zxid, r.MultiReply(
+            [(op, self._answer_of(op, path), 0) for (op, _), path in zip(body.ops, paths)]
+        )
 
     def _sound(self, connection: Connection, op: int, body: Any, tree: Tree) -> tuple[Optional[tuple], str]:
         """(the change, its path) of one operation that may be done."""
-        if op in (r.CREATE_CONTAINER, r.CREATE_TTL) or (op in (r.CREATE, r.CREATE2) and body.flags not in range(4)):
+        if op in (r.CREATE_CONTAINER, r.CREATE_TTL) or (
+            op in (r.CREATE, r.CREATE2) and body.flags not in range(4)
+        ):
             raise ZooError(Code.UNIMPLEMENTED)
         if op in (r.CREATE, r.CREATE2):
             return self._sound_create(connection, body, tree)
@@ -560,7 +620,7 @@
         self.allow(connection.ids, above, r.MAY_CREATE)
         if above.owner:
             raise ZooError(Code.NO_CHILDREN_FOR_EPHEMERALS)
-        if sequential:                       # counted by the parent's changes, as the specification has it
+        if sequential:  # counted by the parent's changes, as the specification has it
             path += f"{above.cversion:010d}"
         if path in tree.nodes:
             raise ZooError(Code.NODE_EXISTS)
@@ -590,7 +650,7 @@
 
     def _member(self, path: str) -> str:
         top = self.plan.read_path.rstrip("/") + "/"
-        name = path[len(top):] if self.plan.read_path and path.startswith(top) else ""
+        name = path[len(top) :] if self.plan.read_path and path.startswith(top) else ""
         return "" if "/" in name else name
 
     def _told(self, connection: Connection, rows: list[list[str]]) -> None:
@@ -628,7 +688,9 @@
     def note_children(self, connection: Connection, path: str, names: list[str]) -> None:
         if path == self.plan.read_path and connection.live is not None:
             user, there = connection.live.user, set(names)
-            self._vanished(connection, [name for u, name in list(self.believed) if u == user and name not in there])
+            self._vanished(
+                connection, [name for u, name in list(self.believed) if u == user and name not in there]
+            )
 
     # ---- control
 
@@ -636,8 +698,12 @@
         yield from self.loop.breathe()
         if asked.target == "/control":
             self.control(msgspec.json.decode(asked.body))
-        held = {"zxid": self.zxid, "sessions": {f"{n:#x}": s.user for n, s in self.sessions.items()},
-                "members": sorted(self._children()), "applied": [server.tree.zxid for server in self.servers]}
+        held = {
+            "zxid": self.zxid,
+            "sessions": {f"{n:#x}": s.user for n, s in self.sessions.items()},
+            "members": sorted(self._children()),
+            "applied": [server.tree.zxid for server in self.servers],
+        }
         return Answer(200, msgspec.json.encode(held))
 
     def _children(self) -> list[str]:
@@ -696,5 +762,3 @@
 
 def run(loop: Loop, raw: bytes, record: str) -> Ensemble:
     return Ensemble(loop, msgspec.json.decode(raw, type=EnsemblePlan), Recorder(loop, record))
-
-
--- a/cedarshift/standins/lists.py
+++ b/cedarshift/standins/lists.py
@@ -1,8 +1,9 @@
 """A stand-in list service: late, wrong or unreachable on demand. What each pilot was told, and when, is recorded.
 
-    GET  /v1/endpoints?since=REV&wait_ms=N&by=PILOT&of=NAME     (of: which list REV is a revision of; another one is told whole)
-    POST /control  {"entries": [...]} and {"mode": "ok" | "unreachable", "for_s": s}
+GET  /v1/endpoints?since=REV&wait_ms=N&by=PILOT&of=NAME     (of: which list REV is a revision of; another one is told whole)
+POST /control  {"entries": [...]} and {"mode": "ok" | "unreachable", "for_s": s}
 """
+
 from __future__ import annotations
 
 from typing import Any, Optional
@@ -19,6 +20,7 @@
 
 class ListPlan(msgspec.Struct):
     """`ages`: whether the list tells when a process started, or only that it is another one."""
+
     address: tuple[str, int]
     ages: bool = True
 
@@ -30,7 +32,7 @@
         self.loop = loop
         self.recorder = recorder
         self.plan = plan
-        self.name = f"stand-in#{loop.now():x}"   # a restart counts its revisions anew
+        self.name = f"stand-in#{loop.now():x}"  # a restart counts its revisions anew
         self.rev = 0
         self.entries: dict[str, dict[str, Any]] = {}
         self.changed_at: dict[str, int] = {}
@@ -65,9 +67,13 @@
 
     def _told(self, since: int, by: str) -> Answer:
         changed = [e for name, e in sorted(self.entries.items()) if self.changed_at[name] > since]
-        rows = [Listed(e["endpoint"], e["phase"], e["size"], e["zone"], e["start"], self._age(e)) for e in changed]
+        rows = [
+            Listed(e["endpoint"], e["phase"], e["size"], e["zone"], e["start"], self._age(e)) for e in changed
+        ]
         self.recorder.note("told", by, self.rev, [[e["endpoint"], e["phase"], e["start"]] for e in changed])
-        return Answer(200, msgspec.json.encode(WholeList(rows, "update" if since else "replace", self.rev, self.name)))
+        return Answer(
+            200, msgspec.json.encode(WholeList(rows, "update" if since else "replace", self.rev, self.name))
+        )
 
     def _age(self, entry: dict[str, Any]) -> Optional[int]:
         if not self.plan.ages:
--- a/cedarshift/standins/proxy.py
+++ b/cedarshift/standins/proxy.py
@@ -1,8 +1,9 @@
 """A stand-in proxy: the agent, and a listening side over HTTP/1.1. Broken kinds exist to see the rule checkers fire.
 
-    POST /op       headers x-op, x-key, x-type, x-try, x-work-us, x-left-us
-    POST /control  {"slow_zone": zone, "slow_ms": ms}
+POST /op       headers x-op, x-key, x-type, x-try, x-work-us, x-left-us
+POST /control  {"slow_zone": zone, "slow_ms": ms}
 """
+
 from __future__ import annotations
 
 import random
@@ -24,18 +25,19 @@
 from cedarshift.web import Answer, Asked, Pool, serve_http
 from cedarshift.web.client import NotSent
 
-AGAIN_AFTER = 100_000     # us before a repeat, jittered by half
+AGAIN_AFTER = 100_000  # us before a repeat, jittered by half
 NEVER_RAN = (("x-never-ran", "1"), ("x-retry-after-ms", "200"))
 
 
 class ProxyPlan(msgspec.Struct):
     """`kind`: "plain"; "deaf" acks orders and keeps its old lines; "forgetful" drops its tables `at_us` after the start;
     "pushy" sends all that is no write to `favourite`; "throttle" and "fixed" are other ways of shedding, to measure against."""
+
     name: str
     address: tuple[str, int]
     deployment: str
     slices: int
-    op_types: list[tuple[str, bool, int]]     # name, writes, op timeout in us
+    op_types: list[tuple[str, bool, int]]  # name, writes, op timeout in us
     pilots: dict[str, tuple[str, int]]
     store: tuple[str, int]
     zone: str = ""
@@ -46,11 +48,11 @@
     buffer_us: int = 200_000
     connect_us: int = 500_000
     outlier_after: int = 3
-    zones: dict[str, str] = {}                # endpoint -> zone, for slow links
+    zones: dict[str, str] = {}  # endpoint -> zone, for slow links
     kind: str = "plain"
     favourite: str = ""
     at_us: int = 0
-    let_in: list[float] = []                  # "fixed": the part of each op type
+    let_in: list[float] = []  # "fixed": the part of each op type
     seed: int = 0
 
 
@@ -68,7 +70,7 @@
     what is acked is rejected here."""
 
     def __init__(self) -> None:
-        self.seconds: deque[list[int]] = deque([[0, 0, 0]], maxlen=10)   # second, came, acked
+        self.seconds: deque[list[int]] = deque([[0, 0, 0]], maxlen=10)  # second, came, acked
 
     def _now(self, now: int) -> list[int]:
         if self.seconds[-1][0] != now // 1_000_000:
@@ -103,16 +105,30 @@
         self.types = {name: (n, writes, timeout) for n, (name, writes, timeout) in enumerate(plan.op_types)}
         self.chance = random.Random(plan.seed)
         kind = DeafTables if plan.kind == "deaf" else Tables
-        self.tables = kind(plan.slices, [OpKind(name, writes) for name, writes, _ in plan.op_types], plan.single_owner,
-                           plan.lease_us, plan.even, plan.outlier_after)
+        self.tables = kind(
+            plan.slices,
+            [OpKind(name, writes) for name, writes, _ in plan.op_types],
+            plan.single_owner,
+            plan.lease_us,
+            plan.even,
+            plan.outlier_after,
+        )
         self.pool = Pool(loop, plan.connect_us)
         self.throttle = Throttle() if plan.kind == "throttle" else None
         self.slow: dict[str, int] = {}
         self.shown: dict[int, tuple[str, bool, str]] = {}
         self.bare: list[int] = []
         badge = Badge(plan.deployment, "proxy", plan.name, plan.zone, plan.secret.encode())
-        self.agent = Agent(loop, badge, plan.pilots, plan.store, self.tables, self.chance.random, self._observe,
-                           lambda: fresh_bytes(16))
+        self.agent = Agent(
+            loop,
+            badge,
+            plan.pilots,
+            plan.store,
+            self.tables,
+            self.chance.random,
+            self._observe,
+            lambda: fresh_bytes(16),
+        )
         loop.spawn(serve_http(loop, listen(loop, plan.address), self._answer), "http")
         recorder.note("start", plan.name, plan.zone, plan.kind)
         if plan.kind == "forgetful":
@@ -123,10 +139,19 @@
     def _observe(self, event: str, **fields: Any) -> None:
         if event == "order":
             order: m.Order = fields["order"]
-            self.recorder.note("order", fields["pilot"], order.seq, order.waited, len(order.lines) + len(order.levels),
-                               order.mark, [[ln.table, ln.endpoint, ln.weight, ln.epoch] for ln in order.lines])
+            self.recorder.note(
+                "order",
+                fields["pilot"],
+                order.seq,
+                order.waited,
+                len(order.lines) + len(order.levels),
+                order.mark,
+                [[ln.table, ln.endpoint, ln.weight, ln.epoch] for ln in order.lines],
+            )
         elif event == "held":
-            self.recorder.note("held", fields["pilot"], [[row.slice, row.epoch, row.owner] for row in fields["rows"]])
+            self.recorder.note(
+                "held", fields["pilot"], [[row.slice, row.epoch, row.owner] for row in fields["rows"]]
+            )
         elif event in ("joined", "lost"):
             self.recorder.note(event, fields["pilot"], fields.get("reason", ""))
         elif event == "in_force":
@@ -181,9 +206,20 @@
             pick = Pick(self.plan.favourite, pick.pilot, pick.epoch)
         answer = yield from self._send(head, pick, number, writes, until)
         retries = self.tables.retries(number, kind) if not self.plan.slices else 0
-        if self.plan.slices and answer.status != 200 and answer.headers == NEVER_RAN and "retries" in self.agent.shares.names:
+        if (
+            self.plan.slices
+            and answer.status != 200
+            and answer.headers == NEVER_RAN
+            and "retries" in self.agent.shares.names
+        ):
             return (yield from self._once_more(head, number, kind, writes, until, answer))
-        if answer.status != 200 and retries and (retries > 1 or answer.headers == NEVER_RAN) and self.loop.now() < until and self.agent.may_retry():
+        if (
+            answer.status != 200
+            and retries
+            and (retries > 1 or answer.headers == NEVER_RAN)
+            and self.loop.now() < until
+            and self.agent.may_retry()
+        ):
             again = yield from self.agent.pick(number, kind)
             if isinstance(again, Pick) and again.endpoint != pick.endpoint:
                 answer = yield from self._send(head, again, number, writes, until)
@@ -212,7 +248,9 @@
             return Answer(503, turned.reason.encode(), NEVER_RAN)
         return Answer(503, turned.reason.encode(), _again(turned.again, turned.wait))
 
-    def _once_more(self, head: dict[str, str], number: int, kind: int, writes: bool, until: int, answer: Answer) -> Coroutine:
+    def _once_more(
+        self, head: dict[str, str], number: int, kind: int, writes: bool, until: int, answer: Answer
+    ) -> Coroutine:
         """An op that is proved not to have run is sent again, within the fleet's budget for that, to whoever owns its slice by then."""
         yield from self.loop.sleep(int(AGAIN_AFTER * (0.5 + self.chance.random())))
         if self.loop.now() + AGAIN_AFTER >= until or not self.agent.may_retry():
@@ -228,16 +266,24 @@
     def _send(self, head: dict[str, str], pick: Pick, number: int, writes: bool, until: int) -> Coroutine:
         begun = self.loop.now()
         self.agent.sent(pick)
-        self.recorder.note("send", head.get("x-op", ""), number, head["x-type"], pick.endpoint, pick.pilot, pick.epoch)
+        self.recorder.note(
+            "send", head.get("x-op", ""), number, head["x-type"], pick.endpoint, pick.pilot, pick.epoch
+        )
         host, port = pick.endpoint.rsplit(":", 1)
         slow = self.slow.get(self.plan.zones.get(pick.endpoint, ""), 0)
         answer = Answer(502, b"aborted")
         try:
             if slow:
                 yield from self.loop.sleep(slow)
-            headers: list[tuple[str, str]] = [(name, head[name]) for name in ("x-op", "x-type", "x-try", "x-work-us") if name in head]
-            headers += [("x-slice", str(number)), ("x-proxy", self.plan.name), ("x-writes", str(int(writes))),
-                        ("x-left-us", str(max(0, until - self.loop.now())))]
+            headers: list[tuple[str, str]] = [
+                (name, head[name]) for name in ("x-op", "x-type", "x-try", "x-work-us") if name in head
+            ]
+            headers += [
+                ("x-slice", str(number)),
+                ("x-proxy", self.plan.name),
+                ("x-writes", str(int(writes))),
+                ("x-left-us", str(max(0, until - self.loop.now()))),
+            ]
             reply = yield from self.pool.ask((host, int(port)), "POST", "/op", headers, b"", until)
             if slow:
                 yield from self.loop.sleep(slow)
@@ -250,7 +296,9 @@
         except StreamBroken:
             pass
         full = answer.status == 503 and answer.headers == NEVER_RAN
-        self.agent.tried(pick, answer.status != 200, self.loop.now() - begun, self.types[head["x-type"]][0], full)
+        self.agent.tried(
+            pick, answer.status != 200, self.loop.now() - begun, self.types[head["x-type"]][0], full
+        )
         return answer
 
 
--- a/cedarshift/standins/proxy_fleet.py
+++ b/cedarshift/standins/proxy_fleet.py
@@ -4,6 +4,7 @@
 Oracle of rule one: how long a joined proxy had no line for a slice. Oracle of rule two: no proxy may write to an owner of a slice
 while another may write to a different one, or less than the bound on writes in hand after it could. Times are in 0.1 ms.
 """
+
 from __future__ import annotations
 
 import heapq
@@ -12,14 +13,14 @@
 from dataclasses import dataclass, field
 from typing import Any, Callable, NamedTuple, Optional
 
-SECOND = 10_000           # 0.1 ms
-MESSAGE_HEAD = 16         # lines that a message counts beside its own
+SECOND = 10_000  # 0.1 ms
+MESSAGE_HEAD = 16  # lines that a message counts beside its own
 TRANSIT = (1_500, 6_600)  # 0.1 ms; from leaving the channel to the proxy
-READS_WITHIN = (1_000, 5_000)   # 0.1 ms; from joining to the store's tables; the page says within a second
-NEVER = 10 ** 12          # 0.1 ms; after any time
-DEAF_FROM = 2 * SECOND    # when the streams of deaf proxies break
-LONG_GAP = 10 * SECOND    # 0.1 ms without a line from which each case is kept
-READ_AGAIN = 200          # 0.1 ms; how often a message that waits for the store's tables is looked at
+READS_WITHIN = (1_000, 5_000)  # 0.1 ms; from joining to the store's tables; the page says within a second
+NEVER = 10**12  # 0.1 ms; after any time
+DEAF_FROM = 2 * SECOND  # when the streams of deaf proxies break
+LONG_GAP = 10 * SECOND  # 0.1 ms without a line from which each case is kept
+READ_AGAIN = 200  # 0.1 ms; how often a message that waits for the store's tables is looked at
 
 Tell = Callable[..., None]
 Order = tuple[Any, ...]
@@ -75,34 +76,55 @@
     rows: dict[int, Row] = field(default_factory=dict)
     joined: bool = True
     session: int = 0
-    writes: bool = True                      # its lease runs, or it has read the store since
-    has_read: bool = True                    # the store, in this stream
+    writes: bool = True  # its lease runs, or it has read the store since
+    has_read: bool = True  # the store, in this stream
     joined_at: int = 0
 
 
 class ProxyFleet:
     """`tell(event, proxy, *more)` hears "join", "leave" and "ack" (barrier, latency), in order."""
 
-    def __init__(self, seed: int, faults: Faults, owners: dict[int, str], tell: Tell, proxies: int = 150, lease: int = 8_000,
-                 in_hand: int = 30_200, lines_per_s: float = 6_300) -> None:
+    def __init__(
+        self,
+        seed: int,
+        faults: Faults,
+        owners: dict[int, str],
+        tell: Tell,
+        proxies: int = 150,
+        lease: int = 8_000,
+        in_hand: int = 30_200,
+        lines_per_s: float = 6_300,
+    ) -> None:
         self.chance, self.faults, self.tell = random.Random(seed), faults, tell
         self.lease, self.in_hand, self.lines_per_s = lease, in_hand, lines_per_s
         self.store = {number: Row(owner) for number, owner in owners.items()}
-        self.proxies = {number: ModelProxy(rows={n: Row(one.owner) for n, one in self.store.items()}) for number in range(proxies)}
+        self.proxies = {
+            number: ModelProxy(rows={n: Row(one.owner) for n, one in self.store.items()})
+            for number in range(proxies)
+        }
         self.now, self.sequence, self.free, self.barriers = 0, 0, 0.0, 0
-        self.agenda: list[tuple[Any, ...]] = []   # (when, sequence, call, arguments)
-        self.writers: dict[int, Counter[str]] = {number: Counter({row.owner: proxies}) for number, row in self.store.items()}
-        self.ended: dict[tuple[int, str], int] = {}   # (slice, owner) -> when the last proxy could write there
-        self.without: dict[tuple[int, int], int] = {}   # (proxy, slice) -> since when it has no line
-        self.longest, self.longest_of = 0, (0, 0, 0.0)   # (proxy, slice, since)
-        self.gaps: list[Gap] = []            # those of LONG_GAP and more
+        self.agenda: list[tuple[Any, ...]] = []  # (when, sequence, call, arguments)
+        self.writers: dict[int, Counter[str]] = {
+            number: Counter({row.owner: proxies}) for number, row in self.store.items()
+        }
+        self.ended: dict[tuple[int, str], int] = {}  # (slice, owner) -> when the last proxy could write there
+        self.without: dict[tuple[int, int], int] = {}  # (proxy, slice) -> since when it has no line
+        self.longest, self.longest_of = 0, (0, 0, 0.0)  # (proxy, slice, since)
+        self.gaps: list[Gap] = []  # those of LONG_GAP and more
         self.closed_since: dict[int, int] = {}
         self.closed_spans: list[int] = []
         self.conflicts: list[Conflict] = []
         for proxy in faults.deaf:
             self._at(DEAF_FROM + lease, self._lease_over, proxy, 0, True)
         for proxy in range(faults.flapping[0]):
-            self._at(int(SECOND * (1 + self.chance.random() * faults.flapping[1])), self._break, proxy, 0, faults.flapping[2], True)
+            self._at(
+                int(SECOND * (1 + self.chance.random() * faults.flapping[1])),
+                self._break,
+                proxy,
+                0,
+                faults.flapping[2],
+                True,
+            )
         if faults.breaks:
             self._at(SECOND, self._break_one)
 
@@ -142,7 +164,9 @@
         for number, proxy in self.proxies.items():
             proxy.session += 1
             proxy.joined = False
-            self._at(self.now + self.lease, self._lease_over, number, proxy.session)   # of one that is away it ends no later
+            self._at(
+                self.now + self.lease, self._lease_over, number, proxy.session
+            )  # of one that is away it ends no later
         for key in list(self.without):
             self._fill(*key)
 
@@ -178,14 +202,24 @@
         for number, proxy in self.proxies.items():
             if proxy.joined and (rows or mark is not None):
                 self.free += slower * (lines + MESSAGE_HEAD - 1) * SECOND / self.lines_per_s
-                self._at(int(self.free) + self.chance.randint(*TRANSIT), self._arrive, number, proxy.session, rows, mark,
-                         self.now, self.barriers)
-
-    def _arrive(self, number: int, session: int, rows: dict[int, Row], mark: Optional[int], sent: int, barrier: int) -> None:
+                self._at(
+                    int(self.free) + self.chance.randint(*TRANSIT),
+                    self._arrive,
+                    number,
+                    proxy.session,
+                    rows,
+                    mark,
+                    self.now,
+                    self.barriers,
+                )
+
+    def _arrive(
+        self, number: int, session: int, rows: dict[int, Row], mark: Optional[int], sent: int, barrier: int
+    ) -> None:
         proxy = self.proxies[number]
         if proxy.session != session or not proxy.joined or self._deaf(number):
             return
-        if not proxy.has_read:               # messages wait until the store has been read
+        if not proxy.has_read:  # messages wait until the store has been read
             self._at(self.now + READ_AGAIN, self._arrive, number, session, rows, mark, sent, barrier)
             return
         for at, row in rows.items():
@@ -278,8 +312,11 @@
             self.ended[at, before] = self.now
         if after:
             writers[after] += 1
-            others = [one for one, count in writers.items() if one != after and (
-                count > 0 or self.now < self.ended.get((at, one), -NEVER) + self.in_hand)]
+            others = [
+                one
+                for one, count in writers.items()
+                if one != after and (count > 0 or self.now < self.ended.get((at, one), -NEVER) + self.in_hand)
+            ]
             if others:
                 self.conflicts.append(Conflict(self.now / SECOND, at, after, others))
 
--- a/cedarshift/standins/record.py
+++ b/cedarshift/standins/record.py
@@ -1,4 +1,5 @@
 """What passed on a process's sockets, a JSON array a line, written through at once so that a kill loses no line."""
+
 from __future__ import annotations
 
 import os
--- a/cedarshift/standins/relay.py
+++ b/cedarshift/standins/relay.py
@@ -9,6 +9,7 @@
                    {"arm": PILOT, "passes": n}
     GET  /sprung   the pilots whose trap has sprung
 """
+
 from __future__ import annotations
 
 import random
@@ -22,25 +23,25 @@
 from cedarshift.standins.record import Recorder
 from cedarshift.web import Answer, Asked, serve_http
 
-ORDER = 17                # the frame kind of an order
-CALLERS_MOST = 64         # of a datagram link; the ports of callers that were started anew stay open
-ORDER_LEAST = 60          # bytes of an order that holds lines, rather than a mark alone
+ORDER = 17  # the frame kind of an order
+CALLERS_MOST = 64  # of a datagram link; the ports of callers that were started anew stay open
+ORDER_LEAST = 60  # bytes of an order that holds lines, rather than a mark alone
 
 
 class RelayPlan(msgspec.Struct):
     address: tuple[str, int]
-    links: dict[str, tuple[tuple[str, int], tuple[str, int]]]     # name -> (door, target)
-    datagrams: list[str] = []                # those that carry datagrams too
-    seed: int = 0                            # of what is lost
+    links: dict[str, tuple[tuple[str, int], tuple[str, int]]]  # name -> (door, target)
+    datagrams: list[str] = []  # those that carry datagrams too
+    seed: int = 0  # of what is lost
 
 
 class Way:
     """One link's present state."""
 
     def __init__(self) -> None:
-        self.mode = "pass"                   # of the link; a single direction may be dropped beside
+        self.mode = "pass"  # of the link; a single direction may be dropped beside
         self.delay = 0
-        self.dropped = {False: False, True: False}   # by whether it is the way back
+        self.dropped = {False: False, True: False}  # by whether it is the way back
         self.loss = {False: 0.0, True: 0.0}
         self.streams: set[Stream] = set()
 
@@ -72,15 +73,21 @@
                 if len(ports) >= CALLERS_MOST:
                     continue
                 ports[source] = datagrams(self.loop, (door.address[0], 0))
-                self.loop.spawn(self._datagrams_back(name, ports[source], door, source), f"relay {name} datagrams back")
+                self.loop.spawn(
+                    self._datagrams_back(name, ports[source], door, source), f"relay {name} datagrams back"
+                )
             self._pass_datagram(name, False, ports[source], data, target)
 
-    def _datagrams_back(self, name: str, port: Datagrams, door: Datagrams, source: tuple[str, int]) -> Coroutine:
+    def _datagrams_back(
+        self, name: str, port: Datagrams, door: Datagrams, source: tuple[str, int]
+    ) -> Coroutine:
         while True:
             data, _ = yield from port.receive()
             self._pass_datagram(name, True, door, data, source)
 
-    def _pass_datagram(self, name: str, back: bool, port: Datagrams, data: bytes, to: tuple[str, int]) -> None:
+    def _pass_datagram(
+        self, name: str, back: bool, port: Datagrams, data: bytes, to: tuple[str, int]
+    ) -> None:
         way = self.ways[name]
         if way.silent(back) or self.chance.random() < way.loss[back]:
             return
@@ -114,11 +121,15 @@
         way, buffer = self.ways[name], bytearray()
         try:
             while data := (yield from source.read()):
-                if way.mode == "drop" or way.dropped[back]:   # silence: the streams stay open and nothing comes
+                if (
+                    way.mode == "drop" or way.dropped[back]
+                ):  # silence: the streams stay open and nothing comes
                     continue
                 if way.delay:
                     yield from self.loop.sleep(way.delay)
-                if back and self.armed and name.rpartition(">")[2] in self.armed:   # a proxy's link: it carries frames
+                if (
+                    back and self.armed and name.rpartition(">")[2] in self.armed
+                ):  # a proxy's link: it carries frames
                     buffer += data
                     data = self._until_sprung(name.rpartition(">")[2], buffer)
                 if data:
@@ -141,8 +152,8 @@
                     self.recorder.note("sprung", pilot)
                     break
                 self.armed[pilot] -= 1
-            out += bytes(buffer[:4 + length])
-            del buffer[:4 + length]
+            out += bytes(buffer[: 4 + length])
+            del buffer[: 4 + length]
         return out
 
     def _answer(self, asked: Asked) -> Coroutine:
@@ -163,8 +174,13 @@
             self.armed.pop(order["disarm"], None)
             self.sprung.discard(order["disarm"])
         for name in order.get("links", []):
-            self._set(name, order.get("mode", "pass"), int(order.get("delay_ms", 0) * 1000), order.get("way", "both"),
-                      order.get("loss", 0.0))
+            self._set(
+                name,
+                order.get("mode", "pass"),
+                int(order.get("delay_ms", 0) * 1000),
+                order.get("way", "both"),
+                order.get("loss", 0.0),
+            )
         if order.get("for_s"):
             self.loop.at(self.loop.now() + int(order["for_s"] * 1e6), self._restore, order.get("links", []))
 
@@ -183,7 +199,9 @@
             return
         way.dropped = {False: False, True: False}
         was, way.mode, way.delay = way.mode, mode if mode != "reset" else "pass", delay
-        if mode in ("refuse", "reset") or (was == "drop" and mode == "pass"):   # what was dropped is missing for good
+        if mode in ("refuse", "reset") or (
+            was == "drop" and mode == "pass"
+        ):  # what was dropped is missing for good
             for stream in list(way.streams):
                 stream.close()
 
--- a/cedarshift/standins/spender.py
+++ b/cedarshift/standins/spender.py
@@ -4,6 +4,7 @@
 
 Its record has a line for each spend, written through after the check: one that was stopped in between is at most one spend late.
 """
+
 from __future__ import annotations
 
 import random
@@ -19,7 +20,7 @@
 from cedarshift.standins.record import Recorder
 from cedarshift.web import Answer, Asked, serve_http
 
-STEP = 20_000             # us between two looks at what is wished
+STEP = 20_000  # us between two looks at what is wished
 
 
 class SpenderPlan(msgspec.Struct):
@@ -38,8 +39,16 @@
         self.recorder = recorder
         chance = random.Random(fresh_bytes(8))
         badge = Badge(plan.deployment, "proxy", plan.name, "", plan.secret.encode())
-        self.agent = Agent(loop, badge, plan.pilots, None, Tables(0, [], False, 800_000, True), chance.random, self._observe,
-                           lambda: fresh_bytes(16))
+        self.agent = Agent(
+            loop,
+            badge,
+            plan.pilots,
+            None,
+            Tables(0, [], False, 800_000, True),
+            chance.random,
+            self._observe,
+            lambda: fresh_bytes(16),
+        )
         loop.spawn(serve_http(loop, listen(loop, plan.address), self._answer), "http")
         loop.spawn(self._spend(), "spend")
 
@@ -58,7 +67,7 @@
             yield from self.loop.sleep(STEP)
             for use, rate in self.wishes.items():
                 if use not in self.agent.shares.names:
-                    continue                 # nobody has told of budgets yet
+                    continue  # nobody has told of budgets yet
                 owed[use] = min(2.0, owed.get(use, 0.0)) + rate * STEP / 1e6
                 while owed[use] >= 1:
                     owed[use] -= 1
--- a/cedarshift/store/ledger.py
+++ b/cedarshift/store/ledger.py
@@ -3,6 +3,7 @@
 `MemoryLedger` has the same calls and no disk. A file that is damaged, or belongs to another deployment, is refused with
 its name and a way back; nothing of it is served.
 """
+
 from __future__ import annotations
 
 import os
@@ -17,7 +18,7 @@
 from cedarshift.judge.charge import EPOCHS_A_LIFE, Row
 
 FORMAT = 1
-AHEAD_LIVES = 1_000      # lives of the store that a backup may be behind: a start a day for three years
+AHEAD_LIVES = 1_000  # lives of the store that a backup may be behind: a start a day for three years
 LEVELS = msgspec.msgpack.Decoder(list[Level])
 
 SCHEMA = """
@@ -32,7 +33,9 @@
 
 
 def _checksum(row: Row, levels: bytes) -> int:
-    return zlib.crc32(msgspec.msgpack.encode([row.slice, row.epoch, row.version, row.pilot, row.owner, levels]))
+    return zlib.crc32(
+        msgspec.msgpack.encode([row.slice, row.epoch, row.version, row.pilot, row.owner, levels])
+    )
 
 
 def durable(path: str) -> sqlite3.Connection:
@@ -59,7 +62,7 @@
         yield
         db.execute("COMMIT")
     except BaseException:
-        if db.in_transaction:                # some errors have rolled it back already
+        if db.in_transaction:  # some errors have rolled it back already
             db.execute("ROLLBACK")
         raise
 
@@ -77,7 +80,9 @@
         return self.life
 
     def load(self) -> list[Row]:
-        return [Row(r.slice, r.epoch, r.version, r.pilot, r.owner, list(r.levels)) for r in self.rows.values()]
+        return [
+            Row(r.slice, r.epoch, r.version, r.pilot, r.owner, list(r.levels)) for r in self.rows.values()
+        ]
 
     def put(self, rows: Iterable[Row]) -> None:
         self.commits += 1
@@ -107,9 +112,11 @@
             raise
 
     def _damaged(self, what: str) -> Damaged:
-        return Damaged(f"{self.path}: {what}. Nothing of it is served. Way back: stop every pilot of the deployment, "
-                       f"then `cedarshift store restore DEPLOYMENT-FILE --from BACKUP`, or move the file away to start "
-                       f"empty; either way each slice waits out a lease and the settle time before it has an owner")
+        return Damaged(
+            f"{self.path}: {what}. Nothing of it is served. Way back: stop every pilot of the deployment, "
+            f"then `cedarshift store restore DEPLOYMENT-FILE --from BACKUP`, or move the file away to start "
+            f"empty; either way each slice waits out a lease and the settle time before it has an owner"
+        )
 
     def _agree(self, deployment: str) -> None:
         """Guards against the file of another deployment, or of another number of slices."""
@@ -128,7 +135,9 @@
             self.db.execute("COMMIT")
         for name, value in wanted.items():
             if kept.get(name) != value:
-                raise Damaged(f"{self.path}: made for {name} {kept.get(name)!r}, the deployment says {value!r}")
+                raise Damaged(
+                    f"{self.path}: made for {name} {kept.get(name)!r}, the deployment says {value!r}"
+                )
 
     def life(self) -> int:
         """Of how many starts the file knows."""
@@ -153,8 +162,9 @@
         assert self.db is not None
         rows = []
         try:
-            got = self.db.execute("SELECT slice, epoch, version, pilot, owner, levels, checksum FROM slices ORDER BY slice"
-                                  ).fetchall()
+            got = self.db.execute(
+                "SELECT slice, epoch, version, pilot, owner, levels, checksum FROM slices ORDER BY slice"
+            ).fetchall()
         except sqlite3.Error as error:
             raise self._damaged(str(error)) from None
         for number, epoch, version, pilot, owner, levels, checksum in got:
@@ -176,9 +186,14 @@
 
     def _write(self, rows: Iterable[Row]) -> None:
         assert self.db is not None
-        self.db.executemany("INSERT OR REPLACE INTO slices VALUES (?, ?, ?, ?, ?, ?, ?)",
-                            [(r.slice, r.epoch, r.version, r.pilot, r.owner, packed, _checksum(r, packed))
-                             for r in rows for packed in (msgspec.msgpack.encode(r.levels),)])
+        self.db.executemany(
+            "INSERT OR REPLACE INTO slices VALUES (?, ?, ?, ?, ?, ?, ?)",
+            [
+                (r.slice, r.epoch, r.version, r.pilot, r.owner, packed, _checksum(r, packed))
+                for r in rows
+                for packed in (msgspec.msgpack.encode(r.levels),)
+            ],
+        )
 
     def backup(self, target: str) -> None:
         """A copy that is whole, while the store goes on."""
@@ -196,7 +211,9 @@
             self.db = None
 
 
-def restore(path: str, backup: str, deployment: str, slices: int, ahead: int = AHEAD_LIVES * EPOCHS_A_LIFE) -> int:
+def restore(
+    path: str, backup: str, deployment: str, slices: int, ahead: int = AHEAD_LIVES * EPOCHS_A_LIFE
+) -> int:
     """Puts a backup in the place of a damaged file, which is kept beside it. Returns the number of slices.
 
     A backup is old: an owner that it names may have been followed by another, so every line is emptied, and epochs start
--- a/cedarshift/store/service.py
+++ b/cedarshift/store/service.py
@@ -1,4 +1,5 @@
 """Serves the store on a listener: sessions of pilots, commits in groups, reads of proxies."""
+
 from __future__ import annotations
 
 from typing import Any, Callable, Optional, Protocol, Union
@@ -13,8 +14,10 @@
 from cedarshift.loop.core import Coroutine, Waker
 from cedarshift.store.ledger import Ledger, MemoryLedger
 
-MESSAGES_A_SECOND = 2_000   # from one peer; a pilot sends a commit a turn and renews a few times a second
-READERS_A_SECOND = 500.0    # proxies that join to read all tables; pilots, whose leases run, are never held up by them
+MESSAGES_A_SECOND = 2_000  # from one peer; a pilot sends a commit a turn and renews a few times a second
+READERS_A_SECOND = (
+    500.0  # proxies that join to read all tables; pilots, whose leases run, are never held up by them
+)
 READERS_AT_ONCE = 100.0
 
 
@@ -34,27 +37,39 @@
 class StoreService:
     """One store. Every answer to a pilot follows the commit that it tells of."""
 
-    def __init__(self, loop: Loop, listener: Listener, ledger: Union[Ledger, MemoryLedger], badge: Badge,
-                 pilots: list[str], lease: int, takeover: int, back_after: int,
-                 challenge: Callable[[], bytes] = lambda: b"", desk: Optional[Desk] = None) -> None:
+    def __init__(
+        self,
+        loop: Loop,
+        listener: Listener,
+        ledger: Union[Ledger, MemoryLedger],
+        badge: Badge,
+        pilots: list[str],
+        lease: int,
+        takeover: int,
+        back_after: int,
+        challenge: Callable[[], bytes] = lambda: b"",
+        desk: Optional[Desk] = None,
+    ) -> None:
         self.loop = loop
-        self.desk = desk                           # of the budgets, where the deployment has any
+        self.desk = desk  # of the budgets, where the deployment has any
         self.listener = listener
         self.ledger = ledger
         self.badge = badge
         self.charge = Charge(ledger.load(), pilots, lease, takeover, back_after, loop.now(), ledger.begin())
         self.challenge = challenge
-        self.peers: dict[str, Link] = {}           # the pilots' newest connections
-        self.numbers: dict[str, int] = {}            # and their sessions
+        self.peers: dict[str, Link] = {}  # the pilots' newest connections
+        self.numbers: dict[str, int] = {}  # and their sessions
         self.waiting: list[tuple[Link, str, m.Commit]] = []
         self.takes: dict[tuple[str, int], list[int]] = {}
         self.drawn = 0
         self.changed: Optional[Waker] = None
         self.denied = 0
         self.gate = Gate(READERS_A_SECOND, READERS_AT_ONCE, loop.now())
-        self.rows_read: Any = None                 # all rows as they were last packed, until one changes
-        self.tasks = [loop.spawn(self._watch(), "store-watch"),
-                      loop.spawn(serve(loop, listener, self._session, self._talk, loop.report), "store-accept")]
+        self.rows_read: Any = None  # all rows as they were last packed, until one changes
+        self.tasks = [
+            loop.spawn(self._watch(), "store-watch"),
+            loop.spawn(serve(loop, listener, self._session, self._talk, loop.report), "store-accept"),
+        ]
 
     def stop(self) -> None:
         for task in self.tasks:
@@ -89,7 +104,9 @@
                     if isinstance(message, m.ReadTables):
                         peer.send(m.Tables(message.number, self._rows()))
                     elif isinstance(message, m.ReadBudgets):
-                        peer.send(m.BudgetsHeld(message.number, self.desk.shown() if self.desk is not None else b""))
+                        peer.send(
+                            m.BudgetsHeld(message.number, self.desk.shown() if self.desk is not None else b"")
+                        )
                     else:
                         self._hear(peer, name, message)
                 got = yield from peer.receive()
@@ -191,4 +208,3 @@
                 self.drawn += 1
                 self.takes[name, self.drawn] = slices
                 self.peers[name].send(m.Take(slices, self.drawn))
-
--- a/cedarshift/units.py
+++ b/cedarshift/units.py
@@ -1,4 +1,5 @@
 """Spans in the module's unit, whole tenths of a millisecond: one conversion for every host. `unit` is what one holds."""
+
 from __future__ import annotations
 
 from typing import Any
--- a/cedarshift/web/client.py
+++ b/cedarshift/web/client.py
@@ -1,4 +1,5 @@
 """The asking side: connections are kept for the next request and closed when they have lain idle."""
+
 from __future__ import annotations
 
 from typing import NamedTuple, Optional
@@ -8,7 +9,7 @@
 from cedarshift.loop import BufferFull, Loop, Stream, StreamBroken, dial
 from cedarshift.loop.core import Coroutine, Timer
 
-REPLY_MOST = 4 << 20      # bytes of a reply's body
+REPLY_MOST = 4 << 20  # bytes of a reply's body
 
 
 class Reply(NamedTuple):
@@ -47,18 +48,27 @@
         self.dial_timeout = dial_timeout
         self.idle = idle
         self.keep = keep
-        self.free: dict[tuple[str, int], list[IdleConnection]] = {}   # never an empty list; newest last
+        self.free: dict[tuple[str, int], list[IdleConnection]] = {}  # never an empty list; newest last
         self.dialled = 0
 
-    def ask(self, address: tuple[str, int], method: str, target: str, headers: list[tuple[str, str]],
-            body: bytes, until: int) -> Coroutine:
+    def ask(
+        self,
+        address: tuple[str, int],
+        method: str,
+        target: str,
+        headers: list[tuple[str, str]],
+        body: bytes,
+        until: int,
+    ) -> Coroutine:
         """Returns a Reply. Raises NotSent, StreamBroken once something was sent, or TimedOut at `until`."""
         stream, conn = yield from self._connection(address, until)
         done = False
         try:
             head = [("host", f"{address[0]}:{address[1]}"), ("content-length", str(len(body))), *headers]
             out = conn.send(h11.Request(method=method, target=target, headers=head))
-            self._send(stream, out + (conn.send(h11.Data(body)) if body else b"") + conn.send(h11.EndOfMessage()))
+            self._send(
+                stream, out + (conn.send(h11.Data(body)) if body else b"") + conn.send(h11.EndOfMessage())
+            )
             reply = yield from self._reply(stream, conn, until)
             done = self._reusable(stream, conn)
             return reply
@@ -85,8 +95,12 @@
     def _reusable(stream: Stream, conn: h11.Connection) -> bool:
         """Whether the next reply on a connection would surely be the next request's: both sides have ended this exchange, all
         of the request has left, and nothing came behind the reply. What came behind it would be read as the next one."""
-        return (conn.our_state is h11.DONE and conn.their_state is h11.DONE
-                and not stream.pending and not conn.trailing_data[0])
+        return (
+            conn.our_state is h11.DONE
+            and conn.their_state is h11.DONE
+            and not stream.pending
+            and not conn.trailing_data[0]
+        )
 
     def _connection(self, address: tuple[str, int], until: int) -> Coroutine:
         while address in self.free:
@@ -97,7 +111,9 @@
             idle.stream.close()
         try:
             self.dialled += 1
-            stream = yield from dial(self.loop, address, max(1, min(self.dial_timeout, until - self.loop.now())))
+            stream = yield from dial(
+                self.loop, address, max(1, min(self.dial_timeout, until - self.loop.now()))
+            )
         except StreamBroken as error:
             raise NotSent(str(error)) from None
         return stream, h11.Connection(h11.CLIENT)
--- a/cedarshift/web/follow.py
+++ b/cedarshift/web/follow.py
@@ -1,4 +1,5 @@
 """A request whose answer does not end: its body comes piece by piece, for as long as the peer keeps it open."""
+
 from __future__ import annotations
 
 import h11
@@ -25,7 +26,7 @@
                 if got:
                     return b"".join(got)
                 yield from self.fill(until)
-            else:                            # the end of the body, or of the connection
+            else:  # the end of the body, or of the connection
                 return b"".join(got)
 
     def fill(self, until: int) -> Coroutine:
--- a/cedarshift/web/server.py
+++ b/cedarshift/web/server.py
@@ -1,4 +1,5 @@
 """The serving side: one request at a time a connection, bodies and heads bounded, idle connections closed."""
+
 from __future__ import annotations
 
 import traceback
@@ -9,11 +10,11 @@
 from cedarshift.loop import Cancelled, Listener, Loop, Stream, StreamBroken, TimedOut
 from cedarshift.loop.core import Coroutine
 
-HEAD_MOST = 16_384        # bytes of a request's head
-BODY_MOST = 65_536        # bytes of a request's body
+HEAD_MOST = 16_384  # bytes of a request's head
+BODY_MOST = 65_536  # bytes of a request's body
 INTERNAL_ERROR = 500
 LINGER_TIMEOUT = 1_000_000  # us; how long the last answer may take to be read
-IDLE_MOST = 60_000_000    # us that a connection may lie idle, or a request take to come in
+IDLE_MOST = 60_000_000  # us that a connection may lie idle, or a request take to come in
 
 
 class Asked(NamedTuple):
@@ -27,6 +28,7 @@
 
 class Answer(NamedTuple):
     """`body` None cuts the connection without an answer; `cut` closes it after so many bytes of the body."""
+
     status: int
     body: Optional[bytes] = b""
     headers: tuple[tuple[str, str], ...] = ()
@@ -60,7 +62,7 @@
     except h11.RemoteProtocolError as error:
         if conn.our_state in (h11.IDLE, h11.SEND_RESPONSE):
             _answer(stream, conn, Answer(error.error_status_hint, str(error).encode()))
-    except TimedOut:                         # idle: a request that comes now is left unread, never read and thrown away
+    except TimedOut:  # idle: a request that comes now is left unread, never read and thrown away
         stream.close()
     except StreamBroken:
         pass
@@ -75,7 +77,9 @@
     except (Cancelled, StreamBroken, TimedOut):
         raise
     except Exception as failure:
-        loop.report("request_failed", target=asked.target, error=repr(failure), traceback=traceback.format_exc())
+        loop.report(
+            "request_failed", target=asked.target, error=repr(failure), traceback=traceback.format_exc()
+        )
         return Answer(INTERNAL_ERROR, b"internal error")
 
 
@@ -96,9 +100,15 @@
         elif isinstance(event, h11.EndOfMessage):
             assert head is not None
             headers = {k.decode("latin-1"): v.decode("latin-1") for k, v in head.headers}
-            return Asked(head.method.decode(), head.target.decode("latin-1"), headers, body, stream.peer,
-                         lambda: stream.closed)
-        else:                                # the peer has closed
+            return Asked(
+                head.method.decode(),
+                head.target.decode("latin-1"),
+                headers,
+                body,
+                stream.peer,
+                lambda: stream.closed,
+            )
+        else:  # the peer has closed
             return None
 
 
@@ -108,8 +118,8 @@
         return False
     headers = [("content-length", str(len(answer.body))), *answer.headers]
     out = conn.send(h11.Response(status_code=answer.status, headers=headers))
-    if answer.cut >= 0:                      # the sender dies in the middle of its reply
-        stream.write(out + answer.body[:answer.cut])
+    if answer.cut >= 0:  # the sender dies in the middle of its reply
+        stream.write(out + answer.body[: answer.cut])
         return False
     out += conn.send(h11.Data(answer.body)) + conn.send(h11.EndOfMessage())
     stream.write(out)
--- a/cedarshift/wirehost/__main__.py
+++ b/cedarshift/wirehost/__main__.py
@@ -1,4 +1,5 @@
 """Hosts pilots on the simulator's wire: standard input to calls, answers to standard output."""
+
 from __future__ import annotations
 
 import sys
@@ -17,8 +18,13 @@
 
 def entry(raw: dict) -> Entry:
     started = raw.get("since_ns")
-    return Entry(raw["endpoint"], raw.get("phase") or "on", float(raw.get("size") or 0) or 1.0,
-                 raw.get("hall") or "", up(started) if started else None)
+    return Entry(
+        raw["endpoint"],
+        raw.get("phase") or "on",
+        float(raw.get("size") or 0) or 1.0,
+        raw.get("hall") or "",
+        up(started) if started else None,
+    )
 
 
 class Host:
@@ -39,10 +45,19 @@
         elif cmd == "alarm":
             pilot.on_alarm(now, m["nonce"])
         elif cmd == "tally":
-            pilot.on_met(now, m["endpoint"], m.get("hall") or "", m["total"], m["lost"], up(m.get("took_ns")),
-                         up(m.get("period_len_ns")))
+            pilot.on_met(
+                now,
+                m["endpoint"],
+                m.get("hall") or "",
+                m["total"],
+                m["lost"],
+                up(m.get("took_ns")),
+                up(m.get("period_len_ns")),
+            )
         elif cmd == "key_load":
-            pilot.on_heat(now, m["set_id"], m.get("kind") or "", m["total"], m["lost"], up(m.get("period_len_ns")))
+            pilot.on_heat(
+                now, m["set_id"], m.get("kind") or "", m["total"], m["lost"], up(m.get("period_len_ns"))
+            )
         elif cmd == "applied":
             pilot.on_ack(now, m["forwarder"], m["rev"], down(m.get("took_ns")))
         elif cmd == "attached":
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,10 +1,10 @@
 """Reads KNOWN-RED.txt: a listed test runs, its failure does not fail the run, and it is printed by name with its cause."""
-import pytest
 
+import pytest
 from known_red import FILE, BadList, check_names, parse
 
 LISTED = pytest.StashKey()
-OUTCOMES = {}             # test -> how it ended
+OUTCOMES = {}  # test -> how it ended
 
 
 def pytest_configure(config):
@@ -27,7 +27,9 @@
     for item in items:
         for entry in listed:
             if entry.names(item.nodeid):
-                item.add_marker(pytest.mark.xfail(reason=f"known red: {entry.cause} ({entry.issue})", strict=False))
+                item.add_marker(
+                    pytest.mark.xfail(reason=f"known red: {entry.cause} ({entry.issue})", strict=False)
+                )
 
 
 def pytest_runtest_logreport(report):
--- a/tests/fleet_process.py
+++ b/tests/fleet_process.py
@@ -4,6 +4,7 @@
 
 What decides are the oracles of `cedarshift/standins/proxy_fleet.py`, over what the proxies hold.
 """
+
 import json
 import os
 import random
@@ -18,25 +19,26 @@
 from dataclasses import dataclass, field
 from pathlib import Path
 
+from platform_parts import SETTINGS, ListAgent, Relay, configuration, frame, instance, listing
+
 from cedarshift.loop import StreamBroken
 from cedarshift.loop.epoll import real_loop
 from cedarshift.rehearsal.fleet import Ports
 from cedarshift.standins.proxy_fleet import Faults, ProxyFleet
-from platform_parts import SETTINGS, ListAgent, Relay, configuration, frame, instance, listing
 
 PROXIES, ENDPOINTS, SLICES = 150, 30, 84
-EMPTY_FOR = 17.9          # s, as on the days of the report
-SLACK = 0.3               # s, the protocol page's
-NEWS_LOST_WAITS = 4.0     # s, the protocol page's, for each time that the only stream of events ended
+EMPTY_FOR = 17.9  # s, as on the days of the report
+SLACK = 0.3  # s, the protocol page's
+NEWS_LOST_WAITS = 4.0  # s, the protocol page's, for each time that the only stream of events ended
 LEASE, IN_HAND = 0.8, 3.02
-UNIT = 100                # us in the model's unit
-TICK = 10_000             # us between two looks of the model
-SIGN_EVERY = 500_000      # us between two signs of life
+UNIT = 100  # us in the model's unit
+TICK = 10_000  # us between two looks of the model
+SIGN_EVERY = 500_000  # us between two signs of life
 REPLACE_EVERY, GONE_AFTER = 3.0, 4.5
-TAKEN_OVER_AFTER = 0.9    # s from the loss of a pilot to its slices' next giving, at the earliest
+TAKEN_OVER_AFTER = 0.9  # s from the loss of a pilot to its slices' next giving, at the earliest
 READY_WITHIN = 10.0
-SIDE_BY_SIDE = 8          # seeds at a time, by hand
-EARLIEST_KILL = 0.7       # s after SIGTERM
+SIDE_BY_SIDE = 8  # seeds at a time, by hand
+EARLIEST_KILL = 0.7  # s after SIGTERM
 PROBE, ALIVE = frame(t="probe"), frame(t="alive")
 
 
@@ -58,10 +60,12 @@
     def __init__(self, loop, address, seed, faults, door, owners):
         super().__init__(loop, address)
         self.chance, self.door_faults, self.began = random.Random(seed), door, loop.now()
-        self.fleet = ProxyFleet(seed, faults, owners, self._tell, PROXIES, int(LEASE * 10_000), int(IN_HAND * 10_000))
+        self.fleet = ProxyFleet(
+            seed, faults, owners, self._tell, PROXIES, int(LEASE * 10_000), int(IN_HAND * 10_000)
+        )
         self.lost_at, self.losing = None, False
-        self.stalled_until, self.held_back = 0, []   # (streams, text) of each write meanwhile
-        self.asked_at = []                   # s; when each stream of events but the first began
+        self.stalled_until, self.held_back = 0, []  # (streams, text) of each write meanwhile
+        self.asked_at = []  # s; when each stream of events but the first began
         self.followed = None
         loop.spawn(self._play(), "fleet")
 
@@ -115,14 +119,16 @@
         if event == "ack":
             self.say("ack", f"node={proxy}&nonce={more[0]}&latency={more[1] / 10}")
         else:
-            self.say("hello" if event == "join" else "bye", _hello(proxy) if event == "join" else f"node={proxy}")
+            self.say(
+                "hello" if event == "join" else "bye", _hello(proxy) if event == "join" else f"node={proxy}"
+            )
 
     def _write(self, text):
         if self.loop.now() < self.stalled_until:
             self.held_back.append((list(self.streams), text))
             return
         held, self.held_back = self.held_back, []
-        for streams, late in held:           # what a stream that has gone was to tell is lost
+        for streams, late in held:  # what a stream that has gone was to tell is lost
             if streams == self.streams:
                 self._write_now(late)
         self._write_now(text)
@@ -130,7 +136,7 @@
     def _write_now(self, text):
         try:
             super()._write(text)
-        except StreamBroken:                 # the process was killed: whoever follows next is told what stands
+        except StreamBroken:  # the process was killed: whoever follows next is told what stands
             self.streams = []
 
     def _answer(self, stream, conn, number, orders):
@@ -176,17 +182,36 @@
 
     def __init__(self, seed, faults, door, folder):
         self.seed, self.door, self.folder = seed, door, Path(folder)
-        ports = self.ports = Ports(real_loop())   # held to the end: scenes side by side share no address
+        ports = self.ports = Ports(real_loop())  # held to the end: scenes side by side share no address
         self.listen, relay, discovery = ports.take(), ports.take(), ports.take()
         self.names = [f"e{number:02}" for number in range(ENDPOINTS)]
-        family = {**SETTINGS["family_info"], "ranges": 2 * SLICES, "lease_ns": int(LEASE * 1e9), "in_flight_max_ns": int(IN_HAND * 1e9),
-                  "empty_for_ns": int(EMPTY_FOR * 1e9), "push_delay_max_ns": 662_500_000}
+        family = {
+            **SETTINGS["family_info"],
+            "ranges": 2 * SLICES,
+            "lease_ns": int(LEASE * 1e9),
+            "in_flight_max_ns": int(IN_HAND * 1e9),
+            "empty_for_ns": int(EMPTY_FOR * 1e9),
+            "push_delay_max_ns": 662_500_000,
+        }
         known = listing(7, *(instance(name) for name in self.names), reset=True)
-        (self.folder / "config.json").write_text(json.dumps(configuration(
-            listen="%s:%d" % self.listen, discovery="%s:%d" % discovery, registry={"address": "%s:%d" % relay}, known=known,
-            settings={**SETTINGS, "family_info": family})))
-        self.environ = {**os.environ, "RELAY_NAME": "n0", "RELAY_LISTEN": "%s:%d" % self.listen,
-                        "RELAY_DISCOVERY": "%s:%d" % discovery, "RELAY_CONFIG": str(self.folder / "config.json")}
+        (self.folder / "config.json").write_text(
+            json.dumps(
+                configuration(
+                    listen="%s:%d" % self.listen,
+                    discovery="%s:%d" % discovery,
+                    registry={"address": "%s:%d" % relay},
+                    known=known,
+                    settings={**SETTINGS, "family_info": family},
+                )
+            )
+        )
+        self.environ = {
+            **os.environ,
+            "RELAY_NAME": "n0",
+            "RELAY_LISTEN": "%s:%d" % self.listen,
+            "RELAY_DISCOVERY": "%s:%d" % discovery,
+            "RELAY_CONFIG": str(self.folder / "config.json"),
+        }
         owners = {2 * number: self.names[number % ENDPOINTS] for number in range(SLICES)}
         self.loop = real_loop(self._report)
         self.relay = FleetRelay(self.loop, relay, seed, faults, door, owners)
@@ -238,7 +263,9 @@
 
     def _start(self):
         with open(self.folder / "log", "ab") as log:
-            process = subprocess.Popen([sys.executable, "-m", "cedarshift", "platform"], env=self.environ, stderr=log)
+            process = subprocess.Popen(
+                [sys.executable, "-m", "cedarshift", "platform"], env=self.environ, stderr=log
+            )
         until = time.monotonic() + READY_WITHIN
         while time.monotonic() < until:
             try:
@@ -280,7 +307,11 @@
             if changes:
                 revision += 1
                 listed.update({one["instanceId"]: one for one in changes})
-                self.agent.first = [listing(revision, *(one for one in listed.values() if one["lifecycle"] != "gone"), reset=True)]
+                self.agent.first = [
+                    listing(
+                        revision, *(one for one in listed.values() if one["lifecycle"] != "gone"), reset=True
+                    )
+                ]
             self.agent.tell(listing(revision, *changes) if changes else "\n")
 
 
@@ -288,9 +319,15 @@
     """The faults of a seed: one to four kinds, and in some lives a stop of the process."""
     chance = random.Random(seed)
     faults, door = Faults(), DoorFaults()
-    for kind in chance.sample(["breaks", "flap", "mute", "deaf", "lost", "slow", "answers", "resets", "stops", "stalls"], chance.randint(1, 4)):
+    for kind in chance.sample(
+        ["breaks", "flap", "mute", "deaf", "lost", "slow", "answers", "resets", "stops", "stalls"],
+        chance.randint(1, 4),
+    ):
         if kind == "breaks":
-            faults.breaks, faults.away = chance.uniform(0.5, 8), chance.choice([(1.0, 3.0), (0.2, 0.7), (0.2, 3.0)])
+            faults.breaks, faults.away = (
+                chance.uniform(0.5, 8),
+                chance.choice([(1.0, 3.0), (0.2, 0.7), (0.2, 3.0)]),
+            )
         elif kind == "flap":
             faults.flapping = (chance.randint(1, 40), chance.uniform(0.2, 1.5), chance.uniform(0.05, 0.75))
         elif kind in ("mute", "deaf"):
@@ -306,7 +343,10 @@
         elif kind == "stalls":
             door.stalls = chance.uniform(0.02, 0.2)
         else:
-            door.stops = tuple((at, chance.uniform(0, 1), chance.random() < 0.5) for at in sorted(chance.sample(range(6, 30), 2)))
+            door.stops = tuple(
+                (at, chance.uniform(0, 1), chance.random() < 0.5)
+                for at in sorted(chance.sample(range(6, 30), 2))
+            )
     return faults, door
 
 
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -1,13 +1,25 @@
 """Builds the state that a test needs."""
+
 from cedarshift.brain import Pilot
 from cedarshift.interface import Entry, OpType, Terms
 from cedarshift.observations import OWNED
 
 TERMS = dict(
     op_types=(OpType("get", 20_000, 60_000, False, False), OpType("put", 20_000, 30_000, True, False)),
-    slices=8, single_owner=True, report_period=10_000, lease=25_000, in_flight_most=30_000,
-    drain_grace=40_000, lines_per_message=10.0, lines_waiting_most=4000.0, transit_most=5_000, cold_share=0.2,
-    warm_within=150_000, tip_multiple=3.0, ask_within=100_000)
+    slices=8,
+    single_owner=True,
+    report_period=10_000,
+    lease=25_000,
+    in_flight_most=30_000,
+    drain_grace=40_000,
+    lines_per_message=10.0,
+    lines_waiting_most=4000.0,
+    transit_most=5_000,
+    cold_share=0.2,
+    warm_within=150_000,
+    tip_multiple=3.0,
+    ask_within=100_000,
+)
 
 
 def pilot(endpoints="abcd", owners="abcdabcd", proxies=2, now=0, **terms):
--- a/tests/known_red.py
+++ b/tests/known_red.py
@@ -2,13 +2,14 @@
 
 One line a test: its name as pytest prints it (with or without parameters), the cause, and the issue, parted by ` | `. A listed test still runs.
 """
+
 from __future__ import annotations
 
 from typing import Iterable, NamedTuple
 
 FILE = "KNOWN-RED.txt"
-LINES_MOST = 3            # more would be a habit
-PARTS = 3                 # of a line
+LINES_MOST = 3  # more would be a habit
+PARTS = 3  # of a line
 SEPARATOR = " | "
 
 
@@ -34,7 +35,9 @@
     for number, line in lines:
         parts = [part.strip() for part in line.split(SEPARATOR)]
         if len(parts) != PARTS or not all(parts) or "::" not in parts[0]:
-            raise BadList(f"{FILE}:{number}: {line[:80]!r}, FILE::TEST{SEPARATOR}CAUSE{SEPARATOR}ISSUE is wanted")
+            raise BadList(
+                f"{FILE}:{number}: {line[:80]!r}, FILE::TEST{SEPARATOR}CAUSE{SEPARATOR}ISSUE is wanted"
+            )
         found.append(KnownRed(*parts))
     return found
 
--- a/tests/pilots.py
+++ b/tests/pilots.py
@@ -1,4 +1,5 @@
 """Pilots as processes with a relay on each of their links, faults between them, and what each of them held and when."""
+
 import json
 import os
 import signal
@@ -8,7 +9,7 @@
 import time
 import urllib.request
 
-PERIOD = 0.25             # s
+PERIOD = 0.25  # s
 STEPPED = """
 import sys, time
 true = time.time_ns
@@ -67,27 +68,44 @@
         (folder / "secret").write_text("a secret of sixteen\n")
         for name in self.names:
             self.write_file(name)
-        links = {f"{a}>{b}": (("127.0.0.1", door), ("127.0.0.1", self.gossip[b])) for (a, b), door in self.doors.items()}
+        links = {
+            f"{a}>{b}": (("127.0.0.1", door), ("127.0.0.1", self.gossip[b]))
+            for (a, b), door in self.doors.items()
+        }
         plan = {"address": ("127.0.0.1", self.control), "links": links, "datagrams": list(links), "seed": 5}
         (folder / "plan.json").write_text(json.dumps(plan))
-        self.relay = subprocess.Popen([sys.executable, "-m", "cedarshift.standins", "relay", str(folder / "plan.json"),
-                                       str(folder / "record-relay.jsonl")], stderr=open(folder / "relay.err", "w"))
+        self.relay = subprocess.Popen(
+            [
+                sys.executable,
+                "-m",
+                "cedarshift.standins",
+                "relay",
+                str(folder / "plan.json"),
+                str(folder / "record-relay.jsonl"),
+            ],
+            stderr=open(folder / "relay.err", "w"),
+        )
         for name in self.names:
             self.start(name)
         self.until(self.all_alive, 120, "not all came up")
 
     def write_file(self, name):
-        rows = "\n".join(f'pilot "{other}" {{\n listen = "127.0.0.1:{self.listen[other]}"\n admin = "127.0.0.1:{self.admin[other]}"\n'
-                         f' gossip = "127.0.0.1:{self.gossip[other] if other == name else self.doors[name, other]}"\n }}'
-                         for other in self.names)
+        rows = "\n".join(
+            f'pilot "{other}" {{\n listen = "127.0.0.1:{self.listen[other]}"\n admin = "127.0.0.1:{self.admin[other]}"\n'
+            f' gossip = "127.0.0.1:{self.gossip[other] if other == name else self.doors[name, other]}"\n }}'
+            for other in self.names
+        )
         (self.folder / f"{name}.hcl").write_text(TEXT.format(secret="secret", pilots=rows))
 
     def start(self, name, hours=0):
         """`hours`: how far its wall clock is off."""
         log = open(self.folder / f"log-{name}.txt", "ab")
         program = ["-m", "cedarshift"] if not hours else ["-c", STEPPED.format(hours=hours)]
-        self.running[name] = subprocess.Popen([sys.executable, *program, "--log", "json", "pilot",
-                                               str(self.folder / f"{name}.hcl"), name], stdout=log, stderr=log)
+        self.running[name] = subprocess.Popen(
+            [sys.executable, *program, "--log", "json", "pilot", str(self.folder / f"{name}.hcl"), name],
+            stdout=log,
+            stderr=log,
+        )
 
     def end(self):
         for process in [*self.running.values(), *self.old, self.relay]:
@@ -154,7 +172,8 @@
         end = time.monotonic() + periods * PERIOD
         while not true():
             assert time.monotonic() < end, f"{what} within {periods} periods: " + "; ".join(
-                f"{name}: {self.states(name)}" for name in self.running)
+                f"{name}: {self.states(name)}" for name in self.running
+            )
             time.sleep(PERIOD / 2)
 
     def wait(self, periods):
@@ -173,8 +192,11 @@
 
     def removed(self, *names):
         """Verdicts agreed on by most against any of these, by others than themselves."""
-        return [change for change in self.changes() if change[1] in names and change[0] != change[1] and change[2] == "dead"
-                and change[3]]
+        return [
+            change
+            for change in self.changes()
+            if change[1] in names and change[0] != change[1] and change[2] == "dead" and change[3]
+        ]
 
 
 def measure(folder, count, rounds):
@@ -188,9 +210,19 @@
             others = [one for one in p.names if one != name]
             p.until(lambda: p.hold(others, **{name: "dead"}), 60, "not found")
             for one in others:
-                rows = [json.loads(line) for line in (p.folder / f"log-{one}.txt").read_text().splitlines() if '"member_changed"' in line]
-                found.append(next(row["at_us"] / 1e6 - at for row in reversed(rows) if row["member"] == name and row["after"] == "dead")
-                             / PERIOD)
+                rows = [
+                    json.loads(line)
+                    for line in (p.folder / f"log-{one}.txt").read_text().splitlines()
+                    if '"member_changed"' in line
+                ]
+                found.append(
+                    next(
+                        row["at_us"] / 1e6 - at
+                        for row in reversed(rows)
+                        if row["member"] == name and row["after"] == "dead"
+                    )
+                    / PERIOD
+                )
             p.start(name)
             p.until(p.all_alive, 120, "not back")
         sent = [p.ask(name)["counts"] for name in p.names]
@@ -202,8 +234,11 @@
 if __name__ == "__main__":
     import pathlib
     import tempfile
+
     for size in sys.argv[1:]:
         with tempfile.TemporaryDirectory() as made_folder:
             times, _ = measure(pathlib.Path(made_folder), int(size), 5)
-        print(f"{size} processes, period {PERIOD} s, {len(times)} findings: p50 {times[len(times) // 2]:.1f} periods, "
-              f"p99 {times[int(len(times) * 0.99)]:.1f}, max {times[-1]:.1f}")
+        print(
+            f"{size} processes, period {PERIOD} s, {len(times)} findings: p50 {times[len(times) // 2]:.1f} periods, "
+            f"p99 {times[int(len(times) * 0.99)]:.1f}, max {times[-1]:.1f}"
+        )
--- a/tests/platform_parts.py
+++ b/tests/platform_parts.py
@@ -1,30 +1,60 @@
 """The platform's parties as its page tells of them, scripted, on the virtual clock: a relay, a discovery, a configuration."""
+
 import json
 from urllib.parse import parse_qs
 
 import h11
+from program import SECOND, virtual_loop
 
 from cedarshift.codec.platform import frames
 from cedarshift.codec.platform.place import Variables, place
 from cedarshift.loop import StreamBroken, TimedOut, dial, listen
 from cedarshift.platform.service import PlatformPilot
-from program import SECOND, virtual_loop
 
 RELAY, DISCOVERY, PILOT = ("127.0.0.1", 6400), ("127.0.0.1", 8500), ("127.0.0.1", 8081)
-START = 1_700_000_000     # s; Unix time at the loop's nought
+START = 1_700_000_000  # s; Unix time at the loop's nought
 SETTINGS = {
-    "classes": [{"name": "get", "on_time_ns": 2_000_000_000, "deadline_ns": 6_000_000_000},
-                {"name": "put", "on_time_ns": 2_000_000_000, "deadline_ns": 3_000_000_000}],
-    "discovery": "push", "fleet_size": 1, "position": 0, "zones": ["za", "zb"],
-    "family_info": {"ranges": 4, "one_owner": True, "mutating": [False, True], "throttle_by": "fraction", "lease_ns": 800_000_000,
-                    "in_flight_max_ns": 1_000_000_000, "per_message": 16.0, "pending_max": 9500.0, "push_rate": 6300.0,
-                    "report_every_ns": 2_000_000_000, "push_delay_max_ns": 100_000_000},
-    "rules": {"drain_grace_ns": 3_000_000_000, "warm_within_ns": 15_000_000_000, "cold_from": 0.2, "fall_multiple": 3.0}}
+    "classes": [
+        {"name": "get", "on_time_ns": 2_000_000_000, "deadline_ns": 6_000_000_000},
+        {"name": "put", "on_time_ns": 2_000_000_000, "deadline_ns": 3_000_000_000},
+    ],
+    "discovery": "push",
+    "fleet_size": 1,
+    "position": 0,
+    "zones": ["za", "zb"],
+    "family_info": {
+        "ranges": 4,
+        "one_owner": True,
+        "mutating": [False, True],
+        "throttle_by": "fraction",
+        "lease_ns": 800_000_000,
+        "in_flight_max_ns": 1_000_000_000,
+        "per_message": 16.0,
+        "pending_max": 9500.0,
+        "push_rate": 6300.0,
+        "report_every_ns": 2_000_000_000,
+        "push_delay_max_ns": 100_000_000,
+    },
+    "rules": {
+        "drain_grace_ns": 3_000_000_000,
+        "warm_within_ns": 15_000_000_000,
+        "cold_from": 0.2,
+        "fall_multiple": 3.0,
+    },
+}
 
 
 def instance(name, lifecycle="ready", started=0, zone="za"):
-    return {"instanceId": name, "hostPort": "127.0.0.1:1", "zone": zone, "machineType": "m", "cell": 0, "lifecycle": lifecycle,
-            "weight": 1.0, "startedAtMs": started}
+    return {
+        "instanceId": name,
+        "hostPort": "127.0.0.1:1",
+        "zone": zone,
+        "machineType": "m",
+        "cell": 0,
+        "lifecycle": lifecycle,
+        "weight": 1.0,
+        "startedAtMs": started,
+    }
 
 
 def listing(revision, *instances, reset=False):
@@ -32,9 +62,17 @@
 
 
 def configuration(**changes):
-    return {"name": "n0", "listen": "127.0.0.1:8081", "discovery": "127.0.0.1:8500", "seed": "8c1f30d27a5be964",
-            "limits": {"cores": 0.5, "memory_mb": 64, "sockets": 256}, "registry": {"address": "127.0.0.1:6400"},
-            "known": listing(7, instance("a"), instance("b"), reset=True), "settings": SETTINGS, **changes}
+    return {
+        "name": "n0",
+        "listen": "127.0.0.1:8081",
+        "discovery": "127.0.0.1:8500",
+        "seed": "8c1f30d27a5be964",
+        "limits": {"cores": 0.5, "memory_mb": 64, "sockets": 256},
+        "registry": {"address": "127.0.0.1:6400"},
+        "known": listing(7, instance("a"), instance("b"), reset=True),
+        "settings": SETTINGS,
+        **changes,
+    }
 
 
 TOLD = Variables("n0", PILOT, DISCOVERY, "config.json")
@@ -50,7 +88,7 @@
 
     def __init__(self, loop, address=RELAY):
         self.loop, self.script, self.standing, self.streams = loop, [], [], []
-        self.calls = []                      # (connection, orders) of each call that came
+        self.calls = []  # (connection, orders) of each call that came
         self.connections = self.left = 0
         self.door = listen(loop, address)
         loop.spawn(self._accept(), "relay")
@@ -89,13 +127,22 @@
             while True:
                 head, body = yield from self._request(stream, conn)
                 if head.method == b"GET":
-                    stream.write(conn.send(h11.Response(status_code=200, headers=[("content-type", "text/event-stream"),
-                                                                                  ("transfer-encoding", "chunked")])))
+                    stream.write(
+                        conn.send(
+                            h11.Response(
+                                status_code=200,
+                                headers=[
+                                    ("content-type", "text/event-stream"),
+                                    ("transfer-encoding", "chunked"),
+                                ],
+                            )
+                        )
+                    )
                     self.streams = [(stream, conn)]
                     for event, data in self.standing:
                         self.say(event, data)
                     yield from stream.read()
-                    self.left += 1           # the pilot has closed its side
+                    self.left += 1  # the pilot has closed its side
                     return
                 self._answer(stream, conn, number, parse_qs(body.decode())["orders"][0].split(";"))
                 conn.start_next_cycle()
@@ -133,8 +180,11 @@
             text = "<Response><Errors><Error><Code>BUSY</Code></Error></Errors></Response>"
         if what == "spoilt":
             text = text[:40]
-        stream.write(conn.send(h11.Response(status_code=200, headers=[("content-length", str(len(text)))]))
-                     + conn.send(h11.Data(data=text.encode())) + conn.send(h11.EndOfMessage()))
+        stream.write(
+            conn.send(h11.Response(status_code=200, headers=[("content-length", str(len(text)))]))
+            + conn.send(h11.Data(data=text.encode()))
+            + conn.send(h11.EndOfMessage())
+        )
 
 
 class ListAgent:
@@ -180,8 +230,14 @@
         self.agent = ListAgent(self.loop)
         self.place = a_place(**changes)
         self.signs, self.wall_offset = True, START * SECOND
-        self.pilot = PlatformPilot(self.loop, self.place, lambda: self.loop.now() + self.wall_offset, listen(self.loop, PILOT),
-                                   self.loop.report, lambda: 0.5)
+        self.pilot = PlatformPilot(
+            self.loop,
+            self.place,
+            lambda: self.loop.now() + self.wall_offset,
+            listen(self.loop, PILOT),
+            self.loop.report,
+            lambda: 0.5,
+        )
         self.brain = self.pilot.brain
         self.loop.spawn(self._signs(), "signs")
 
@@ -195,6 +251,7 @@
     def run(self, seconds):
         def wait():
             yield from self.loop.sleep(int(seconds * SECOND))
+
         self.loop.run(self.loop.spawn(wait(), "wait"))
         return self
 
@@ -222,6 +279,7 @@
 
 def caller(stage, *pieces, until=10.0):
     """Connects, sends, and returns (what came back, seconds until the end; None if none came)."""
+
     def talk():
         stream = yield from dial(stage.loop, PILOT)
         begun = stage.loop.now()
@@ -236,6 +294,7 @@
         except StreamBroken:
             pass
         return got, (stage.loop.now() - begun) / SECOND
+
     return talk()
 
 
--- a/tests/program.py
+++ b/tests/program.py
@@ -1,4 +1,5 @@
 """Builds what the program's tests need: a loop on a virtual clock, a deployment, and its parts in one process."""
+
 import random
 
 from cedarshift.agent import Agent, Tables
@@ -50,7 +51,9 @@
 def virtual_loop(delay=200):
     clock = VirtualClock()
     heard = []
-    loop = Loop(clock, MemoryNetwork(clock, lambda: delay), lambda event, **fields: heard.append((event, fields)))
+    loop = Loop(
+        clock, MemoryNetwork(clock, lambda: delay), lambda event, **fields: heard.append((event, fields))
+    )
     loop.heard = heard
     return loop
 
@@ -65,7 +68,9 @@
 def deployment(folder, pilots=2, slices=8, lines_per_s=6000, proxy="", endpoints="abcd", learn=""):
     doors = "\n".join(f'pilot "p{i}" {{ listen = "127.0.0.1:{7100 + i}" }}' for i in range(pilots))
     path = folder / "trial.hcl"
-    path.write_text(FILE.format(slices=slices, pilots=doors, lines_per_s=lines_per_s, proxy=proxy, learn=learn))
+    path.write_text(
+        FILE.format(slices=slices, pilots=doors, lines_per_s=lines_per_s, proxy=proxy, learn=learn)
+    )
     write_list(folder, [(e, "on", "1") for e in endpoints])
     return load(str(path))
 
@@ -84,20 +89,37 @@
 
     def new_store(self):
         d, place = self.deployment, self.deployment.store
-        return StoreService(self.loop, listen(self.loop, place.listen), self.ledger,
-                            Badge(d.name, "store", "store", "", d.secret), [p.name for p in d.pilots],
-                            place.session_lease, place.takeover, place.back_after)
+        return StoreService(
+            self.loop,
+            listen(self.loop, place.listen),
+            self.ledger,
+            Badge(d.name, "store", "store", "", d.secret),
+            [p.name for p in d.pilots],
+            place.session_lease,
+            place.takeover,
+            place.back_after,
+        )
 
     def new_pilot(self, name, seed=7, deployment=None):
         door = listen(self.loop, self.deployment.pilot(name).listen)
-        self.pilots[name] = PilotService(self.loop, door, deployment or self.deployment, name, seed, self.loop.report)
+        self.pilots[name] = PilotService(
+            self.loop, door, deployment or self.deployment, name, seed, self.loop.report
+        )
         return self.pilots[name]
 
     def new_agent(self, name):
         d, chance = self.deployment, random.Random(name)
-        tables = Tables(d.slices, [OpKind(op.name, op.writes) for op in d.op_types], d.single_owner, d.proxy.lease, True)
-        self.agents[name] = Agent(self.loop, Badge(d.name, "proxy", name, "z", d.secret),
-                                  {p.name: p.listen for p in d.pilots}, d.store.listen, tables, chance.random)
+        tables = Tables(
+            d.slices, [OpKind(op.name, op.writes) for op in d.op_types], d.single_owner, d.proxy.lease, True
+        )
+        self.agents[name] = Agent(
+            self.loop,
+            Badge(d.name, "proxy", name, "z", d.secret),
+            {p.name: p.listen for p in d.pilots},
+            d.store.listen,
+            tables,
+            chance.random,
+        )
         return self.agents[name]
 
     def run(self, seconds):
@@ -112,7 +134,9 @@
     for task in list(service.tasks) + ([service.store.task] if getattr(service, "store", None) else []):
         task.cancel()
     service.listener.close()
-    links = [s.link for s in getattr(service, "proxies", {}).values()] + list(getattr(service, "peers", {}).values())
+    links = [s.link for s in getattr(service, "proxies", {}).values()] + list(
+        getattr(service, "peers", {}).values()
+    )
     if getattr(service, "store", None) and service.store.link:
         links.append(service.store.link)
     for link in links:
--- a/tests/scripted_peers.py
+++ b/tests/scripted_peers.py
@@ -3,21 +3,23 @@
 The program's own parts run over `select.epoll` in the test's thread. So the order of two events is what the test makes it: it
 acts as the peer, or moves the clock, and then lets the loop run until what it waits for is seen.
 """
+
 import os
 import socket
 import struct
 import time
 from urllib.parse import parse_qs
 
+from platform_parts import a_place
+
 from cedarshift.codec.platform import frames
 from cedarshift.loop import Loop, listen
 from cedarshift.loop.epoll import EpollNetwork
 from cedarshift.platform.service import PlatformPilot
-from platform_parts import a_place
 
-PATIENCE = 5.0            # s of real time after which what is waited for has not come
-QUIET_PASSES = 5          # passes of the loop without an event after which nothing more is under way on loopback
-SECOND = 1_000_000        # us
+PATIENCE = 5.0  # s of real time after which what is waited for has not come
+QUIET_PASSES = 5  # passes of the loop without an event after which nothing more is under way on loopback
+SECOND = 1_000_000  # us
 WALL = 1_700_000_000 * SECOND
 
 
@@ -34,7 +36,9 @@
 
     def __init__(self):
         self.events = []
-        super().__init__(SteppedClock(), EpollNetwork(), lambda event, **fields: self.events.append((event, fields)))
+        super().__init__(
+            SteppedClock(), EpollNetwork(), lambda event, **fields: self.events.append((event, fields))
+        )
 
     def reported(self, event):
         return [fields for name, fields in self.events if name == event]
@@ -65,7 +69,11 @@
     def held(self):
         """What must be back at its former count after a test: tasks, timers, and sockets that the loop watches."""
         timers = sum(timer.call is not None for _, _, timer in self.timers)
-        return {"tasks": sorted(task.name for task in self.tasks), "timers": timers, "sockets": len(self.network.calls)}
+        return {
+            "tasks": sorted(task.name for task in self.tasks),
+            "timers": timers,
+            "sockets": len(self.network.calls),
+        }
 
 
 class Peer:
@@ -76,7 +84,7 @@
         self.sock = sock
         self.sock.setblocking(False)
         self.got = b""
-        self.ended = None                    # "finished" or "reset", once the other side has ended
+        self.ended = None  # "finished" or "reset", once the other side has ended
 
     def look(self):
         """Takes in what has come."""
@@ -103,7 +111,14 @@
     def request(self):
         """(request line, body) of the next HTTP request."""
         head = self.until(b"\r\n\r\n").decode()
-        length = next((int(line.partition(":")[2]) for line in head.split("\r\n") if line.lower().startswith("content-length")), 0)
+        length = next(
+            (
+                int(line.partition(":")[2])
+                for line in head.split("\r\n")
+                if line.lower().startswith("content-length")
+            ),
+            0,
+        )
         self.loop.until(lambda: len(self.look().got) >= length)
         body, self.got = self.got[:length], self.got[length:]
         return head.split("\r\n")[0], body
@@ -208,8 +223,12 @@
         self.loop = SteppedLoop()
         self.relay, self.discovery = Server(self.loop), Server(self.loop)
         self.listener = listen(self.loop, ("127.0.0.1", 0))
-        place = a_place(**{"registry": {"address": self.relay.text}, "discovery": self.discovery.text, **changes})
-        self.pilot = PlatformPilot(self.loop, place, lambda: self.loop.now() + WALL, self.listener, self.loop.report, lambda: 0.5)
+        place = a_place(
+            **{"registry": {"address": self.relay.text}, "discovery": self.discovery.text, **changes}
+        )
+        self.pilot = PlatformPilot(
+            self.loop, place, lambda: self.loop.now() + WALL, self.listener, self.loop.report, lambda: 0.5
+        )
         self.brain = self.pilot.brain
         self.calls = self.pilot.calls
 
@@ -249,7 +268,7 @@
     def __init__(self, stage):
         self.stage, self.script, self.stands = stage, [], standing()
         self.open, self.stream = [], None
-        self.orders = []                     # (time in us, order) of each order that was carried out
+        self.orders = []  # (time in us, order) of each order that was carried out
 
     def look(self):
         while (peer := self.stage.relay.waiting()) is not None:
--- a/tests/soak.py
+++ b/tests/soak.py
@@ -3,6 +3,7 @@
 
 What decides: a probe that the process has read is answered. Where it was never read the kernel resets the connection, as input
 was left unread; a clean end without an answer is a request that was read and lost."""
+
 import json
 import os
 import random
@@ -16,16 +17,17 @@
 from collections import Counter
 from pathlib import Path
 
+from platform_parts import SECOND, ListAgent, Relay, configuration, frame, instance, listing
+
 from cedarshift.loop.epoll import real_loop
 from cedarshift.rehearsal.fleet import Ports
-from platform_parts import SECOND, ListAgent, Relay, configuration, frame, listing, instance
 
 PROBE, ALIVE = frame(t="probe"), frame(t="alive")
-EARLIEST_KILL = 0.7       # s after SIGTERM
-READY_WITHIN = 10.0       # s
-ANSWER_WITHIN = 3.0       # s
+EARLIEST_KILL = 0.7  # s after SIGTERM
+READY_WITHIN = 10.0  # s
+ANSWER_WITHIN = 3.0  # s
 CLIENTS, CROWD, LIVES = 8, 60, 2
-RESET_WITHIN = 1.0        # s in which a reset that follows an end has come on loopback
+RESET_WITHIN = 1.0  # s in which a reset that follows an end has come on loopback
 
 
 class Peers:
@@ -52,14 +54,25 @@
 
     def __init__(self, seed, folder, environ):
         self.chance = random.Random(seed)
-        ports = self.ports = Ports(real_loop())   # held to the end: soaks side by side share no address
+        ports = self.ports = Ports(real_loop())  # held to the end: soaks side by side share no address
         self.listen, relay, discovery = ports.take(), ports.take(), ports.take()
         self.path = Path(folder) / "config.json"
-        self.text = json.dumps(configuration(listen="%s:%d" % self.listen, discovery="%s:%d" % discovery,
-                                             registry={"address": "%s:%d" % relay}))
+        self.text = json.dumps(
+            configuration(
+                listen="%s:%d" % self.listen,
+                discovery="%s:%d" % discovery,
+                registry={"address": "%s:%d" % relay},
+            )
+        )
         self.path.write_text(self.text)
-        self.environ = {**os.environ, "RELAY_NAME": "n0", "RELAY_LISTEN": "%s:%d" % self.listen,
-                        "RELAY_DISCOVERY": "%s:%d" % discovery, "RELAY_CONFIG": str(self.path), **environ}
+        self.environ = {
+            **os.environ,
+            "RELAY_NAME": "n0",
+            "RELAY_LISTEN": "%s:%d" % self.listen,
+            "RELAY_DISCOVERY": "%s:%d" % discovery,
+            "RELAY_CONFIG": str(self.path),
+            **environ,
+        }
         self.peers = Peers(relay, discovery)
         self.log = open(Path(folder) / "log", "ab")
         self.outcomes, self.broken, self.over = Counter(), [], False
@@ -67,10 +80,15 @@
 
     def run(self):
         """Returns what was broken."""
-        clients = [threading.Thread(target=self._client, args=(self.chance.random(),), daemon=True) for _ in range(CLIENTS)]
+        clients = [
+            threading.Thread(target=self._client, args=(self.chance.random(),), daemon=True)
+            for _ in range(CLIENTS)
+        ]
         clients.append(threading.Thread(target=self._collector, daemon=True))
         for life in range(LIVES):
-            process = subprocess.Popen([sys.executable, "-m", "cedarshift", "platform"], env=self.environ, stderr=self.log)
+            process = subprocess.Popen(
+                [sys.executable, "-m", "cedarshift", "platform"], env=self.environ, stderr=self.log
+            )
             try:
                 self._ready()
                 if not life:
@@ -113,7 +131,7 @@
                 process.send_signal(signal.SIGCONT)
                 continue
             if kind == "torn":
-                self.path.write_text(self.text[:self.chance.randrange(len(self.text))])
+                self.path.write_text(self.text[: self.chance.randrange(len(self.text))])
             for _ in range(self.chance.randint(1, 4)):
                 process.send_signal(signal.SIGHUP)
             self.path.write_text(self.text)
@@ -168,7 +186,9 @@
                 data = connection.recv(100)
                 if not data:
                     waited = time.monotonic() - sent
-                    self._count("never read" if self._reset(connection) else "read and not answered", sent, waited)
+                    self._count(
+                        "never read" if self._reset(connection) else "read and not answered", sent, waited
+                    )
                     return False
                 received += data
         except TimeoutError:
@@ -194,11 +214,17 @@
     def _count(self, outcome, sent, waited):
         self.outcomes[outcome] += 1
         if outcome != "never read":
-            when = f"{sent - self.stopped_at:.4f} s after the newest SIGTERM" if self.stopped_at else "before any SIGTERM"
+            when = (
+                f"{sent - self.stopped_at:.4f} s after the newest SIGTERM"
+                if self.stopped_at
+                else "before any SIGTERM"
+            )
             self.broken.append(f"probe: {outcome}; sent {when}, waited {waited:.4f} s")
 
     def _collector(self):
-        report = frame(t="outcomes", locality="za", endpoint="a", total=12, errors=3, rtt=41.7, interval=2000.0)
+        report = frame(
+            t="outcomes", locality="za", endpoint="a", total=12, errors=3, rtt=41.7, interval=2000.0
+        )
         while not self.over:
             try:
                 with socket.create_connection(self.listen, timeout=ANSWER_WITHIN) as connection:
--- a/tests/spenders.py
+++ b/tests/spenders.py
@@ -1,4 +1,5 @@
 """A store, pilots and spenders as processes with a relay on each of their links, faults between them, and what was spent when."""
+
 import json
 import shutil
 import signal
@@ -7,14 +8,14 @@
 import time
 import urllib.request
 
-from cedarshift.rehearsal.rules import beyond_rate
-
 from pilots import free_ports
 
-WHOLE = 40                # retries a second of the whole fleet
-BURST = 0.1               # s
-LEASE = 2.0               # s
-PROXY_LEASE = 1.0         # s
+from cedarshift.rehearsal.rules import beyond_rate
+
+WHOLE = 40  # retries a second of the whole fleet
+BURST = 0.1  # s
+LEASE = 2.0  # s
+PROXY_LEASE = 1.0  # s
 TEXT = """
 deployment "spend" {{
   slices = 0
@@ -55,8 +56,19 @@
 
 
 class Spenders:
-    def __init__(self, folder, pilots=3, spenders=4, whole=WHOLE, floor=2, wishes=30.0, lease=LEASE, proxy_lease=PROXY_LEASE, text=TEXT,
-                 homes=None):
+    def __init__(
+        self,
+        folder,
+        pilots=3,
+        spenders=4,
+        whole=WHOLE,
+        floor=2,
+        wishes=30.0,
+        lease=LEASE,
+        proxy_lease=PROXY_LEASE,
+        text=TEXT,
+        homes=None,
+    ):
         """`homes`: by spender the pilots that it may join; all where it is not named."""
         self.folder, self.whole, self.floor = folder, whole, floor
         self.names = [f"p{n}" for n in range(pilots)]
@@ -67,26 +79,53 @@
         self.listen = {name: next(ports) for name in self.names}
         self.admin = {name: next(ports) for name in self.names}
         self.doors = {f"{name}>store": (next(ports), self.store_at) for name in self.names}
-        self.doors.update({f"{x}>{p}": (next(ports), self.listen[p]) for x in self.spenders for p in self.names})
+        self.doors.update(
+            {f"{x}>{p}": (next(ports), self.listen[p]) for x in self.spenders for p in self.names}
+        )
         self.at = {x: next(ports) for x in self.spenders}
         (folder / "list.json").write_text('{"endpoints": [{"endpoint": "e", "phase": "on", "start": "1"}]}')
         (folder / "secret").write_text("a secret of sixteen\n")
         for name in [*self.names, "store"]:
-            rows = "\n".join(f'pilot "{p}" {{\n listen = "127.0.0.1:{self.listen[p]}"\n admin = "127.0.0.1:{self.admin[p]}"\n }}'
-                             for p in self.names)
+            rows = "\n".join(
+                f'pilot "{p}" {{\n listen = "127.0.0.1:{self.listen[p]}"\n admin = "127.0.0.1:{self.admin[p]}"\n }}'
+                for p in self.names
+            )
             store = self.store_at if name == "store" else self.doors[f"{name}>store"][0]
-            (folder / f"{name}.hcl").write_text(text.format(pilots=rows, store=store, lease=lease, proxy_lease=proxy_lease, whole=whole,
-                                                            burst=BURST, floor=floor))
+            (folder / f"{name}.hcl").write_text(
+                text.format(
+                    pilots=rows,
+                    store=store,
+                    lease=lease,
+                    proxy_lease=proxy_lease,
+                    whole=whole,
+                    burst=BURST,
+                    floor=floor,
+                )
+            )
         links = {name: (("127.0.0.1", door), ("127.0.0.1", to)) for name, (door, to) in self.doors.items()}
         plan = {"address": ("127.0.0.1", self.control), "links": links, "datagrams": [], "seed": 5}
         (folder / "relay.json").write_text(json.dumps(plan))
-        self._run("relay", "cedarshift.standins", "relay", str(folder / "relay.json"), str(folder / "record-relay.jsonl"))
+        self._run(
+            "relay",
+            "cedarshift.standins",
+            "relay",
+            str(folder / "relay.json"),
+            str(folder / "record-relay.jsonl"),
+        )
         self.start("store")
         for name in self.names:
             self.start(name)
         for x in self.spenders:
-            plan = {"name": x, "address": ("127.0.0.1", self.at[x]), "deployment": "spend", "secret": "a secret of sixteen",
-                    "pilots": {p: ("127.0.0.1", self.doors[f"{x}>{p}"][0]) for p in (homes or {}).get(x, self.names)}, "wishes": {"retries": wishes}}
+            plan = {
+                "name": x,
+                "address": ("127.0.0.1", self.at[x]),
+                "deployment": "spend",
+                "secret": "a secret of sixteen",
+                "pilots": {
+                    p: ("127.0.0.1", self.doors[f"{x}>{p}"][0]) for p in (homes or {}).get(x, self.names)
+                },
+                "wishes": {"retries": wishes},
+            }
             (folder / f"{x}.json").write_text(json.dumps(plan))
             self.start(x)
 
@@ -96,7 +135,13 @@
 
     def start(self, name):
         if name in self.spenders:
-            self._run(name, "cedarshift.standins", "spender", str(self.folder / f"{name}.json"), str(self.folder / f"record-{name}.jsonl"))
+            self._run(
+                name,
+                "cedarshift.standins",
+                "spender",
+                str(self.folder / f"{name}.json"),
+                str(self.folder / f"record-{name}.jsonl"),
+            )
         elif name == "store":
             self._run(name, "cedarshift", "--log", "json", "store", "serve", str(self.folder / "store.hcl"))
         else:
@@ -125,7 +170,9 @@
         self.running[name].send_signal(number)
 
     def post(self, port, order):
-        with urllib.request.urlopen(f"http://127.0.0.1:{port}/control", json.dumps(order).encode(), 5) as reply:
+        with urllib.request.urlopen(
+            f"http://127.0.0.1:{port}/control", json.dumps(order).encode(), 5
+        ) as reply:
             assert reply.status == 200
 
     def way(self, name, way, mode):
@@ -190,4 +237,8 @@
 
     def log(self, name, event):
         path = self.folder / f"log-{name}.txt"
-        return [row for line in path.read_text().splitlines() if line.startswith("{") and (row := json.loads(line)).get("event") == event]
+        return [
+            row
+            for line in path.read_text().splitlines()
+            if line.startswith("{") and (row := json.loads(line)).get("event") == event
+        ]
--- a/tests/test_agent.py
+++ b/tests/test_agent.py
@@ -1,4 +1,5 @@
 import pytest
+from program import virtual_loop
 
 from cedarshift.agent import Agent
 from cedarshift.agent.gate import ProxyGate
@@ -7,13 +8,13 @@
 from cedarshift.codec import OutOfOrder
 from cedarshift.codec import messages as m
 
-from program import virtual_loop
-
 GET, PUT, LEASE, SECOND = 0, 1, 800_000, 1_000_000
 
 
 def tables(slices=2, epoch=5, owner="a", lease_until=LEASE, **how):
-    made = Tables(slices, [OpKind("get", False), OpKind("put", True)], True, LEASE, how.pop("even", True), **how)
+    made = Tables(
+        slices, [OpKind("get", False), OpKind("put", True)], True, LEASE, how.pop("even", True), **how
+    )
     made.on_join("p")
     made.on_snapshot(0, "p", m.Snapshot([m.Held(n, epoch, 1, owner) for n in range(slices)]))
     made.on_lease("p", lease_until - LEASE)
@@ -24,9 +25,15 @@
     return m.Order(seq, 0, [m.Line(*line) for line in lines], list(levels))
 
 
-@pytest.mark.parametrize("op, now, got", [
-    (GET, 0, Pick("a", "p", 5)), (PUT, LEASE - 1, Pick("a", "p", 5)), (PUT, LEASE, NoPick("lease")),
-    (GET, 10 * LEASE, Pick("a", "p", 5))])
+@pytest.mark.parametrize(
+    "op, now, got",
+    [
+        (GET, 0, Pick("a", "p", 5)),
+        (PUT, LEASE - 1, Pick("a", "p", 5)),
+        (PUT, LEASE, NoPick("lease")),
+        (GET, 10 * LEASE, Pick("a", "p", 5)),
+    ],
+)
 def test_a_write_needs_the_lease_and_a_read_does_not(op, now, got):
     assert tables().pick(now, 0, op, 0.5) == got
 
@@ -127,7 +134,7 @@
     t.on_snapshot(0, "p", m.Snapshot(table=0, lines=[m.Line(0, "a", 1.0), m.Line(0, "b", 1.0)]))
     t.on_outcome(0, "a", True)
     assert [t.pick(4_000_000, -1, GET, 0.5).endpoint for _ in range(8)].count("a") == 1
-    t.on_outcome(4_000_001, "a", False)      # its trial went well
+    t.on_outcome(4_000_001, "a", False)  # its trial went well
     assert [t.pick(4_000_002, -1, GET, 0.5).endpoint for _ in range(8)].count("a") >= 4
 
 
@@ -168,11 +175,13 @@
 def test_a_proxy_outlives_a_change_of_the_pilots_budgets():
     shares = joined()
     shares.on_lost(0, "p")
-    shares.on_join(0, "p", [m.BudgetOf("trials", "probes", 500_000, 0.0, 0.0)])   # restarted with another block
+    shares.on_join(
+        0, "p", [m.BudgetOf("trials", "probes", 500_000, 0.0, 0.0)]
+    )  # restarted with another block
     assert shares.spend(0, "retries") and not shares.spend(0, "probes")
     assert [want.budget for want in shares.on_beat(0, "p", m.Beat(1)).wants] == ["trials"]
     shares.on_lost(0, "p")
-    shares.on_join(0, "p", [])                                                    # and with none
+    shares.on_join(0, "p", [])  # and with none
     assert shares.spend(0, "probes") and shares.on_beat(SECOND, "p", m.Beat(2)).ask == 0
 
 
@@ -183,7 +192,9 @@
         beat = shares.on_beat(now, "p", m.Beat(step))
         if beat.ask:
             asked.append(now)
-            shares.on_beat_ok(now, "p", m.BeatOk(step, True, beat.ask, 9, [m.Shared("again", 1 + step, 10_000, 4_000_000)]))
+            shares.on_beat_ok(
+                now, "p", m.BeatOk(step, True, beat.ask, 9, [m.Shared("again", 1 + step, 10_000, 4_000_000)])
+            )
     assert {after - before for before, after in zip(asked, asked[1:])} == {800_000}
 
 
--- a/tests/test_brain.py
+++ b/tests/test_brain.py
@@ -19,12 +19,15 @@
     assert decisions(pilot(), 100_000) == []
 
 
-@pytest.mark.parametrize("acks, leaves, after, stopped", [
-    ((0, 1), (), 0, True),             # every proxy acked
-    ((0,), (), 10 ** 7, False),        # no ack and no break is no proof, however long
-    ((0,), (1,), 24_999, False),       # the lease of a broken stream still runs
-    ((0,), (1,), 25_000, True),
-])
+@pytest.mark.parametrize(
+    "acks, leaves, after, stopped",
+    [
+        ((0, 1), (), 0, True),  # every proxy acked
+        ((0,), (), 10**7, False),  # no ack and no break is no proof, however long
+        ((0,), (1,), 24_999, False),  # the lease of a broken stream still runs
+        ((0,), (1,), 25_000, True),
+    ],
+)
 def test_revoke_waits_for_acks_or_lease(acks, leaves, after, stopped):
     p = revoking()
     for proxy in leaves:
@@ -47,23 +50,35 @@
     assert p.stops.stopped(p.slices[0], 102_000) is not None
 
 
-@pytest.mark.parametrize("left, acked, came, stopped", [
-    (70_000, 101_000, 102_000, 95_000),     # away for a lease, the store held the revoke when it came: it reads that
-    (70_000, 103_000, 102_000, None),       # nobody had acked when it came: it may have read what stood before
-    (70_000, 101_000, 99_000, None),        # it came before the revoke
-    (90_000, 101_000, 102_000, None),       # away for less than a lease: it may be sending still
-    (101_500, 101_000, 102_000, None)])
+@pytest.mark.parametrize(
+    "left, acked, came, stopped",
+    [
+        (
+            70_000,
+            101_000,
+            102_000,
+            95_000,
+        ),  # away for a lease, the store held the revoke when it came: it reads that
+        (70_000, 103_000, 102_000, None),  # nobody had acked when it came: it may have read what stood before
+        (70_000, 101_000, 99_000, None),  # it came before the revoke
+        (90_000, 101_000, 102_000, None),  # away for less than a lease: it may be sending still
+        (101_500, 101_000, 102_000, None),
+    ],
+)
 def test_a_proxy_away_for_a_lease_is_not_awaited_where_it_reads_the_revoke(left, acked, came, stopped):
     p = pilot(proxies=3)
-    events = [(left, 1, lambda: p.on_leave(left, 1)), (came, 2, lambda: p.on_join(came, 1, "z")),
-              (100_000, 3, lambda: (p.on_list(100_000, "update", [entry("a", "fading")]), decisions(p, 100_000))),
-              (acked, 4, lambda: [p.on_ack(acked, n, p.mark, 10) for n in (0, 2)])]
+    events = [
+        (left, 1, lambda: p.on_leave(left, 1)),
+        (came, 2, lambda: p.on_join(came, 1, "z")),
+        (100_000, 3, lambda: (p.on_list(100_000, "update", [entry("a", "fading")]), decisions(p, 100_000))),
+        (acked, 4, lambda: [p.on_ack(acked, n, p.mark, 10) for n in (0, 2)]),
+    ]
     for _, _, event in sorted(events, key=lambda e: e[:2]):
         event()
     assert p.stops.stop(p.proxies[1], p.slices[0]) == stopped
     marks = p.mark
     decisions(p, 110_000)
-    assert (p.mark != marks) == (stopped is None and came > 100_000)   # a mark goes only to who is awaited
+    assert (p.mark != marks) == (stopped is None and came > 100_000)  # a mark goes only to who is awaited
 
 
 def test_an_ack_of_before_a_broken_stream_still_counts():
@@ -85,7 +100,7 @@
 def test_grant_comes_only_after_the_settle_time():
     p = revoking()
     for proxy in (0, 1):
-        p.on_ack(101_000, proxy, p.mark, 400)         # took effect 400 after the order, heard later
+        p.on_ack(101_000, proxy, p.mark, 400)  # took effect 400 after the order, heard later
     decisions(p, 101_000)
     assert p.slices[0].state == SETTLING
     decisions(p, 130_399)
@@ -115,8 +130,10 @@
     assert ("level", 0, 2, 1, 0) in out and p.slices[0].owner == "a" and p.slices[0].state == OWNED
 
 
-@pytest.mark.parametrize("at, connect, emptied", [
-    (105_000, 0, False), (138_000, 0, True), (127_000, 0, False), (127_000, 5_000, True)])
+@pytest.mark.parametrize(
+    "at, connect, emptied",
+    [(105_000, 0, False), (138_000, 0, True), (127_000, 0, False), (127_000, 5_000, True)],
+)
 def test_a_drained_endpoints_line_goes_within_the_grace(at, connect, emptied):
     p = revoking(connect_most=connect)
     assert (("line", 0, "a", 0) in decisions(p, at)) is emptied
@@ -178,7 +195,7 @@
     p.channel.unacknowledged.append(Batch(p.mark, 0, 40.0, 20.0))
     p.on_list(100_000, "update", [entry("a", "off")])
     assert decisions(p, 100_000) == []
-    p.on_ack(100_100, 0, (p.mark + 1) % MARKS, 10)   # a later mark acked: the earlier has left
+    p.on_ack(100_100, 0, (p.mark + 1) % MARKS, 10)  # a later mark acked: the earlier has left
     assert decisions(p, 100_200) != []
 
 
@@ -192,14 +209,17 @@
     assert ("ask_list", True) in decisions(p, 325_000)
 
 
-@pytest.mark.parametrize("tries, aborted, took, sick", [
-    (20, 18, 0, True),         # takes ops and answers none
-    (20, 17, 3_000, True),     # aborts fast
-    (20, 17, 30_000, False),   # slow as well: overload
-    (20, 11, 3_000, False),    # a share that a fifth lost everywhere reaches by chance
-    (20, 2, 3_000, False),
-    (3, 3, 0, False),          # too few to tell
-])
+@pytest.mark.parametrize(
+    "tries, aborted, took, sick",
+    [
+        (20, 18, 0, True),  # takes ops and answers none
+        (20, 17, 3_000, True),  # aborts fast
+        (20, 17, 30_000, False),  # slow as well: overload
+        (20, 11, 3_000, False),  # a share that a fifth lost everywhere reaches by chance
+        (20, 2, 3_000, False),
+        (3, 3, 0, False),  # too few to tell
+    ],
+)
 def test_sick_is_told_from_overloaded(tries, aborted, took, sick):
     p = pilot()
     for n in "bcd":
@@ -280,12 +300,15 @@
     assert p.endpoints["a"].sick_until == 0
 
 
-@pytest.mark.parametrize("until, held", [
-    (100_000, "a"),    # revoke ordered, some proxies reached or none: the old line stands, levels reset
-    (120_000, "a"),    # settling
-    (139_000, "-"),    # the drained owner's line emptied before the grace ends
-    (150_000, None),   # granted
-])
+@pytest.mark.parametrize(
+    "until, held",
+    [
+        (100_000, "a"),  # revoke ordered, some proxies reached or none: the old line stands, levels reset
+        (120_000, "a"),  # settling
+        (139_000, "-"),  # the drained owner's line emptied before the grace ends
+        (150_000, None),  # granted
+    ],
+)
 def test_a_pilot_killed_at_any_step_leaves_a_store_that_the_next_one_can_take_up(until, held):
     p, line = revoking(in_flight_most=45_000), "a"
     for now in (100_000, 101_000, 120_000, 138_000, 139_000, 150_000):
@@ -309,14 +332,17 @@
     assert decisions(p, 10) == [("line", 0, "a", 0)]
 
 
-@pytest.mark.parametrize("binds, faded, tries, aborted, after, unfit", [
-    (False, False, 20, 2, 0, False),        # a wrong list: it still acks
-    (False, False, 20, 17, 0, True),        # dead indeed
-    (False, False, 0, 0, 30_000, False),    # its sums have not had time to come
-    (False, False, 0, 0, 50_000, True),     # nothing heard any more
-    (False, True, 20, 0, 0, True),          # it drained first: that binds
-    (True, False, 20, 0, 0, True),          # gone binds here
-])
+@pytest.mark.parametrize(
+    "binds, faded, tries, aborted, after, unfit",
+    [
+        (False, False, 20, 2, 0, False),  # a wrong list: it still acks
+        (False, False, 20, 17, 0, True),  # dead indeed
+        (False, False, 0, 0, 30_000, False),  # its sums have not had time to come
+        (False, False, 0, 0, 50_000, True),  # nothing heard any more
+        (False, True, 20, 0, 0, True),  # it drained first: that binds
+        (True, False, 20, 0, 0, True),  # gone binds here
+    ],
+)
 def test_a_dropped_endpoint_keeps_its_slices_while_it_acks(binds, faded, tries, aborted, after, unfit):
     p = pilot(gone_binds=binds)
     if faded:
@@ -390,7 +416,7 @@
 
 
 def test_turns_of_a_line_each_do_not_follow_one_another_at_once():
-    p = pilot(lines_per_s=1_000.0)                # the heads of two proxies hold the channel for 22 ms
+    p = pilot(lines_per_s=1_000.0)  # the heads of two proxies hold the channel for 22 ms
     p.on_list(100_000, "update", [entry("a", "off")])
     assert decisions(p, 100_000) != []
     p.on_list(100_100, "update", [entry("b", "off")])
@@ -399,7 +425,9 @@
 
 def test_what_a_cut_off_quarter_has_not_acked_leaves_room_for_a_dozen_grants():
     p = pilot(owners="-" * 16, proxies=100, lines_waiting_most=4_600.0)
-    p.channel.unacknowledged.append(Batch(p.mark, 0, 25 * 16.0, 16.0))  # 25 proxies that are cut off never ack this one
+    p.channel.unacknowledged.append(
+        Batch(p.mark, 0, 25 * 16.0, 16.0)
+    )  # 25 proxies that are cut off never ack this one
     for s in p.slices.values():
         s.state = EMPTY
     assert len([d for d in decisions(p, 100_000) if d[0] == "line"]) >= 12
@@ -431,19 +459,19 @@
         out = decisions(p, now)
         if not out:
             continue
-        turns, free = turns + 1, max(now, free) + 70 * (len(out) + 11)    # a line leaves in 0.1 ms
-        assert free - now <= 5_000                                        # rule five
+        turns, free = turns + 1, max(now, free) + 70 * (len(out) + 11)  # a line leaves in 0.1 ms
+        assert free - now <= 5_000  # rule five
         acks += [(free + 2_000, proxy, p.mark, now) for proxy in range(70)]
         for d in out:
             if d[0] == "level" or d[3] == 0:
                 stopped.setdefault(d[1], free + 2_000)
             if d[0] == "line":
                 line_at[d[1]] = (d[2] if d[3] else None, free + 2_000)
-                assert not d[3] or now >= stopped[d[1]] + 30_000    # rule two: each ack, then the settle time
+                assert not d[3] or now >= stopped[d[1]] + 30_000  # rule two: each ack, then the settle time
     moved = [n for n in range(600) if names[n % 80] in gone]
     assert all(n in stopped and p.slices[n].owner not in gone for n in moved)
     assert all(line_at[n][0] not in gone + [None] for n in moved) and set(line_at) == set(moved)
-    assert len(weighed) <= 150_000 / 2_000 + 2 * turns + 2                 # at a pace, not for each sum
+    assert len(weighed) <= 150_000 / 2_000 + 2 * turns + 2  # at a pace, not for each sum
 
 
 def test_a_drained_line_is_emptied_within_the_grace_at_full_size():
@@ -452,7 +480,7 @@
     p = pilot(names, owners, 70, lines_per_s=10_000.0, lines_waiting_most=15_000.0)
     p.on_list(100_000, "update", [entry(n, "fading") for n in names[:8]])
     emptied = {}
-    for now in range(100_000, 140_000, 250):          # no proxy acks, so no hand-over gets on
+    for now in range(100_000, 140_000, 250):  # no proxy acks, so no hand-over gets on
         emptied.update({d[1]: now for d in decisions(p, now) if d[0] == "line"})
     assert len(emptied) == 64 and max(emptied.values()) + 5_000 + 70 * 75 <= 140_000
 
@@ -545,7 +573,9 @@
     p = pilot(owners="a" * 20 + "b", proxies=100, lines_waiting_most=5_000.0)
     p.on_list(50_000, "update", [entry("a", "off")])
     p.channel.unacknowledged.append(Batch(p.mark + 1, 0, 2_500.0, 25.0))
-    p.on_ack(last_ack, 0, p.mark + 1, 10)    # of 100 messages 99 still wait; there is room for lines, not for them all
+    p.on_ack(
+        last_ack, 0, p.mark + 1, 10
+    )  # of 100 messages 99 still wait; there is room for lines, not for them all
     assert bool(decisions(p, 100_000)) is goes
 
 
@@ -554,7 +584,9 @@
     p = pilot(owners="a" * 12 + "b", proxies=100, lines_waiting_most=5_000.0)
     p.on_list(50_000, "update", [entry("a", phase)])
     p.channel.unacknowledged.append(Batch(p.mark + 1, 0, 2_000.0, 20.0))
-    p.on_ack(99_000, 0, p.mark + 1, 10)      # 1,980 wait; 12 lines with the mark and the head are 2,400 more, 4,500 allowed
+    p.on_ack(
+        99_000, 0, p.mark + 1, 10
+    )  # 1,980 wait; 12 lines with the mark and the head are 2,400 more, 4,500 allowed
     assert bool(decisions(p, 100_000)) is goes
 
 
@@ -562,7 +594,7 @@
     p = revoking(proxies=100, lines_waiting_most=3_000.0)
     mark = p.mark
     p.channel.unacknowledged.append(Batch(p.mark, 0, 2_900.0, 29.0))
-    p.on_join(100_500, 100, "z")             # has to be marked
+    p.on_join(100_500, 100, "z")  # has to be marked
     for now in range(102_000, 112_000, 250):
         assert decisions(p, now) == [] and p.mark == mark
     p.channel.unacknowledged.clear()
@@ -584,6 +616,6 @@
     for n in range(3_000):
         now = 10_000 + n * 5_000
         p.on_list(now, "update", [entry(f"e{n}"), entry(f"e{n - 5}", "off")])
-        decisions(p, now)                    # no proxy acks: the slices of d stay in their hand-over
+        decisions(p, now)  # no proxy acks: the slices of d stay in their hand-over
     assert len(p.endpoints) < 150 and "d" in p.endpoints
     assert {s.owner for s in p.slices.values()} == set("abcd")
--- a/tests/test_budgets.py
+++ b/tests/test_budgets.py
@@ -1,4 +1,5 @@
 """Division, shares as leases, buckets: without processes. Faults planted in them are to be found."""
+
 import sqlite3
 
 import pytest
@@ -6,7 +7,19 @@
 from hypothesis import strategies as st
 
 from cedarshift.budgets.ledger import ShareLedger
-from cedarshift.judge.budgets import FOREVER, Budget, Giver, Holder, Hub, Plan, Refusal, Row, Share, Want, share_out
+from cedarshift.judge.budgets import (
+    FOREVER,
+    Budget,
+    Giver,
+    Holder,
+    Hub,
+    Plan,
+    Refusal,
+    Row,
+    Share,
+    Want,
+    share_out,
+)
 from cedarshift.judge.spending import PARTS, Bucket, Wishes
 from cedarshift.rehearsal.planted import PLANTED, found
 from cedarshift.rehearsal.shares import explore, play
@@ -28,14 +41,18 @@
 
 
 @settings(max_examples=300, deadline=None)
-@given(st.integers(0, 60), st.lists(st.tuples(st.integers(0, 25), st.integers(1, 4)), min_size=1, max_size=7), st.integers(0, 9))
+@given(
+    st.integers(0, 60),
+    st.lists(st.tuples(st.integers(0, 25), st.integers(1, 4)), min_size=1, max_size=7),
+    st.integers(0, 9),
+)
 def test_a_division_is_max_min_to_the_part_and_wastes_none(whole, rows, turn):
     wants = {f"n{at}": want for at, (want, _) in enumerate(rows)}
     weights = {f"n{at}": weight for at, (_, weight) in enumerate(rows)}
     got = share_out(whole, wants, weights, turn)
     assert sum(got.values()) == min(whole, sum(wants.values()))
     assert all(0 <= got[name] <= wants[name] for name in wants)
-    for poor in wants:                       # nobody with more for its weight than one that wants more, beyond a part
+    for poor in wants:  # nobody with more for its weight than one that wants more, beyond a part
         if got[poor] < wants[poor]:
             assert all(got[rich] - 1 <= (got[poor] + 1) * weights[rich] / weights[poor] for rich in wants)
 
@@ -44,19 +61,33 @@
 @given(st.integers(0, 40), st.lists(st.integers(0, 20), min_size=1, max_size=6))
 def test_equal_weights_give_what_one_part_at_a_time_gives(whole, wants):
     named = {f"n{at}": want for at, want in enumerate(wants)}
-    assert sorted(share_out(whole, named).values()) == sorted(fill(whole, named, dict.fromkeys(named, 1)).values())
+    assert sorted(share_out(whole, named).values()) == sorted(
+        fill(whole, named, dict.fromkeys(named, 1)).values()
+    )
 
 
 def test_who_is_one_token_short_changes_with_the_turn():
-    assert {name for turn in range(3) for name, got in share_out(1, {"a": 1, "b": 1, "c": 1}, turn=turn).items() if got} == {"a", "b", "c"}
-
-
-@pytest.mark.parametrize("budgets, blamed, what", [
-    ([Budget("a", 5, 2)], "a", "sum to 6"), ([Budget("a", 5, within="b")], "a", "no budget"),
-    ([Budget("a", 5, within="b"), Budget("b", 5, within="a")], "a", "leads back"),
-    ([Budget("all", 5, 1), Budget("a", 5, within="all")], "all", "no meaning"),
-    ([Budget("all", 5), Budget("a", 6, within="all")], "a", "over that of"), ([Budget("a", 0)], "a", "nothing to divide"),
-    ([Budget("all", 5), Budget("a", 4, 1, "all"), Budget("b", 4, 1, "all")], "all", "sum to 6"), ([Budget("a", 3, weight=0)], "a", "weight")])
+    assert {
+        name
+        for turn in range(3)
+        for name, got in share_out(1, {"a": 1, "b": 1, "c": 1}, turn=turn).items()
+        if got
+    } == {"a", "b", "c"}
+
+
+@pytest.mark.parametrize(
+    "budgets, blamed, what",
+    [
+        ([Budget("a", 5, 2)], "a", "sum to 6"),
+        ([Budget("a", 5, within="b")], "a", "no budget"),
+        ([Budget("a", 5, within="b"), Budget("b", 5, within="a")], "a", "leads back"),
+        ([Budget("all", 5, 1), Budget("a", 5, within="all")], "all", "no meaning"),
+        ([Budget("all", 5), Budget("a", 6, within="all")], "a", "over that of"),
+        ([Budget("a", 0)], "a", "nothing to divide"),
+        ([Budget("all", 5), Budget("a", 4, 1, "all"), Budget("b", 4, 1, "all")], "all", "sum to 6"),
+        ([Budget("a", 3, weight=0)], "a", "weight"),
+    ],
+)
 def test_a_plan_that_cannot_hold_is_refused_with_the_budget_to_blame(budgets, blamed, what):
     with pytest.raises(Refusal, match=what) as refused:
         Plan(budgets, 3)
@@ -64,21 +95,31 @@
 
 
 def test_a_higher_priority_is_filled_first_and_weights_divide_the_rest():
-    plan = Plan([Budget("all", 12), Budget("first", 4, within="all"), Budget("b", 12, within="all", priority=1, weight=3),
-                 Budget("c", 12, within="all", priority=1)], 0)
+    plan = Plan(
+        [
+            Budget("all", 12),
+            Budget("first", 4, within="all"),
+            Budget("b", 12, within="all", priority=1, weight=3),
+            Budget("c", 12, within="all", priority=1),
+        ],
+        0,
+    )
     got = plan.targets({"first": {"x": 9}, "b": {"x": 12, "y": 12}, "c": {"y": 12}}, {"all": 12})
     assert got == {"first": {"x": 4}, "b": {"x": 3, "y": 3}, "c": {"y": 2}}
 
 
 # ---- rights
 
+
 class Pair:
     """A giver with holders that hear at once."""
 
     def __init__(self, *budgets, names="pq", now=0):
         self.plan = Plan(budgets, len(names))
         self.giver = Giver(self.plan, LEASE, 7, now)
-        self.holders = {name: Holder({b.name: b.floor for b in budgets}, at + 1, 0.02) for at, name in enumerate(names)}
+        self.holders = {
+            name: Holder({b.name: b.floor for b in budgets}, at + 1, 0.02) for at, name in enumerate(names)
+        }
         for holder in self.holders.values():
             holder.joined(7)
 
@@ -114,7 +155,7 @@
     pair = Pair(Budget("a", 10))
     pair.ask(LEASE, "p", a=10)
     pair.ask(LEASE, "q", a=10)
-    pair.ask(LEASE + 1, "p", a=10)           # it hears that it has five, and has not said so
+    pair.ask(LEASE + 1, "p", a=10)  # it hears that it has five, and has not said so
     pair.ask(LEASE + 2, "q", a=10)
     assert (pair.holders["p"].right(LEASE + 2, "a"), pair.holders["q"].right(LEASE + 2, "a")) == (5, 0)
     pair.ask(LEASE + 3, "p", a=10)
@@ -141,7 +182,7 @@
 def test_a_giver_that_starts_again_prolongs_what_is_presented_and_no_more():
     pair = Pair(Budget("a", 10))
     pair.ask(LEASE, "p", a=4)
-    pair.giver = Giver(pair.plan, LEASE, 8, LEASE + 1)       # its disk was lost
+    pair.giver = Giver(pair.plan, LEASE, 8, LEASE + 1)  # its disk was lost
     holder = pair.holders["p"]
     holder.joined(8)
     number, wants = holder.ask(LEASE + 2, {"a": 10})
@@ -172,6 +213,7 @@
 
 # ---- a pilot between
 
+
 def test_a_pilot_hands_on_no_longer_than_its_own_right_and_its_floor_for_good():
     hub = Hub(Plan([Budget("a", 10, 2)], 1), 5, 0.02, SECOND, -SECOND)
     asked = [hub.giver.ask(0, "x", 1, 5, 1, [Want("a", 9)])[0][0]]
@@ -199,6 +241,7 @@
 
 # ---- the disk
 
+
 def test_shares_outlive_the_process_and_void_ones_are_dropped(tmp_path):
     ledger = ShareLedger(str(tmp_path / "shares"))
     rows = [Row("a", "p", 1, 3, 10, LEASE), Row("a", "q", 2, 1, 4, LEASE)]
@@ -229,6 +272,7 @@
 
 # ---- spending
 
+
 @settings(max_examples=100, deadline=None)
 @given(st.lists(st.tuples(st.integers(0, SECOND), st.integers(0, 20)), max_size=40))
 def test_a_bucket_never_passes_rate_times_span_and_burst(steps):
@@ -271,6 +315,7 @@
 
 # ---- all orders of events, and days by seed
 
+
 def test_every_order_of_a_few_events_keeps_the_whole():
     got = explore(8, 25_000)
     assert not got.broken and got.states > 20_000
--- a/tests/test_claims.py
+++ b/tests/test_claims.py
@@ -1,4 +1,5 @@
 """Claims: by themselves with messages lost, late and doubled; and with a store and pilots as processes, killed, stopped, cut off."""
+
 import dataclasses
 import json
 import math
@@ -7,8 +8,8 @@
 import time
 
 import pytest
-
 import spenders
+
 from cedarshift.brain import OWNED, Pilot
 from cedarshift.budgets.rights import Fleet, FleetRights
 from cedarshift.interface import Entry, OpType, Terms
@@ -35,15 +36,27 @@
     assert giver.ask(10 + LEASE, "b", 2, 7, 2, [Wish("e", False)]) == [Claim("e", LEASE)]
 
 
-@pytest.mark.parametrize("asks, gets", [
-    ([("a", 1, 7, 1, ["e"]), ("a", 1, 7, 2, []), ("b", 2, 7, 1, ["e"])], [1, 0, 1]),       # named no more: free
-    ([("a", 1, 7, 2, ["e"]), ("a", 1, 7, 1, []), ("b", 2, 7, 1, ["e"])], [1, 0, 0]),       # the late word frees nothing
-    ([("a", 1, 7, 1, ["e"]), ("a", 9, 7, 1, ["e"])], [1, 0]),                              # another life of one name
-    ([("a", 1, 6, 1, ["e"]), ("b", 2, 7, 1, ["e"])], [0, 1]),                              # asked under a former era
-])
+@pytest.mark.parametrize(
+    "asks, gets",
+    [
+        (
+            [("a", 1, 7, 1, ["e"]), ("a", 1, 7, 2, []), ("b", 2, 7, 1, ["e"])],
+            [1, 0, 1],
+        ),  # named no more: free
+        (
+            [("a", 1, 7, 2, ["e"]), ("a", 1, 7, 1, []), ("b", 2, 7, 1, ["e"])],
+            [1, 0, 0],
+        ),  # the late word frees nothing
+        ([("a", 1, 7, 1, ["e"]), ("a", 9, 7, 1, ["e"])], [1, 0]),  # another life of one name
+        ([("a", 1, 6, 1, ["e"]), ("b", 2, 7, 1, ["e"])], [0, 1]),  # asked under a former era
+    ],
+)
 def test_what_an_ask_takes_and_frees(asks, gets):
     giver = ClaimGiver(LEASE, 7, 0)
-    assert [len(giver.ask(10 + at, *ask[:4], [Wish(thing, False) for thing in ask[4]])) for at, ask in enumerate(asks)] == gets
+    assert [
+        len(giver.ask(10 + at, *ask[:4], [Wish(thing, False) for thing in ask[4]]))
+        for at, ask in enumerate(asks)
+    ] == gets
 
 
 def test_a_life_that_left_frees_all_and_its_late_ask_takes_nothing():
@@ -75,7 +88,9 @@
 def test_an_ask_names_no_more_than_a_giver_takes():
     assert len(ClaimHolder(DRIFT).ask(0, 1, [str(n) for n in range(2 * THINGS_MOST)])) == THINGS_MOST
     giver = ClaimGiver(LEASE, 7, 0)
-    assert len(giver.ask(1, "a", 1, 7, 1, [Wish(str(n), False) for n in range(2 * THINGS_MOST)])) == THINGS_MOST
+    assert (
+        len(giver.ask(1, "a", 1, 7, 1, [Wish(str(n), False) for n in range(2 * THINGS_MOST)])) == THINGS_MOST
+    )
 
 
 def play(seed, holder_class=ClaimHolder, giver_class=ClaimGiver):
@@ -93,7 +108,16 @@
             if ask is not None:
                 claims = giver.ask(int(now), f"p{who}", one_life, *ask, body)
                 for _ in range(chance.choice([0, 1, 1, 1, 2])):
-                    post.append((now + chance.choice([1_000, 200_000, 900_000]), chance.random(), who, one_life, None, (era, ask[1], claims)))
+                    post.append(
+                        (
+                            now + chance.choice([1_000, 200_000, 900_000]),
+                            chance.random(),
+                            who,
+                            one_life,
+                            None,
+                            (era, ask[1], claims),
+                        )
+                    )
             elif one_life == lives[who] and now >= stopped[who]:
                 told, number, claims = body
                 if told != eras[who]:
@@ -116,7 +140,16 @@
                 drawn[who] += 1
                 wishes = holders[who].ask(int(now * speed[who]), drawn[who], wanted[who])
                 for _ in range(chance.choice([0, 1, 1, 1, 2])):
-                    post.append((now + chance.choice([1_000, 100_000, 700_000]), chance.random(), who, lives[who], (eras[who], drawn[who]), wishes))
+                    post.append(
+                        (
+                            now + chance.choice([1_000, 100_000, 700_000]),
+                            chance.random(),
+                            who,
+                            lives[who],
+                            (eras[who], drawn[who]),
+                            wishes,
+                        )
+                    )
         for thing in "ef":
             those = [who for who in range(3) if thing in holders[who].held(int(now * speed[who]))]
             had.update((who, thing, lives[who]) for who in those)
@@ -136,7 +169,9 @@
         asked_at = self.asked.get(number)
         super().hear(now, number, claims)
         if asked_at is not None:
-            self.until.update({claim.thing: now + claim.span for claim in claims if claim.thing in self.until})
+            self.until.update(
+                {claim.thing: now + claim.span for claim in claims if claim.thing in self.until}
+            )
 
 
 class NoDrift(ClaimHolder):
@@ -162,8 +197,6 @@
         return super().ask(now, holder, life, era, number, wishes)
 
 
-
-
 @pytest.mark.parametrize("planted", [LateEnd, NoDrift, AnyAnswer, NoWait, LateFrees])
 def test_planted_faults_are_found(planted):
     kinds = {"holder_class": planted} if issubclass(planted, ClaimHolder) else {"giver_class": planted}
@@ -173,7 +206,9 @@
 def test_the_first_by_lot_asks_at_once_and_the_next_a_step_later():
     names, things = ["p0", "p1", "p2"], [f"e{n}" for n in range(30)]
     turns = {name: Turns(name, 100) for name in names}
-    at = {now: [turns[name].wishes(now, things, names, frozenset()) for name in names] for now in (0, 100, 200)}
+    at = {
+        now: [turns[name].wishes(now, things, names, frozenset()) for name in names] for now in (0, 100, 200)
+    }
     assert sorted(sum(at[0], [])) == sorted(things)
     assert [sum(thing in one for one in at[100]) for thing in things] == [2] * 30
     assert [sum(thing in one for one in at[200]) for thing in things] == [3] * 30
@@ -184,13 +219,14 @@
 
 # ---- what the module is told
 
+
 def test_rights_end_before_a_decision_is_made_on_them():
     found, told = rights()
     found.wishes(0, 1)
     found.hear(10, 1, [Claim("e", LEASE)])
     found.settle(20)
     assert told[-1] == {"": math.inf, "*": 0.0, "e": 1.0}
-    found.settle(5 * LEASE)                  # it was stopped for long: nothing else was called
+    found.settle(5 * LEASE)  # it was stopped for long: nothing else was called
     assert told[-1] == {"": math.inf, "*": 0.0}
 
 
@@ -199,7 +235,7 @@
     found.wishes(0, 1)
     found.hear(10, 1, [Claim("e", LEASE)])
     found.fleet = found.fleet._replace(in_charge=lambda: False)
-    assert found.wishes(20, 2) == [Wish("e", True)]         # the charge may be given anew in a moment
+    assert found.wishes(20, 2) == [Wish("e", True)]  # the charge may be given anew in a moment
     found.hear(30, 2, [Claim("e", 2 * LEASE)])
     assert found.wishes(LEASE + 20, 3) == [] and told[-1] == {"": math.inf, "*": 0.0}
 
@@ -217,10 +253,23 @@
 
 def module(right, cold=False):
     """Eight endpoints of which one has all slices and is jammed; `cold`: one of the others has just come."""
-    pilot = Pilot(Terms(op_types=(OpType("get", 20_000, 60_000, True, False),), slices=16, single_owner=False, warm_within=600_000, cold_share=0.5, tip_multiple=3.0, report_period=10_000, pilots=2,
-                        place=0))
+    pilot = Pilot(
+        Terms(
+            op_types=(OpType("get", 20_000, 60_000, True, False),),
+            slices=16,
+            single_owner=False,
+            warm_within=600_000,
+            cold_share=0.5,
+            tip_multiple=3.0,
+            report_period=10_000,
+            pilots=2,
+            place=0,
+        )
+    )
     started = 1 if cold else None
-    pilot.on_list(1, "replace", [Entry(f"e{n}", "on", 1.0, "", started if n == 7 else None) for n in range(8)])
+    pilot.on_list(
+        1, "replace", [Entry(f"e{n}", "on", 1.0, "", started if n == 7 else None) for n in range(8)]
+    )
     for n in range(16):
         pilot.on_given(1, n, True)
         pilot.on_held(1, n, "e0")
@@ -249,13 +298,15 @@
 @pytest.mark.parametrize("right, most", [({"": 0}, 0), ({"": 1}, 1), ({"": math.inf}, 2), (None, 2)])
 def test_the_module_has_no_more_moves_under_way_than_its_right(right, most):
     pilot = module(right)
-    pilot.lease = pilot.settle = 30_000      # so that moves take a while
+    pilot.lease = pilot.settle = 30_000  # so that moves take a while
     pilot.single = True
     got, went = moved(pilot)
     assert got == most and (went > 0) == (most > 0)
 
 
-@pytest.mark.parametrize("right, room", [({"*": 0.0}, False), ({"*": 0.0, "e7": 1.0}, True), ({"": 5}, None), (None, None)])
+@pytest.mark.parametrize(
+    "right, room", [({"*": 0.0}, False), ({"*": 0.0, "e7": 1.0}, True), ({"": 5}, None), (None, None)]
+)
 def test_a_cold_endpoint_has_room_for_who_claims_it_and_by_lot_where_nobody_does(right, room):
     pilot = module(right, cold=True)
     pilot.on_alarm(2, pilot.beat)
@@ -265,6 +316,7 @@
     has = pilot._room_at(endpoint, 3) > 0
     assert has == (endpoint.ours if room is None else room)
 
+
 @pytest.mark.parametrize("held, most", [(2, 2), (1_000, None)])
 def test_moves_of_the_whole_fleet_stay_within_what_may_be_held(monkeypatch, tmp_path, held, most):
     """A busy deploy on the virtual clock; with room for a thousand the pilots have more under way than two at a time."""
@@ -274,21 +326,39 @@
         settle(self, now)
         under_way[self.turns.me] = self.fleet.moves()
         worst[0] = max(worst[0], sum(under_way.values()))
+
     monkeypatch.setattr(FleetRights, "settle", seen)
     day = load_day("deploy-dead-pilot")
     terms = day.deployment.budgets
-    named = {name: dataclasses.replace(one, held=held, floor=0.0) if one.use == "handovers" else one for name, one in terms.named.items()}
+    named = {
+        name: dataclasses.replace(one, held=held, floor=0.0) if one.use == "handovers" else one
+        for name, one in terms.named.items()
+    }
     deployment = dataclasses.replace(day.deployment, budgets=dataclasses.replace(terms, named=named))
-    report = play_day(dataclasses.replace(day, rate=220.0, faults=(), length=20_000_000, deployment=deployment), str(tmp_path), 1, None, virtual=True, page=False)
+    report = play_day(
+        dataclasses.replace(day, rate=220.0, faults=(), length=20_000_000, deployment=deployment),
+        str(tmp_path),
+        1,
+        None,
+        virtual=True,
+        page=False,
+    )
     assert worst[0] == most if most else worst[0] > 2
     assert [rule["rule"] for rule in report["rules"] if not rule["held"]] == []
 
 
 # ---- with processes
 
-TEXT = spenders.TEXT.replace("slices = 0", "slices = 12\n  single_owner = false").replace('"4s"', '"1400ms"').replace(
-    "  list {{", '  rules {{\n    warm_within = "60s"\n    cold_share = 0.2\n  }}\n  list {{').replace(
-    "budgets {{\n", "budgets {{\n    claim_cold = true\n    budget \"moves\" {{\n      use = \"handovers\"\n      held = 4\n      floor = 1\n    }}\n", 1)
+TEXT = (
+    spenders.TEXT.replace("slices = 0", "slices = 12\n  single_owner = false")
+    .replace('"4s"', '"1400ms"')
+    .replace("  list {{", '  rules {{\n    warm_within = "60s"\n    cold_share = 0.2\n  }}\n  list {{')
+    .replace(
+        "budgets {{\n",
+        'budgets {{\n    claim_cold = true\n    budget "moves" {{\n      use = "handovers"\n      held = 4\n      floor = 1\n    }}\n',
+        1,
+    )
+)
 COLD = [f"c{n}" for n in range(8)]
 
 
@@ -298,15 +368,21 @@
     def __init__(self, folder, **named):
         super().__init__(folder, spenders=0, text=TEXT, **named)
         self.until(lambda: all(self.ask(name) for name in self.names), 20)
-        self.until(lambda: sum(len(self.log(name, "given")) > 0 for name in self.names) == len(self.names), 20)
+        self.until(
+            lambda: sum(len(self.log(name, "given")) > 0 for name in self.names) == len(self.names), 20
+        )
         time.sleep(2 * spenders.LEASE)
-        entries = [{"endpoint": "e", "phase": "on", "start": "1"}, *({"endpoint": one, "phase": "on", "start": "2"} for one in COLD)]
+        entries = [
+            {"endpoint": "e", "phase": "on", "start": "1"},
+            *({"endpoint": one, "phase": "on", "start": "2"} for one in COLD),
+        ]
         (folder / "next.json").write_text(json.dumps({"endpoints": entries}))
         (folder / "next.json").replace(folder / "list.json")
         self.until(self.all_held, 20)
 
     def ask(self, name):
         import urllib.request
+
         try:
             with urllib.request.urlopen(f"http://127.0.0.1:{self.admin[name]}/budgets", timeout=2) as reply:
                 return json.load(reply)
@@ -314,7 +390,12 @@
             return None
 
     def held(self, *names):
-        return [(name, one) for name in names or self.names if name in self.running for one in (self.ask(name) or {"claims": []})["claims"]]
+        return [
+            (name, one)
+            for name in names or self.names
+            if name in self.running
+            for one in (self.ask(name) or {"claims": []})["claims"]
+        ]
 
     def all_held(self, *names):
         return sorted(one for _, one in self.held(*names)) == COLD
@@ -335,9 +416,18 @@
                     open_ones[row["endpoint"]] = row["at_us"]
                 elif row["endpoint"] in open_ones:
                     begin = open_ones.pop(row["endpoint"])
-                    found.append((row["endpoint"], begin, min([row["at_us"], *(end for end in ends.get(name, ()) if end > begin)]), name))
-            found += [(one, begin, min((end for end in ends.get(name, ()) if end > begin), default=1 << 62), name)
-                      for one, begin in open_ones.items()]
+                    found.append(
+                        (
+                            row["endpoint"],
+                            begin,
+                            min([row["at_us"], *(end for end in ends.get(name, ()) if end > begin)]),
+                            name,
+                        )
+                    )
+            found += [
+                (one, begin, min((end for end in ends.get(name, ()) if end > begin), default=1 << 62), name)
+                for one, begin in open_ones.items()
+            ]
         return sorted(found)
 
     def alone(self, **ends):
@@ -353,12 +443,15 @@
     def build(**named):
         made.append(Warming(tmp_path, **named))
         return made[-1]
+
     yield build
     for one in made:
         one.end()
 
 
-SETTLED = 1.0             # s; a claim is begun, and written to the log, at the pilot's next beat after it has heard of it
+SETTLED = (
+    1.0  # s; a claim is begun, and written to the log, at the pilot's next beat after it has heard of it
+)
 
 
 def now_us():
@@ -375,11 +468,12 @@
 
     def taken_by_others():
         return [begin for one, begin, _, name in w.spans({"p1": [at]}) if one in had and name != "p1"]
+
     w.until(lambda: len(taken_by_others()) == len(had), SETTLED)
     good, spans = w.alone(p1=[at])
     assert good, spans
     taken = taken_by_others()
-    assert len(taken) == len(had) and min(taken) > at + 1_000_000      # not before its lease had run out
+    assert len(taken) == len(had) and min(taken) > at + 1_000_000  # not before its lease had run out
 
 
 def test_a_stopped_pilot_has_nothing_left_when_it_wakes(warming):
--- a/tests/test_codec.py
+++ b/tests/test_codec.py
@@ -1,13 +1,25 @@
 import pytest
 
-from cedarshift.codec import (Badge, BadBody, BadVersion, FrameTooLarge, OutOfOrder, PeerClosed, Refused, Session,
-                              TooManyMessages, UnknownKind)
+from cedarshift.codec import (
+    BadBody,
+    Badge,
+    BadVersion,
+    FrameTooLarge,
+    OutOfOrder,
+    PeerClosed,
+    Refused,
+    Session,
+    TooManyMessages,
+    UnknownKind,
+)
 from cedarshift.codec import messages as m
 from cedarshift.codec.frames import ENCODER, HEAD, Frames, encode, encode_order, pack_rows
 
 
 def pair(pilot=None, proxy=None, **limits):
-    accepts = Session(pilot or Badge("d", "pilot", "p0", "", b"s" * 16), lambda hello: m.Welcome(1), b"challenge", **limits)
+    accepts = Session(
+        pilot or Badge("d", "pilot", "p0", "", b"s" * 16), lambda hello: m.Welcome(1), b"challenge", **limits
+    )
     dials = Session(proxy or Badge("d", "proxy", "x", "z", b"s" * 16))
     accepts.start()
     return accepts, dials
@@ -19,15 +31,24 @@
     dials.receive(0, accepts.take_outbox())
 
 
-@pytest.mark.parametrize("message", [
-    m.Hello("d", "proxy", "x", "z", b"\0\xff"), m.Order(3, 9, [m.Line(1, "a", 0.5, 7)], [m.Level(1, 2, 0.25, 1, 7)], 5),
-    m.Snapshot([m.Held(1, 2, 3, "a", [m.Level(1, 2, 0.0)])]), m.Sums([m.Met("a", 4, 1, 20, 30)], [m.Heat(1, 0, 3, 1, 30)]),
-    m.Commit(4, [m.Write(1, 2, None, [])]), m.Committed(4, [m.Denied(1, 2, "epoch")]), m.Take([1, 2], 9), m.Leave()])
+@pytest.mark.parametrize(
+    "message",
+    [
+        m.Hello("d", "proxy", "x", "z", b"\0\xff"),
+        m.Order(3, 9, [m.Line(1, "a", 0.5, 7)], [m.Level(1, 2, 0.25, 1, 7)], 5),
+        m.Snapshot([m.Held(1, 2, 3, "a", [m.Level(1, 2, 0.0)])]),
+        m.Sums([m.Met("a", 4, 1, 20, 30)], [m.Heat(1, 0, 3, 1, 30)]),
+        m.Commit(4, [m.Write(1, 2, None, [])]),
+        m.Committed(4, [m.Denied(1, 2, "epoch")]),
+        m.Take([1, 2], 9),
+        m.Leave(),
+    ],
+)
 @pytest.mark.parametrize("cut", [1, 3, 1000])
 def test_a_message_survives_the_wire_cut_anywhere(message, cut):
     frames, data, got = Frames(), encode(message) * 2, []
     for at in range(0, len(data), cut):
-        frames.feed(data[at:at + cut])
+        frames.feed(data[at : at + cut])
         got += frames.messages()
     assert got == [message, message]
 
@@ -39,12 +60,19 @@
     assert list(frames.messages()) == [order]
 
 
-@pytest.mark.parametrize("data, error", [
-    (HEAD.pack(2 << 30, 17, 1), FrameTooLarge), (HEAD.pack(2, 17, 9), BadVersion), (HEAD.pack(2, 250, 1), UnknownKind),
-    (HEAD.pack(1, 17, 1), BadBody), (HEAD.pack(5, 21, 1) + b"\xc1\xc1\xc1", BadBody),
-    (HEAD.pack(2, 21, 1), BadBody),
-    (encode(m.Sums([m.Met("a", 1, 1, 1, 1)])).replace(b"\x97\xa1a\x01", b"\x97\xa1a\xff"), BadBody),
-    (b"\xff" * 6, FrameTooLarge)])
+@pytest.mark.parametrize(
+    "data, error",
+    [
+        (HEAD.pack(2 << 30, 17, 1), FrameTooLarge),
+        (HEAD.pack(2, 17, 9), BadVersion),
+        (HEAD.pack(2, 250, 1), UnknownKind),
+        (HEAD.pack(1, 17, 1), BadBody),
+        (HEAD.pack(5, 21, 1) + b"\xc1\xc1\xc1", BadBody),
+        (HEAD.pack(2, 21, 1), BadBody),
+        (encode(m.Sums([m.Met("a", 1, 1, 1, 1)])).replace(b"\x97\xa1a\x01", b"\x97\xa1a\xff"), BadBody),
+        (b"\xff" * 6, FrameTooLarge),
+    ],
+)
 def test_a_bad_frame_is_a_named_error_and_a_bye(data, error):
     accepts, dials = pair()
     shake(accepts, dials)
@@ -61,10 +89,16 @@
     assert list(frames.messages()) == [m.Beat(4)]
 
 
-@pytest.mark.parametrize("badge, reason", [
-    (Badge("other", "proxy", "x", "z", b"s" * 16), "deployment"), (Badge("d", "proxy", "x", "z", b"t" * 16), "proof"),
-    (Badge("d", "proxy", "x", "z"), "proof"), (Badge("d", "proxy", "x" * 200, "z", b"s" * 16), "characters"),
-    (Badge("d", "proxy", "x\n", "z", b"s" * 16), "characters")])
+@pytest.mark.parametrize(
+    "badge, reason",
+    [
+        (Badge("other", "proxy", "x", "z", b"s" * 16), "deployment"),
+        (Badge("d", "proxy", "x", "z", b"t" * 16), "proof"),
+        (Badge("d", "proxy", "x", "z"), "proof"),
+        (Badge("d", "proxy", "x" * 200, "z", b"s" * 16), "characters"),
+        (Badge("d", "proxy", "x\n", "z", b"s" * 16), "characters"),
+    ],
+)
 def test_a_wrong_hello_is_refused_with_the_reason(badge, reason):
     accepts, dials = pair(proxy=badge)
     with pytest.raises(Refused, match=reason):
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -1,15 +1,29 @@
 """Two events that cross at the door to the platform, on real sockets, the order of them made by the test."""
+
 import pytest
+from scripted_peers import (
+    CHUNKED,
+    SECOND,
+    Server,
+    Stage,
+    SteppedLoop,
+    answer,
+    call_to,
+    chunk,
+    frame,
+    news,
+    open_descriptors,
+    standing,
+    taken,
+)
 
-from cedarshift.observations import REVOKING
 from cedarshift.loop import StreamBroken
 from cedarshift.loop.epoll import SocketAttempt, SocketPipe
+from cedarshift.observations import REVOKING
 from cedarshift.platform import collectors, redial, relay
 from cedarshift.platform.collectors import Limits
-from cedarshift.web import NotSent, Pool
 from cedarshift.platform.relay import ANSWER_WITHIN
-from scripted_peers import (CHUNKED, SECOND, Server, Stage, SteppedLoop, answer, call_to, chunk, frame, news, open_descriptors,
-                            standing, taken)
+from cedarshift.web import NotSent, Pool
 
 LINE, OTHER = ("line", 0, "a", 1), ("line", 1, "b", 1)
 MARK = ("mark", 9, True)
@@ -26,6 +40,7 @@
 
 # ---- a pool's connections
 
+
 class Asking:
     """A pool on a stepped loop with a server of the test's."""
 
@@ -67,12 +82,13 @@
 
 
 def test_an_answer_that_comes_before_its_request_is_written_whole_keeps_no_connection(asking, monkeypatch):
-    send, room = SocketPipe.send, [10]       # what the kernel has room for; then it says so (EAGAIN)
+    send, room = SocketPipe.send, [10]  # what the kernel has room for; then it says so (EAGAIN)
 
     def send_what_fits(pipe, view):
-        taken = send(pipe, view[:room[0]]) if room[0] else 0
+        taken = send(pipe, view[: room[0]]) if room[0] else 0
         room[0] -= taken
         return taken
+
     monkeypatch.setattr(SocketPipe, "send", send_what_fits)
     task = asking.ask()
     peer = asking.server.accept()
@@ -86,7 +102,7 @@
 def test_an_idle_connection_that_its_peer_ends_in_the_step_that_takes_it_is_not_used(asking, how):
     peer = asking.exchange()
     peer.sock.sendall(b"HTTP/1.1 408 Too slow\r\n\r\n") if how == "say" else getattr(peer, how)()
-    task = asking.ask(b"two")                # the loop has not looked at the network since
+    task = asking.ask(b"two")  # the loop has not looked at the network since
     asking.loop.turn()
     other = asking.server.accept()
     assert other.request()[1] == b"two" and (how == "reset" or not peer.look().got)
@@ -97,7 +113,7 @@
 
 @pytest.mark.parametrize("taken_first", [True, False])
 def test_idle_closing_and_a_new_request_in_one_step_leave_one_connection_and_no_timer(taken_first):
-    asking = Asking(idle=SECOND // 2)        # less than a request may take
+    asking = Asking(idle=SECOND // 2)  # less than a request may take
     peer = asking.exchange()
     if taken_first:
         task = asking.ask(b"two")
@@ -106,14 +122,14 @@
     else:
         asking.loop.clock.time += SECOND // 2
         task = asking.ask(b"two")
-        asking.loop.turn()                   # timers run before tasks
+        asking.loop.turn()  # timers run before tasks
     other = peer if taken_first else asking.server.accept()
     assert other.request()[1] == b"two"
     other.say(answer(b"fresh"))
     asking.loop.until(lambda: task.done)
     assert task.result is not None and task.result.body == b"fresh"
     assert asking.pool.dialled == (1 if taken_first else 2) and (taken_first or peer.until_ended())
-    assert not asking.loop.reported("timer_failed")   # a timer left behind finds its connection gone
+    assert not asking.loop.reported("timer_failed")  # a timer left behind finds its connection gone
     asking.pool.close_idle()
     asking.loop.settle()
     assert asking.loop.held() == {"tasks": [], "timers": 0, "sockets": 0} and not asking.pool.free
@@ -131,7 +147,9 @@
 
 def test_a_request_that_the_kernel_refuses_has_surely_not_left(asking, monkeypatch):
     peer = asking.exchange()
-    monkeypatch.setattr(Pool, "_ended", staticmethod(lambda stream: False))   # it ends after the look, before the write
+    monkeypatch.setattr(
+        Pool, "_ended", staticmethod(lambda stream: False)
+    )  # it ends after the look, before the write
     peer.reset()
     with pytest.raises(NotSent):
         asking.loop.until(lambda: not asking.loop.ready)
@@ -140,10 +158,18 @@
         raise task.error
 
 
-@pytest.mark.parametrize("part, how", [
-    (b"", "finish"), (b"HTTP/1.1 2", "finish"), (b"HTTP/1.1 200 OK\r\nContent-Le", "reset"),
-    (answer(b"one")[:-1], "finish"), (answer(b"one", length=9), "reset"), (b"HTTP/1.1 200 OK\r\nContent-Length: x\r\n\r\n", None),
-    (b"\0\1\2\r\n\r\n", None)])
+@pytest.mark.parametrize(
+    "part, how",
+    [
+        (b"", "finish"),
+        (b"HTTP/1.1 2", "finish"),
+        (b"HTTP/1.1 200 OK\r\nContent-Le", "reset"),
+        (answer(b"one")[:-1], "finish"),
+        (answer(b"one", length=9), "reset"),
+        (b"HTTP/1.1 200 OK\r\nContent-Length: x\r\n\r\n", None),
+        (b"\0\1\2\r\n\r\n", None),
+    ],
+)
 def test_an_answer_that_breaks_off_anywhere_is_told_and_its_connection_not_kept(asking, part, how):
     task = asking.ask()
     peer = asking.server.accept()
@@ -158,6 +184,7 @@
 
 # ---- relay calls
 
+
 def test_a_call_whose_connection_is_reset_before_its_answer_is_made_again_only_without_an_ack(stage):
     stream, _ = stage.begin()
     for acked in (True, False):
@@ -195,6 +222,7 @@
 
 # ---- what stands
 
+
 def told_anew(stage, stream, gap, text):
     """The stream breaks, and after `gap` seconds a new one is answered with `text`, which is returned."""
     stream.reset()
@@ -212,19 +240,26 @@
     half = len(standing(proxies=(0,), slices={})) - len(":\n\n")
     stream = told_anew(stage, stream, 0.1, whole[:half])
     for _ in range(4):
-        stage.loop.advance(0.5)              # it was taken for all that stands long ago
+        stage.loop.advance(0.5)  # it was taken for all that stands long ago
     assert len(stage.loop.reported("standing")) == 2
-    assert all(stage.brain.proxies[n].joined for n in (0, 1, 2)) and sorted(stage.brain.slices) == [0, 1, 2, 3]
+    assert all(stage.brain.proxies[n].joined for n in (0, 1, 2)) and sorted(stage.brain.slices) == [
+        0,
+        1,
+        2,
+        3,
+    ]
     stream.say(chunk(whole[half:]))
     assert [stage.brain.proxies[n].joined for n in (0, 1, 2)] == [True, True, False]
     assert sorted(stage.brain.slices) == sorted(stage.pilot.slices) == [0, 1, 2]
     assert not stage.pilot.missing_proxies and not stage.pilot.missing_slices
 
 
-@pytest.mark.parametrize("event, joined, left", [("bye", "node=1", True), ("hello", "node=1&locality=za&w=1&cold=0", False)])
+@pytest.mark.parametrize(
+    "event, joined, left", [("bye", "node=1", True), ("hello", "node=1&locality=za&w=1&cold=0", False)]
+)
 def test_an_event_that_comes_before_the_first_sign_of_life_counts_once(stage, event, joined, left):
     stream, _ = stage.begin()
-    text = standing(proxies=(0,))[:-len(":\n\n")]
+    text = standing(proxies=(0,))[: -len(":\n\n")]
     stream = told_anew(stage, stream, 0.1, text)
     stage.loop.advance(0.1)
     stage.loop.advance(0.1)
@@ -240,19 +275,19 @@
 def test_an_order_unanswered_over_a_long_silence_is_looked_for_once_more_in_what_stands(stage, carried_out):
     """The stand was read before the relay carried out the order, whose answer is lost: only a later stand tells of it."""
     stream, _ = stage.begin()
-    stage.brain.weighed_at = 10**15          # the module decides nothing else meanwhile
+    stage.brain.weighed_at = 10**15  # the module decides nothing else meanwhile
     stage.order(("line", 0, "b", 1))
     call = stage.relay.accept()
     call.request()
     stream.reset()
     stage.loop.settle()
-    stage.loop.clock.time += ANSWER_WITHIN * 4 // 5   # before the call is given up
+    stage.loop.clock.time += ANSWER_WITHIN * 4 // 5  # before the call is given up
     stream = stage.relay.accept()
-    stage.pilot.news.heard_at -= 1_000_000   # a silence that began long before
+    stage.pilot.news.heard_at -= 1_000_000  # a silence that began long before
     stream.request()
     stream.say(CHUNKED + chunk(standing()))
     assert len(stage.loop.reported("standing")) == 2 and stage.brain.slices[0].owner == "a"
-    call.reset()                             # carried out or not: nobody says
+    call.reset()  # carried out or not: nobody says
     stage.loop.settle()
     stage.loop.advance(redial.REDIAL_MOST / SECOND)
     stream = stage.relay.accept()
@@ -279,6 +314,7 @@
 
 # ---- new addresses
 
+
 def test_an_answer_under_way_at_the_old_address_counts_and_its_connection_goes(stage):
     stage.begin()
     stage.order(LINE, MARK)
@@ -305,9 +341,9 @@
     at = 0 if which == "relay" else 1
     stage.pilot.move(stage.moved_to(*silent))
     held = silent[at].accept()
-    held.request()                           # asked, and never answered
+    held.request()  # asked, and never answered
     stage.pilot.move(stage.moved_to(*good))
-    assert good[at].accept().request()[0].startswith("GET ")   # the clock has not moved
+    assert good[at].accept().request()[0].startswith("GET ")  # the clock has not moved
     assert held.until_ended()
 
 
@@ -329,16 +365,17 @@
     stage.begin()
     poll, first = SocketAttempt.poll, set()
 
-    def not_at_once(attempt):                # as where the peer is further away than loopback
+    def not_at_once(attempt):  # as where the peer is further away than loopback
         if attempt in first:
             return poll(attempt)
         first.add(attempt)
         return None
+
     monkeypatch.setattr(SocketAttempt, "poll", not_at_once)
     before, good = (Server(stage.loop), Server(stage.loop)), (Server(stage.loop), Server(stage.loop))
     stage.pilot.move(stage.moved_to(*before))
     stage.loop.turn()
-    stage.loop.turn()                        # the streams have ended, and their tasks dial
+    stage.loop.turn()  # the streams have ended, and their tasks dial
     assert len(first) == 2 and not stage.pilot.news.stream.followed
     stage.pilot.move(stage.moved_to(*good))
     for server in good:
@@ -370,6 +407,7 @@
 
 # ---- the list
 
+
 def test_a_watch_cut_in_the_middle_of_a_line_goes_on_from_the_list_before(stage):
     _, watch = stage.begin()
     line = '{"generation":8,"reset":false,"instances":[]}\n'
@@ -380,7 +418,9 @@
     assert "index=8 " in stage.discovery.accept().request()[0]
 
 
-@pytest.mark.parametrize("status, target", [("410 Gone", "index="), ("404 Not Found", "index="), ("503 Later", None)])
+@pytest.mark.parametrize(
+    "status, target", [("410 Gone", "index="), ("404 Not Found", "index="), ("503 Later", None)]
+)
 def test_a_discovery_that_no_longer_knows_the_revision_is_asked_for_the_whole_list(stage, status, target):
     stage.relay.accept()
     first = stage.discovery.accept()
@@ -404,6 +444,7 @@
 
 # ---- the pilot's address
 
+
 def test_a_collector_that_was_quiet_may_send_its_next_report_in_pieces(stage):
     stage.begin()
     collector = stage.call().say(frame(t="agent", locality="za"))
@@ -458,7 +499,7 @@
     stage.begin()
     probe = stage.call()
     probe.sock.sendall(frame(t="probe"))
-    probe.finish()                           # before the loop has accepted it
+    probe.finish()  # before the loop has accepted it
     stage.loop.settle()
     assert probe.until(frame(t="alive")) and probe.until_ended()
     collector = stage.call()
@@ -478,12 +519,15 @@
             if aborted:
                 raise aborted.pop()
             return accept()
+
     monkeypatch.setattr(door, "sock", Aborting())
     probe = stage.call().say(frame(t="probe"))
     assert probe.until(frame(t="alive"))
 
 
-@pytest.mark.parametrize("sockets, zones, reports", [(64, 1, 10), (256, 2, 8), (1_024, 200, 300_000), (96, 60, 10)])
+@pytest.mark.parametrize(
+    "sockets, zones, reports", [(64, 1, 10), (256, 2, 8), (1_024, 200, 300_000), (96, 60, 10)]
+)
 def test_limits_follow_the_settings_and_leave_descriptors_for_the_pilot_itself(sockets, zones, reports):
     limits = Limits.of(sockets, zones, reports)
     assert limits.unjoined + limits.joined <= sockets * 3 // 4
@@ -496,10 +540,16 @@
     stage.begin(zone="")
     collector = stage.call().say(frame(t="agent", locality=""))
     collector.say(frame(**{**MET, "locality": ""}))
-    assert stage.pilot.collectors.counts == {**stage.pilot.collectors.counts, "reports": 1, "spoilt": 0, "sent_away": 0}
+    assert stage.pilot.collectors.counts == {
+        **stage.pilot.collectors.counts,
+        "reports": 1,
+        "spoilt": 0,
+        "sent_away": 0,
+    }
     assert len(stage.brain.endpoints["a"].samples) == 1
 
 
 def a_settings():
     from platform_parts import SETTINGS
+
     return SETTINGS
--- a/tests/test_deployment.py
+++ b/tests/test_deployment.py
@@ -18,18 +18,28 @@
     return [str(p).split("f.hcl", 1)[1] for p in found.value.problems]
 
 
-@pytest.mark.parametrize("old, new, line, said", [
-    ('"6s"', '"6 s"', 10, 'op_timeout = "6 s" in op_type "tile-fetch"'), ("slices       = 32", "slices = -1", 3, "from 0 to"),
-    ("slices       =", "slicez =", 3, "slicez is unknown"), ("repeats        = \"once-only\"\n", "", 14, "repeats is missing"),
-    ("32", "1 + 2", 3, "only plain values"), ("32", "", 3, "not HCL"), ('pick         = "even"', 'pick = "odd"', 6, '"chance"'),
-    ('"127.0.0.1:7180"', '"127.0.0.1:99999"', 24, "an address such as"), ('zone   = "north"', 'zone = "mars"', 25, "mars"),
-    ('"127.0.0.1:7180"', '"127.0.0.1:7100"', 22, "is the address of pilot p0 and of admin of p0"),
-    ('"3200ms"', '"2s"', 36, "in_flight_most is under the op_timeout of 'tile-order'"),
-    ('  list {\n    file = "lone-endpoints.json"\n  }\n', "", 2, "0 blocks list"),
-    ('file = "lone', 'service = "127.0.0.1:1"\n    file = "lone', 32, "either service or file"),
-    ('pilot "p0" {', 'pilot {', 22, "has 0 names"), ("writes         = true", "writes = 1", 19, "true or false"),
-    ("zones        =", 'slices = 3\n  zones =', 4, "slices is set twice"),
-    ('slices       = 32', 'slices = 32\n  secret_file = "gone"', 4, "No such file")])
+@pytest.mark.parametrize(
+    "old, new, line, said",
+    [
+        ('"6s"', '"6 s"', 10, 'op_timeout = "6 s" in op_type "tile-fetch"'),
+        ("slices       = 32", "slices = -1", 3, "from 0 to"),
+        ("slices       =", "slicez =", 3, "slicez is unknown"),
+        ('repeats        = "once-only"\n', "", 14, "repeats is missing"),
+        ("32", "1 + 2", 3, "only plain values"),
+        ("32", "", 3, "not HCL"),
+        ('pick         = "even"', 'pick = "odd"', 6, '"chance"'),
+        ('"127.0.0.1:7180"', '"127.0.0.1:99999"', 24, "an address such as"),
+        ('zone   = "north"', 'zone = "mars"', 25, "mars"),
+        ('"127.0.0.1:7180"', '"127.0.0.1:7100"', 22, "is the address of pilot p0 and of admin of p0"),
+        ('"3200ms"', '"2s"', 36, "in_flight_most is under the op_timeout of 'tile-order'"),
+        ('  list {\n    file = "lone-endpoints.json"\n  }\n', "", 2, "0 blocks list"),
+        ('file = "lone', 'service = "127.0.0.1:1"\n    file = "lone', 32, "either service or file"),
+        ('pilot "p0" {', "pilot {", 22, "has 0 names"),
+        ("writes         = true", "writes = 1", 19, "true or false"),
+        ("zones        =", "slices = 3\n  zones =", 4, "slices is set twice"),
+        ("slices       = 32", 'slices = 32\n  secret_file = "gone"', 4, "No such file"),
+    ],
+)
 def test_every_error_has_its_line_and_what_is_allowed(tmp_path, old, new, line, said):
     assert old in GOOD
     problems = refused(tmp_path, GOOD.replace(old, new, 1))
@@ -37,11 +47,20 @@
 
 
 def test_all_problems_are_told_at_once(tmp_path):
-    assert len(refused(tmp_path, GOOD.replace('"6s"', "6").replace("= 32", '= "x"').replace('"even"', '"odd"'))) == 3
-
-
-@pytest.mark.parametrize("path", ["examples/lone.hcl", "cedarshift/rehearsal/days/deployment-tiles.hcl",
-                                  "cedarshift/rehearsal/days/deployment-cyclone.hcl"])
+    assert (
+        len(refused(tmp_path, GOOD.replace('"6s"', "6").replace("= 32", '= "x"').replace('"even"', '"odd"')))
+        == 3
+    )
+
+
+@pytest.mark.parametrize(
+    "path",
+    [
+        "examples/lone.hcl",
+        "cedarshift/rehearsal/days/deployment-tiles.hcl",
+        "cedarshift/rehearsal/days/deployment-cyclone.hcl",
+    ],
+)
 def test_a_rendered_deployment_reads_back_as_the_same(tmp_path, path):
     before = load(path)
     out = tmp_path / "out.hcl"
@@ -56,22 +75,53 @@
     assert changes(load("examples/lone.hcl"), load(str(path))) == (["intake_per_s"], ["slices"])
 
 
-@pytest.mark.parametrize("name", ["quiet", "bad-day", "cyclone-morning", "broken", "newcomer-cold", "newcomer-taught",
-                                  "newcomer-spared", "newcomer-misled", "newcomer-alone", "budgets-day", "flood", "retry-storm", "probe-storm",
-                                  "herd", "half-blind", "stopped", "slow-many", "surge-quiet", "surge-mix", "zk-rolling-deploy",
-                                  "zk-expiry-storm", "zk-losses", "file-losses", "list-losses"])
+@pytest.mark.parametrize(
+    "name",
+    [
+        "quiet",
+        "bad-day",
+        "cyclone-morning",
+        "broken",
+        "newcomer-cold",
+        "newcomer-taught",
+        "newcomer-spared",
+        "newcomer-misled",
+        "newcomer-alone",
+        "budgets-day",
+        "flood",
+        "retry-storm",
+        "probe-storm",
+        "herd",
+        "half-blind",
+        "stopped",
+        "slow-many",
+        "surge-quiet",
+        "surge-mix",
+        "zk-rolling-deploy",
+        "zk-expiry-storm",
+        "zk-losses",
+        "file-losses",
+        "list-losses",
+    ],
+)
 def test_the_days_that_come_with_the_program_are_sound(name):
     assert load_day(name).name == name
 
 
-@pytest.mark.parametrize("fault, said", [
-    ('fault "flood" { at = "1s" }', "fault 'flood' is unknown; known: "),
-    ('fault "hang" { at = "1s" }', 'for is missing in fault "hang"'),
-    ('fault "hang" {\n at = "99s"\n for = "1s"\n }', "begins after the day's end"),
-    ('fault "kill_proxy" {\n at = "1s"\n for = "1s"\n which = 7\n }', "which = 7, there are 5")])
+@pytest.mark.parametrize(
+    "fault, said",
+    [
+        ('fault "flood" { at = "1s" }', "fault 'flood' is unknown; known: "),
+        ('fault "hang" { at = "1s" }', 'for is missing in fault "hang"'),
+        ('fault "hang" {\n at = "99s"\n for = "1s"\n }', "begins after the day's end"),
+        ('fault "kill_proxy" {\n at = "1s"\n for = "1s"\n which = 7\n }', "which = 7, there are 5"),
+    ],
+)
 def test_a_days_faults_are_checked_kind_by_kind(tmp_path, fault, said):
     day = open("cedarshift/rehearsal/days/quiet.hcl").read().rstrip().rstrip("}") + fault + "\n}\n"
-    (tmp_path / "deployment-tiles.hcl").write_text(open("cedarshift/rehearsal/days/deployment-tiles.hcl").read())
+    (tmp_path / "deployment-tiles.hcl").write_text(
+        open("cedarshift/rehearsal/days/deployment-tiles.hcl").read()
+    )
     (tmp_path / "day.hcl").write_text(day)
     with pytest.raises(FileRefused, match=said):
         load_day(str(tmp_path / "day.hcl"))
@@ -87,12 +137,22 @@
   }"""
 
 
-@pytest.mark.parametrize("old, new, line, said", [
-    ('"127.0.0.1:2182"', '"127.0.0.1:2181"', 33, "different addresses"), ('["127.0.0.1:2181", "127.0.0.1:2182"]', "[]", 33, "servers = []"),
-    ('"/svc/tiles"', '"svc"', 34, "does not begin with /"), ('"/svc/tiles"', '"/"', 34, "the root"), ('"zookeeper"', '"consul"', 32, "known: \"zookeeper\""),
-    ('path =', 'format = "xml"\n    path =', 34, '"serverset", "curator", "plain"'), ('path =', 'hold = "4s"\n    path =', 34, "leaves no time"),
-    ('path =', 'port_name = "x"\n    format = "plain"\n    path =', 34, "no meaning"), ('"zk-auth"', '"nowhere"', 35, "No such file"),
-    ('"zk-auth"', '"zk-bad"', 35, "zk-bad:3: \"digest user:password\""), ("  roster", "  list {\n    file = \"x\"\n  }\n  roster", 2, "2 blocks list and roster")])
+@pytest.mark.parametrize(
+    "old, new, line, said",
+    [
+        ('"127.0.0.1:2182"', '"127.0.0.1:2181"', 33, "different addresses"),
+        ('["127.0.0.1:2181", "127.0.0.1:2182"]', "[]", 33, "servers = []"),
+        ('"/svc/tiles"', '"svc"', 34, "does not begin with /"),
+        ('"/svc/tiles"', '"/"', 34, "the root"),
+        ('"zookeeper"', '"consul"', 32, 'known: "zookeeper"'),
+        ("path =", 'format = "xml"\n    path =', 34, '"serverset", "curator", "plain"'),
+        ("path =", 'hold = "4s"\n    path =', 34, "leaves no time"),
+        ("path =", 'port_name = "x"\n    format = "plain"\n    path =', 34, "no meaning"),
+        ('"zk-auth"', '"nowhere"', 35, "No such file"),
+        ('"zk-auth"', '"zk-bad"', 35, 'zk-bad:3: "digest user:password"'),
+        ("  roster", '  list {\n    file = "x"\n  }\n  roster', 2, "2 blocks list and roster"),
+    ],
+)
 def test_every_error_of_a_roster_has_its_line(tmp_path, old, new, line, said):
     (tmp_path / "zk-auth").write_text("digest p0:secret\n")
     (tmp_path / "zk-bad").write_text("digest p0:secret\n\nsasl x\n")
@@ -107,7 +167,11 @@
     (tmp_path / "f.hcl").write_text(GOOD.replace(LIST, ROSTER))
     before = load(str(tmp_path / "f.hcl"))
     nodes = before.listed.nodes
-    assert nodes.auth == (("digest", b"p0:secret"),) and nodes.servers[1] == ("127.0.0.1", 2182) and nodes.hold == 1_000_000
+    assert (
+        nodes.auth == (("digest", b"p0:secret"),)
+        and nodes.servers[1] == ("127.0.0.1", 2182)
+        and nodes.hold == 1_000_000
+    )
     (tmp_path / "out.hcl").write_text(render(before))
     assert changes(before, load(str(tmp_path / "out.hcl"))) == ([], [])
 
@@ -126,7 +190,7 @@
     assert sorted(f.kind for f in misled.faults) == sorted([f.kind for f in cold.faults] + ["cut_list"])
 
 
-BUDGETS = '''
+BUDGETS = """
   budgets {
     budget "all" { rate = 60 }
     budget "again" {
@@ -141,29 +205,53 @@
     }
   }
 }
-'''
+"""
 
 
 def with_budgets(text=BUDGETS):
     return GOOD.rstrip().removesuffix("}") + text
 
 
-@pytest.mark.parametrize("old, new, said", [
-    ("floor  = 2", "floor  = 51", "floors of 1 holders sum to 51000 parts, the whole is 50000"),
-    ("rate   = 50", "rate   = 70", "is over that of 'all'"), ('within = "all"', 'within = "none"', "which is no budget"),
-    ('use  = "probes"', 'use  = "retries"', "limited by 'again' already"), ('use  = "probes"\n', "", "nobody could spend it"),
-    ("  budgets {", '  budgets {\n    proxy_lease = "700ms"', "proxy_lease is under 800000 us"), ("rate = 20", "rate = 20\n      of_fresh = 0.5", "retries only"),
-    ('budget "trials"', 'budget "again"', "stands twice"), ("rate = 60", "rate = 60\n      use = \"list_calls\"\n    ", "others draw on it"),
-    ("rate = 20", "", "either a rate or a number held"), ("rate = 20", "rate = 20\n      held = 3", "either a rate or a number held"),
-    ("rate = 20", "held = 20", "probes are limited by rate"), ('use  = "probes"', 'use  = "handovers"', "handovers are limited by held"),
-    ('use  = "probes"\n      rate = 20', 'use  = "handovers"\n      held = 4\n      floor = 0.5', "whole ones"),
-    ('use  = "probes"\n      rate = 20', 'use  = "handovers"\n      held = 4\n      within = "all"', "draws on no other"),
-    ("  budgets {", '  budgets {\n    claim_cold = true\n    lease = "2s"', "stands for another 1.47 s, less than the store's session_lease of 2 s"),
-    ('use  = "probes"', 'use = "all"', 'one of "retries"')])
+@pytest.mark.parametrize(
+    "old, new, said",
+    [
+        ("floor  = 2", "floor  = 51", "floors of 1 holders sum to 51000 parts, the whole is 50000"),
+        ("rate   = 50", "rate   = 70", "is over that of 'all'"),
+        ('within = "all"', 'within = "none"', "which is no budget"),
+        ('use  = "probes"', 'use  = "retries"', "limited by 'again' already"),
+        ('use  = "probes"\n', "", "nobody could spend it"),
+        ("  budgets {", '  budgets {\n    proxy_lease = "700ms"', "proxy_lease is under 800000 us"),
+        ("rate = 20", "rate = 20\n      of_fresh = 0.5", "retries only"),
+        ('budget "trials"', 'budget "again"', "stands twice"),
+        ("rate = 60", 'rate = 60\n      use = "list_calls"\n    ', "others draw on it"),
+        ("rate = 20", "", "either a rate or a number held"),
+        ("rate = 20", "rate = 20\n      held = 3", "either a rate or a number held"),
+        ("rate = 20", "held = 20", "probes are limited by rate"),
+        ('use  = "probes"', 'use  = "handovers"', "handovers are limited by held"),
+        (
+            'use  = "probes"\n      rate = 20',
+            'use  = "handovers"\n      held = 4\n      floor = 0.5',
+            "whole ones",
+        ),
+        (
+            'use  = "probes"\n      rate = 20',
+            'use  = "handovers"\n      held = 4\n      within = "all"',
+            "draws on no other",
+        ),
+        (
+            "  budgets {",
+            '  budgets {\n    claim_cold = true\n    lease = "2s"',
+            "stands for another 1.47 s, less than the store's session_lease of 2 s",
+        ),
+        ('use  = "probes"', 'use = "all"', 'one of "retries"'),
+    ],
+)
 def test_budgets_that_cannot_hold_are_refused_with_their_line(tmp_path, old, new, said):
-    line = with_budgets()[:with_budgets().index(old)].count("\n") + 1
+    line = with_budgets()[: with_budgets().index(old)].count("\n") + 1
     problems = refused(tmp_path, with_budgets().replace(old, new, 1))
-    assert any(said in problem and abs(int(problem.split(":")[1]) - line) <= 5 for problem in problems), problems
+    assert any(said in problem and abs(int(problem.split(":")[1]) - line) <= 5 for problem in problems), (
+        problems
+    )
 
 
 def test_budgets_are_rendered_and_read_back_and_need_a_restart_to_change(tmp_path):
@@ -172,15 +260,24 @@
     before = load(str(tmp_path / "a.hcl"))
     (tmp_path / "b.hcl").write_text(render(before))
     assert changes(before, load(str(tmp_path / "b.hcl"))) == ([], [])
-    (tmp_path / "c.hcl").write_text(with_budgets().replace("  budgets {", rights).replace("rate = 20", "rate = 21"))
+    (tmp_path / "c.hcl").write_text(
+        with_budgets().replace("  budgets {", rights).replace("rate = 20", "rate = 21")
+    )
     assert changes(before, load(str(tmp_path / "c.hcl"))) == ([], ["budgets"])
 
 
-@pytest.mark.parametrize("options, said", [
-    (["--plan"], "again: 50/s of 50/s in use"), (["--plan", "--demand", "again:p0=7"], "again: 7/s of 50/s"),
-    (["--plan", "--down", "p0"], "again: 0/s of 50/s in use"), (["--plan", "--down", "p9"], "pilots are p0"),
-    (["--plan", "--demand", "again:p0=x"], "is no number"), (["--plan", "--demand", "all:p0=3"], "BUDGET:PILOT=TOKENS"),
-    (["--down", "p0"], "go with --plan")])
+@pytest.mark.parametrize(
+    "options, said",
+    [
+        (["--plan"], "again: 50/s of 50/s in use"),
+        (["--plan", "--demand", "again:p0=7"], "again: 7/s of 50/s"),
+        (["--plan", "--down", "p0"], "again: 0/s of 50/s in use"),
+        (["--plan", "--down", "p9"], "pilots are p0"),
+        (["--plan", "--demand", "again:p0=x"], "is no number"),
+        (["--plan", "--demand", "all:p0=3"], "BUDGET:PILOT=TOKENS"),
+        (["--down", "p0"], "go with --plan"),
+    ],
+)
 def test_a_division_is_planned_without_anybody_running(tmp_path, options, said):
     (tmp_path / "a.hcl").write_text(with_budgets())
     got = CliRunner().invoke(main, ["budgets", str(tmp_path / "a.hcl"), *options])
@@ -190,13 +287,17 @@
 SURGE = "cedarshift/rehearsal/days/deployment-surge.hcl"
 
 
-@pytest.mark.parametrize("old, new, said", [
-    ('op "tile-order" {', 'op "tile-send" {', "op 'tile-send' is none of tile-fetch, tile-order"),
-    ('op "tile-order" {', 'op "tile-fetch" {', "op 'tile-fetch' stands twice"),
-    ('op "tile-order" { cost = 1 }', 'op "tile-order" { cost = 0 }', "cost = 0"),
-    ("  membership {\n    period = \"500ms\"\n  }\n", "", "there is no block membership"),
-    ("earnings       = 2", "earnings       = 0", "'tile-order' earns nothing"),
-    ('report_every   = "500ms"', 'joins_per_s = 0', "joins_per_s = 0")])
+@pytest.mark.parametrize(
+    "old, new, said",
+    [
+        ('op "tile-order" {', 'op "tile-send" {', "op 'tile-send' is none of tile-fetch, tile-order"),
+        ('op "tile-order" {', 'op "tile-fetch" {', "op 'tile-fetch' stands twice"),
+        ('op "tile-order" { cost = 1 }', 'op "tile-order" { cost = 0 }', "cost = 0"),
+        ('  membership {\n    period = "500ms"\n  }\n', "", "there is no block membership"),
+        ("earnings       = 2", "earnings       = 0", "'tile-order' earns nothing"),
+        ('report_every   = "500ms"', "joins_per_s = 0", "joins_per_s = 0"),
+    ],
+)
 def test_overload_that_cannot_be_answered_is_refused(tmp_path, old, new, said):
     text = open(SURGE).read()
     assert old in text
@@ -207,7 +308,9 @@
 
 def test_overload_is_rendered_and_read_back_and_needs_a_restart_to_change(tmp_path):
     text = open(SURGE).read()
-    (tmp_path / "a.hcl").write_text(text.replace('op "tile-order" { cost = 1 }', 'op "tile-order" { cost = 2.5 }'))
+    (tmp_path / "a.hcl").write_text(
+        text.replace('op "tile-order" { cost = 1 }', 'op "tile-order" { cost = 2.5 }')
+    )
     before = load(str(tmp_path / "a.hcl"))
     assert before.overload.costs == {"tile-fetch": 1.0, "tile-order": 2.5}
     (tmp_path / "b.hcl").write_text(render(before))
@@ -216,12 +319,20 @@
     assert changes(before, load(str(tmp_path / "c.hcl"))) == ([], ["overload"])
 
 
-@pytest.mark.parametrize("answer, said", [
-    ('answer {\n cause_at = "9s"\n calm_at = "8s"\n }', "cause_at comes before calm_at"), ('mix = ["flood"]', "mix names one day"),
-    ('answer {\n cause_at = "1s"\n calm_at = "8s"\n top = "x"\n }', "top 'x' is no op type"), ('mix = ["flood", "x"]', "there is no day 'x'")])
+@pytest.mark.parametrize(
+    "answer, said",
+    [
+        ('answer {\n cause_at = "9s"\n calm_at = "8s"\n }', "cause_at comes before calm_at"),
+        ('mix = ["flood"]', "mix names one day"),
+        ('answer {\n cause_at = "1s"\n calm_at = "8s"\n top = "x"\n }', "top 'x' is no op type"),
+        ('mix = ["flood", "x"]', "there is no day 'x'"),
+    ],
+)
 def test_what_a_day_of_overload_states_is_checked(tmp_path, answer, said):
     for name in ("deployment-surge", "flood", "surge-quiet"):
         (tmp_path / f"{name}.hcl").write_text(open(f"cedarshift/rehearsal/days/{name}.hcl").read())
-    (tmp_path / "day.hcl").write_text(open("cedarshift/rehearsal/days/surge-quiet.hcl").read().rstrip().rstrip("}") + answer + "\n}\n")
+    (tmp_path / "day.hcl").write_text(
+        open("cedarshift/rehearsal/days/surge-quiet.hcl").read().rstrip().rstrip("}") + answer + "\n}\n"
+    )
     with pytest.raises(FileRefused, match=said):
         load_day(str(tmp_path / "day.hcl"))
--- a/tests/test_ensemble_outside.py
+++ b/tests/test_ensemble_outside.py
@@ -1,4 +1,5 @@
 """The stand-in ensemble against a client that no one here wrote: pilot client and stand-in share a codec, this one does not."""
+
 import asyncio
 import json
 import os
@@ -15,8 +16,9 @@
 aiozk = pytest.importorskip("aiozk")
 from aiozk import exc  # noqa: E402
 
-
-CREATE = aiozk.protocol.CreateRequest(path="/m/x", data=b"", acl=[aiozk.ACL.make("world", "anyone", read=True)], flags=0)
+CREATE = aiozk.protocol.CreateRequest(
+    path="/m/x", data=b"", acl=[aiozk.ACL.make("world", "anyone", read=True)], flags=0
+)
 
 
 @pytest.fixture
@@ -27,12 +29,24 @@
     control = ports.take()
     plan = {"addresses": places, "control": control, "read_path": "/m", "form": "plain", "seed": 3}
     (tmp_path / "plan.json").write_text(json.dumps(plan))
-    process = subprocess.Popen([sys.executable, "-m", "cedarshift.standins", "ensemble", str(tmp_path / "plan.json"),
-                                str(tmp_path / "record.jsonl")], cwd=os.path.dirname(__file__) + "/..")
+    process = subprocess.Popen(
+        [
+            sys.executable,
+            "-m",
+            "cedarshift.standins",
+            "ensemble",
+            str(tmp_path / "plan.json"),
+            str(tmp_path / "record.jsonl"),
+        ],
+        cwd=os.path.dirname(__file__) + "/..",
+    )
 
     def order(**what):
-        request = urllib.request.Request(f"http://{control[0]}:{control[1]}/control", json.dumps(what).encode(), method="POST")
+        request = urllib.request.Request(
+            f"http://{control[0]}:{control[1]}/control", json.dumps(what).encode(), method="POST"
+        )
         return json.load(urllib.request.urlopen(request, timeout=5))
+
     for _ in range(200):
         try:
             order()
@@ -98,6 +112,7 @@
         await client.delete("/m/a")
         assert not await client.exists("/m/a")
         await client.close()
+
     played(play())
 
 
@@ -122,6 +137,7 @@
                 pass
         assert await client.exists("/t/a/b") and not await client.exists("/t/c")
         await client.close()
+
     played(play())
 
 
@@ -138,18 +154,24 @@
         def told(path):
             seen.append(path)
             fired.set()
+
         watcher.session.add_watch_callback(aiozk.WatchEvent.DELETED, "/m/a", told)
-        assert (await watcher.send(aiozk.protocol.ExistsRequest(path="/m/a", watch=True))).stat.ephemeral_owner
+        assert (
+            await watcher.send(aiozk.protocol.ExistsRequest(path="/m/a", watch=True))
+        ).stat.ephemeral_owner
         order(expire=[f"{member.session.session_id:#x}"])
         await asyncio.wait_for(fired.wait(), 10)
         assert seen == ["/m/a"] and not await watcher.exists("/m/a")
         before = member.session.session_id
-        await insisted(lambda: member.create("/m/a", b"again", ephemeral=True))   # it finds that it is expired, and begins anew
+        await insisted(
+            lambda: member.create("/m/a", b"again", ephemeral=True)
+        )  # it finds that it is expired, and begins anew
         assert member.session.session_id != before
         await asyncio.sleep(0.2)
         assert seen == ["/m/a"]
         await watcher.close()
         await member.close()
+
     played(play())
 
 
@@ -170,6 +192,7 @@
         await client.close()
         assert not kept or order()["members"] == []
         return kept
+
     # This client now and then looks for longer than its session lives, and begins another: that is its right.
     assert any(played(play(turn)) for turn in range(4))
 
@@ -189,4 +212,5 @@
         order(heal=[0, 1, 2])
         await insisted(lambda: client.create("/m/y", b"", ephemeral=True))
         assert order()["members"] == ["y"]
+
     played(play())
--- a/tests/test_gossip.py
+++ b/tests/test_gossip.py
@@ -1,4 +1,5 @@
 """The roll, the detector, the sealed bodies and whole crowds on a virtual clock, without processes."""
+
 import random
 
 import pytest
@@ -29,7 +30,8 @@
 record = st.one_of(
     st.tuples(st.just("word"), name, st.builds(Word, number, st.booleans(), number)),
     st.tuples(st.just("edge"), name, name, number, number, st.booleans(), number, number),
-    st.tuples(st.just("verdict"), name, st.builds(Verdict, number, number, st.integers(3, 5))))
+    st.tuples(st.just("verdict"), name, st.builds(Verdict, number, number, st.integers(3, 5))),
+)
 
 
 def merged(records):
@@ -43,8 +45,20 @@
         else:
             _, observer, subject, start, seq, hears, of, incarnation = one
             draw = random.Random(f"{observer} {subject} {start} {seq}")
-            roll.merge_edge(0, observer, subject, Edge(start, seq, 0, draw.randrange(3), draw.random() < 0.5, draw.randrange(3),
-                                                       draw.randrange(3)))
+            roll.merge_edge(
+                0,
+                observer,
+                subject,
+                Edge(
+                    start,
+                    seq,
+                    0,
+                    draw.randrange(3),
+                    draw.random() < 0.5,
+                    draw.randrange(3),
+                    draw.randrange(3),
+                ),
+            )
     roll._tidy()
     return roll.words, roll.edges, roll.verdicts, roll.digest
 
@@ -92,7 +106,7 @@
         made.merge_word(one, Word(1, False, 0))
     made.look(-9 * SECOND)
     made.stale = True
-    made.look(-8 * SECOND)                   # from when its side has been most
+    made.look(-8 * SECOND)  # from when its side has been most
     return made
 
 
@@ -100,9 +114,20 @@
     made.merge_edge(now, observer, subject, Edge(1, seq, now, 0, hears, 1, 0))
 
 
-@pytest.mark.parametrize("reporters, vouchers, after, state", [
-    ("a", "", 30, SUSPECT), ("abc", "", 0.5, SUSPECT), ("abcd", "", 1.5, DEAD), ("abc", "", 2.0, SUSPECT), ("abc", "", 4.0, DEAD),
-    ("ab", "", 30, SUSPECT), ("abc", "d", 3.0, CUT), ("a", "bcd", 3.0, CUT), ("", "bcd", 3.0, ALIVE)])
+@pytest.mark.parametrize(
+    "reporters, vouchers, after, state",
+    [
+        ("a", "", 30, SUSPECT),
+        ("abc", "", 0.5, SUSPECT),
+        ("abcd", "", 1.5, DEAD),
+        ("abc", "", 2.0, SUSPECT),
+        ("abc", "", 4.0, DEAD),
+        ("ab", "", 30, SUSPECT),
+        ("abc", "d", 3.0, CUT),
+        ("a", "bcd", 3.0, CUT),
+        ("", "bcd", 3.0, ALIVE),
+    ],
+)
 def test_more_reports_end_a_suspicion_sooner_and_a_voucher_stops_it(reporters, vouchers, after, state):
     made = roll()
     for one in reporters:
@@ -124,8 +149,12 @@
     assert not any(change.agreed for change in changes if change.after == DEAD)
 
 
-@pytest.mark.parametrize("heard, most_since, agreed", [("abcd", -8, True), ("ab", -8, False), ("abcd", 4, False)])
-def test_a_verdict_is_agreed_only_by_who_hears_most_and_has_been_among_most_for_a_while(heard, most_since, agreed):
+@pytest.mark.parametrize(
+    "heard, most_since, agreed", [("abcd", -8, True), ("ab", -8, False), ("abcd", 4, False)]
+)
+def test_a_verdict_is_agreed_only_by_who_hears_most_and_has_been_among_most_for_a_while(
+    heard, most_since, agreed
+):
     made = roll()
     for one in "abcd":
         say(made, SECOND, one, "e", False)
@@ -173,6 +202,7 @@
 
 # ---- the detector
 
+
 def detector(now=0):
     made = Detector(SECOND, Lcg(3), now, lambda: ["b", "c", "d", "e"])
     made.observe(now, ["b"])
@@ -222,15 +252,26 @@
 
 # ---- what is sent
 
+
 def body(**fields):
     return Body(**{**dict(kind=g.PING, sender="b", start=1, incarnation=0, seq=1, nonce=7), **fields})
 
 
-@pytest.mark.parametrize("data, why", [
-    (b"", "short"), (b"cG\x01", "short"), (b"x" * 2_000, "long"), (b"x" * 100, "foreign"),
-    (Seal("other", b"a secret of sixteen").close(body()), "foreign"), (Seal("trial", b"another secret, as long").close(body()), "proof"),
-    (SEAL.close(body())[:-1] + b"\x00", "proof"), (SEAL.close(body(kind=99)), "body"), (SEAL.close(body(sender="")), "body"),
-    (SEAL.close(body(words=[WordOf("a", -1, False, 0)])), "body")])
+@pytest.mark.parametrize(
+    "data, why",
+    [
+        (b"", "short"),
+        (b"cG\x01", "short"),
+        (b"x" * 2_000, "long"),
+        (b"x" * 100, "foreign"),
+        (Seal("other", b"a secret of sixteen").close(body()), "foreign"),
+        (Seal("trial", b"another secret, as long").close(body()), "proof"),
+        (SEAL.close(body())[:-1] + b"\x00", "proof"),
+        (SEAL.close(body(kind=99)), "body"),
+        (SEAL.close(body(sender="")), "body"),
+        (SEAL.close(body(words=[WordOf("a", -1, False, 0)])), "body"),
+    ],
+)
 def test_what_is_not_the_deployments_is_told_apart(data, why):
     with pytest.raises(NotOurs) as found:
         SEAL.open(data)
@@ -274,7 +315,9 @@
 
 
 @pytest.mark.parametrize("young, start", [(True, 11), (False, 5)])
-def test_a_new_life_takes_a_later_start_than_one_of_a_clock_that_was_ahead_and_an_old_one_gives_way(young, start):
+def test_a_new_life_takes_a_later_start_than_one_of_a_clock_that_was_ahead_and_an_old_one_gives_way(
+    young, start
+):
     member = Member("a", {one: (one, 1) for one in NAMES}, SEAL, SECOND, 5, 1, 0)
     member.young = young
     member.hear(1, SEAL.close(body(words=[WordOf("a", 10, False, 3)])), ("b", 1))
@@ -285,14 +328,17 @@
     names = {f"a-rather-long-name-{n:03d}": (f"h{n}", 1) for n in range(300)}
     member = Member(next(iter(names)), names, SEAL, SECOND, 5, 1, 0)
     for n, one in enumerate(names):
-        member._take_word(1, WordOf(one, 2 ** 60 + n, False, 2 ** 40))
+        member._take_word(1, WordOf(one, 2**60 + n, False, 2**40))
     member._send(1, ("h1", 1), g.PING, "a-rather-long-name-001", 1)
     assert len(member.out[0][1]) <= g.DATAGRAM_MOST and len(member.queue) > 0
 
 
 # ---- datagrams and ways in memory
 
-@pytest.mark.parametrize("way, heard", [(None, 200), (Way(cut=True), 0), (Way(loss=0.5), 100), (Way(doubled=1.0), 400)])
+
+@pytest.mark.parametrize(
+    "way, heard", [(None, 200), (Way(cut=True), 0), (Way(loss=0.5), 100), (Way(doubled=1.0), 400)]
+)
 def test_each_way_is_spoilt_by_itself(way, heard):
     world = World(3)
     a, b = world.host("a"), world.host("b")
@@ -311,6 +357,7 @@
             ports[b].send(b"x", ports[a].address)
             yield from a.loop.sleep(1_000)
         yield from a.loop.sleep(SECOND)
+
     for host in (a, b):
         host.loop.spawn(listens(host), "listens")
     world.run(a.loop.spawn(sends(), "sends"))
@@ -323,8 +370,10 @@
     names = [f"p{n}" for n in range(5)]
     hosts = {one: world.host(one) for one in names}
     terms = MembershipTerms(200_000, {one: ("127.0.0.1", 100 + n) for n, one in enumerate(names)})
-    made = {one: Membership(hosts[one].loop, terms, one, "trial", b"", 1, n, lambda event, **fields: None)
-            for n, one in enumerate(names)}
+    made = {
+        one: Membership(hosts[one].loop, terms, one, "trial", b"", 1, n, lambda event, **fields: None)
+        for n, one in enumerate(names)
+    }
     runner = world.host("runner")
 
     def day():
@@ -333,16 +382,21 @@
         hosts["p0"].end()
         hosts["p1"].pause()
         yield from runner.loop.sleep(6 * SECOND)
-        assert all(made[one].member.roll.states["p0"] == made[one].member.roll.states["p1"] == DEAD for one in names[2:])
+        assert all(
+            made[one].member.roll.states["p0"] == made[one].member.roll.states["p1"] == DEAD
+            for one in names[2:]
+        )
         hosts["p1"].resume()
         yield from runner.loop.sleep(6 * SECOND)
         return [made[one].member.roll.states["p1"] for one in names[1:]]
+
     assert world.run(runner.loop.spawn(day(), "day")) == [ALIVE] * 4
     world.dispose()
 
 
 # ---- crowds by seed
 
+
 @pytest.mark.parametrize("seed", [1, 5, 15, 20, 57, 74, 153, 156, 225, 248, 265, 339, 462, 534, 658])
 def test_days_by_seed_hold(seed):
     """Some are kept because they broke once."""
@@ -365,19 +419,30 @@
 
 # ---- deployment files, and who uses the roll
 
+
 def test_a_deployment_with_membership_is_rendered_as_it_was_read(tmp_path):
     path = tmp_path / "f.hcl"
-    path.write_text(LONE.replace('pilot "p0" {', 'membership { period = "500ms" }\n  pilot "p0" {\n    gossip = "127.0.0.1:7190"', 1))
+    path.write_text(
+        LONE.replace(
+            'pilot "p0" {',
+            'membership { period = "500ms" }\n  pilot "p0" {\n    gossip = "127.0.0.1:7190"',
+            1,
+        )
+    )
     found = load(str(path))
     path.write_text(render(found))
     assert found.membership.period == SECOND // 2 and load(str(path)) == found
 
 
-@pytest.mark.parametrize("living, asked", [(["p2"], ["p2", "p2"]), (["p3", "p1"], ["p3", "p1"]), ([], ["p1", "p2"]), (["p9"], ["p1", "p2"])])
+@pytest.mark.parametrize(
+    "living, asked",
+    [(["p2"], ["p2", "p2"]), (["p3", "p1"], ["p3", "p1"]), ([], ["p1", "p2"]), (["p9"], ["p1", "p2"])],
+)
 def test_facts_are_asked_of_those_that_live(living, asked):
     class Service:
         class membership:
             living = staticmethod(lambda: living)
+
     learning = Learning.__new__(Learning)
     learning.service = Service
     assert [learning._lender(["p1", "p2", "p3"], at) for at in (0, 1)] == asked
@@ -386,11 +451,23 @@
 LONE = open("examples/lone.hcl").read()
 
 
-@pytest.mark.parametrize("old, new, said", [
-    ('pilot "p0" {', 'membership {}\n  pilot "p0" {', "has no gossip address"),
-    ('pilot "p0" {', 'pilot "p0" {\n    gossip = "127.0.0.1:7190"', "gossip has no meaning"),
-    ('pilot "p0" {', 'membership {}\n  pilot "p0" {\n    gossip = "127.0.0.1:7100"', "is its listen or admin address"),
-    ('pilot "p0" {', 'membership { period = "1ms" }\n  pilot "p0" {\n    gossip = "127.0.0.1:7190"', 'period = "1ms"')])
+@pytest.mark.parametrize(
+    "old, new, said",
+    [
+        ('pilot "p0" {', 'membership {}\n  pilot "p0" {', "has no gossip address"),
+        ('pilot "p0" {', 'pilot "p0" {\n    gossip = "127.0.0.1:7190"', "gossip has no meaning"),
+        (
+            'pilot "p0" {',
+            'membership {}\n  pilot "p0" {\n    gossip = "127.0.0.1:7100"',
+            "is its listen or admin address",
+        ),
+        (
+            'pilot "p0" {',
+            'membership { period = "1ms" }\n  pilot "p0" {\n    gossip = "127.0.0.1:7190"',
+            'period = "1ms"',
+        ),
+    ],
+)
 def test_a_block_membership_is_checked(tmp_path, old, new, said):
     path = tmp_path / "f.hcl"
     path.write_text(LONE.replace(old, new, 1))
