--- a/tests/test_write_stops.py
+++ b/tests/test_write_stops.py
@@ -1,10 +1,11 @@
 """When a proxy counts as stopped, and what a hand-over does that waits for long."""
+
 import pytest
 from helpers import decisions, entry, pilot
 
 from cedarshift.observations import OWNED, REVOKING, SETTLING
 
-LEASE, WAY, READ = 25_000, 5_000, 10_000   # of the helpers' terms; the wire page's second
+LEASE, WAY, READ = 25_000, 5_000, 10_000  # of the helpers' terms; the wire page's second
 SILENT = READ + LEASE + READ
 EMPTY_FOR = 120_000
 
@@ -28,7 +29,9 @@
     acknowledge(p, 101_000, 0, 1, 2)
     for at in range(101_500, 140_000, 2_000):
         p.on_leave(at, 1)
-        assert p.stops.stopped(p.slices[0], at) == 100_010, "the break of a stopped proxy starts its wait anew"
+        assert p.stops.stopped(p.slices[0], at) == 100_010, (
+            "the break of a stopped proxy starts its wait anew"
+        )
         p.on_join(at + 1_000, 1, "z")
         assert p.stops.stopped(p.slices[0], at + 1_000) == 100_010
 
@@ -50,13 +53,15 @@
     first = p.mark
     acknowledge(p, 100_500, 0, 2)
     p.mark += 1
-    p.on_ack(101_000, 0, p.mark, 10)         # a later barrier: all messages up to the revoke's have left the channel
+    p.on_ack(101_000, 0, p.mark, 10)  # a later barrier: all messages up to the revoke's have left the channel
     assert p.stops.stop(p.proxies[1], p.slices[0]) is None
-    p.on_ack(heard, 2, p.mark, 10)           # the events have come up to here, and no break among them
+    p.on_ack(heard, 2, p.mark, 10)  # the events have come up to here, and no break among them
     assert (p.stops.stop(p.proxies[1], p.slices[0]) is not None) is stopped
     p.on_leave(heard, 1)
     p.on_join(heard + 1, 1, "z")
-    assert (p.stops.stop(p.proxies[1], p.slices[0]) == 101_000 + SILENT) is stopped, "what a stream has proved is kept"
+    assert (p.stops.stop(p.proxies[1], p.slices[0]) == 101_000 + SILENT) is stopped, (
+        "what a stream has proved is kept"
+    )
     assert p.proxies[1].acked != first or stopped
 
 
@@ -64,7 +69,7 @@
     p = revoked()
     acknowledge(p, 101_000, 0, 2)
     assert p.stops.stop(p.proxies[1], p.slices[0]) is None
-    assert p.stops.stopped(p.slices[0], 10 ** 8) is None
+    assert p.stops.stopped(p.slices[0], 10**8) is None
 
 
 def test_silence_counts_from_the_newest_joining():
@@ -98,11 +103,14 @@
 
 def test_a_slice_without_a_line_for_long_names_its_former_owner_again_with_every_class_closed():
     p = revoked(empty_for=EMPTY_FOR)
-    decisions(p, 100_000 + 40_000)           # the grace: the drained owner's line is emptied
+    decisions(p, 100_000 + 40_000)  # the grace: the drained owner's line is emptied
     assert not p.slices[0].line and p.slices[0].closed
     emptied = p.slices[0].empty_since
     assert all(one[:2] != ("line", 0) for one in decisions(p, emptied + EMPTY_FOR // 2 - 1))
-    assert [one for one in decisions(p, emptied + EMPTY_FOR // 2) if one[1] == 0] == [("level", 0, 0, 0, 0), ("line", 0, "a", 1)]
+    assert [one for one in decisions(p, emptied + EMPTY_FOR // 2) if one[1] == 0] == [
+        ("level", 0, 0, 0, 0),
+        ("line", 0, "a", 1),
+    ]
     for at in range(emptied + 60_500, emptied + 80_000, 2_500):
         assert all(one[1] != 0 for one in decisions(p, at)), "once is enough, and no class is opened"
     acknowledge(p, emptied + 80_000, 0, 1, 2)
@@ -125,7 +133,7 @@
     p = pilot(proxies=3, empty_for=EMPTY_FOR)
     p._weigh_up(100_000)
     p.planned = {0: "b"}
-    p.check_at = 10 ** 9
+    p.check_at = 10**9
     assert ("level", 0, 2, 0, 0) in decisions(p, 100_000)
     decisions(p, 100_000 + EMPTY_FOR // 2 - 1)
     assert p.slices[0].state == REVOKING
--- a/tests/test_zookeeper.py
+++ b/tests/test_zookeeper.py
@@ -1,37 +1,56 @@
 """The ZooKeeper codec by known bytes and by garbage; the client, the follower and the registration against the stand-in."""
+
 import struct
 
 import pytest
 from hypothesis import example, given, settings
 from hypothesis import strategies as st
+from program import SECOND, virtual_loop
+from zoo import DOORS, PATH, PLACES, Zoo
 
 from cedarshift.codec.zookeeper import Broken, Code, ZooError
 from cedarshift.codec.zookeeper import records as r
-from cedarshift.codec.zookeeper.jute import Frames, Reader, check_path, decode, encode
+from cedarshift.codec.zookeeper.jute import Frames, check_path, decode, encode
 from cedarshift.codec.zookeeper.session import EXPIRED, ClientSession, Reply, ServerSession
 from cedarshift.loop import listen
 from cedarshift.roster import members as members_module
 from cedarshift.roster.formats import Member, NodeRefused, read_member, write_member
 from cedarshift.roster.zookeeper import ZooClient
-from program import SECOND, virtual_loop
-from zoo import DOORS, PATH, PLACES, Zoo
 
 STAT = r.Stat(1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11)
 OPEN_ACL = [r.Acl(31, r.Id("world", "anyone"))]
 # By hand from zookeeper.jute: (record, its bytes in hex).
 VECTORS = [
-    (r.ConnectRequest(0, 0, 6000, 0, b"\0" * 16), "00000000" "0000000000000000" "00001770" "0000000000000000" "00000010" + "00" * 16),
+    (
+        r.ConnectRequest(0, 0, 6000, 0, b"\0" * 16),
+        "00000000000000000000000000001770000000000000000000000010" + "00" * 16,
+    ),
     (r.RequestHead(1, r.GET_CHILDREN2), "000000010000000c"),
-    (r.Watched("/a", True), "00000002" "2f61" "01"),
-    (r.Create("/a", b"x", OPEN_ACL, r.EPHEMERAL), "00000002" "2f61" "00000001" "78" "00000001" "0000001f" "00000005"
-     "776f726c64" "00000006" "616e796f6e65" "00000001"),
-    (r.Delete("/a", -1), "00000002" "2f61" "ffffffff"),
-    (r.ReplyHead(1, 0x100000002, -101), "00000001" "0000000100000002" "ffffff9b"),
-    (r.WatchEvent(r.DELETED, r.CONNECTED, "/a"), "00000002" "00000003" "00000002" "2f61"),
-    (r.AddWatch("/a", r.WATCH_RECURSIVE), "00000002" "2f61" "00000001"),
-    (r.SetData("/a", None, 0), "00000002" "2f61" "ffffffff" "00000000"),
-    (STAT, "0000000000000001" "0000000000000002" "0000000000000003" "0000000000000004" "00000005" "00000006" "00000007"
-     "0000000000000008" "00000009" "0000000a" "000000000000000b")]
+    (r.Watched("/a", True), "000000022f6101"),
+    (
+        r.Create("/a", b"x", OPEN_ACL, r.EPHEMERAL),
+        "000000022f610000000178000000010000001f00000005776f726c6400000006616e796f6e6500000001",
+    ),
+    (r.Delete("/a", -1), "000000022f61ffffffff"),
+    (r.ReplyHead(1, 0x100000002, -101), "000000010000000100000002ffffff9b"),
+    (r.WatchEvent(r.DELETED, r.CONNECTED, "/a"), "0000000200000003000000022f61"),
+    (r.AddWatch("/a", r.WATCH_RECURSIVE), "000000022f6100000001"),
+    (r.SetData("/a", None, 0), "000000022f61ffffffff00000000"),
+    (
+        STAT,
+        "0000000000000001"
+        "0000000000000002"
+        "0000000000000003"
+        "0000000000000004"
+        "00000005"
+        "00000006"
+        "00000007"
+        "0000000000000008"
+        "00000009"
+        "0000000a"
+        "000000000000000b",
+    ),
+]
 
 
 @pytest.mark.parametrize("record, raw", VECTORS)
@@ -39,11 +58,22 @@
     assert encode(record).hex() == raw and decode(bytes.fromhex(raw), type(record)) == record
 
 
-@pytest.mark.parametrize("kind, raw", [
-    (r.Watched, "ffffff9c" "2f61" "01"), (r.Watched, "7fffffff" "2f61" "01"), (r.Watched, "00000002" "2f61" "02"),
-    (r.Watched, "00000002" "2f61" "01" "00"), (r.Watched, "00000002" "fffe" "01"), (r.ChildrenReply, "7fffffff"),
-    (r.ChildrenReply, "fffffffe"), (r.DataReply, "f0000000"), (r.Watched, "00000002" "2f"), (r.Stat, "00" * 67),
-    (r.Watched, "00001001" + "61" * 4097 + "01")])
+@pytest.mark.parametrize(
+    "kind, raw",
+    [
+        (r.Watched, "ffffff9c2f6101"),
+        (r.Watched, "7fffffff2f6101"),
+        (r.Watched, "000000022f6102"),
+        (r.Watched, "000000022f610100"),
+        (r.Watched, "00000002fffe01"),
+        (r.ChildrenReply, "7fffffff"),
+        (r.ChildrenReply, "fffffffe"),
+        (r.DataReply, "f0000000"),
+        (r.Watched, "000000022f"),
+        (r.Stat, "00" * 67),
+        (r.Watched, "00001001" + "61" * 4097 + "01"),
+    ],
+)
 def test_garbage_is_refused_without_being_kept(kind, raw):
     with pytest.raises(Broken):
         decode(bytes.fromhex(raw), kind)
@@ -74,9 +104,22 @@
             pass
 
 
-@pytest.mark.parametrize("path, wrong", [
-    ("/", ""), ("/a/b", ""), ("/é", ""), ("a", "begin"), ("/a/", "empty"), ("//", "empty"), ("/a/../b", "'..'"), ("/a/./b", "'.'"),
-    ("/a\0", "character"), ("/" + "x" * 5000, "longer"), ("/a" * 70, "deeper")])
+@pytest.mark.parametrize(
+    "path, wrong",
+    [
+        ("/", ""),
+        ("/a/b", ""),
+        ("/é", ""),
+        ("a", "begin"),
+        ("/a/", "empty"),
+        ("//", "empty"),
+        ("/a/../b", "'..'"),
+        ("/a/./b", "'.'"),
+        ("/a\0", "character"),
+        ("/" + "x" * 5000, "longer"),
+        ("/a" * 70, "deeper"),
+    ],
+)
 def test_paths(path, wrong):
     assert (wrong in check_path(path)) if wrong else check_path(path) == ""
 
@@ -89,23 +132,40 @@
     return client, server
 
 
-@pytest.mark.parametrize("op, body, answer", [
-    (r.CREATE2, r.Create("/a", b"", OPEN_ACL, 0), r.Created2("/a", STAT)), (r.DELETE, r.Delete("/a", -1), None),
-    (r.GET_DATA, r.Watched("/a", True), r.DataReply(b"x", STAT)), (r.GET_CHILDREN, r.Watched("/", False), r.ChildrenReply(["a", "b"])),
-    (r.GET_ACL, r.OfPath("/a"), r.AclReply(OPEN_ACL, STAT)), (r.SET_ACL, r.SetAcl("/a", OPEN_ACL, -1), r.StatReply(STAT)),
-    (r.SYNC, r.OfPath("/a"), r.OfPath("/a")), (r.SET_WATCHES, r.SetWatches(3, ["/a"], [], ["/"]), None),
-    (r.SET_WATCHES2, r.SetWatches2(3, ["/a"], [], [], ["/p"], ["/r"]), None), (r.AUTH, r.Auth(0, "digest", b"u:p"), None),
-    (r.ADD_WATCH, r.AddWatch("/a", 1), r.ErrorReply(0)), (r.CLOSE, None, None), (r.REMOVE_WATCHES, r.RemoveWatches("/a", 3), None),
-    (r.MULTI, r.Multi([(r.CHECK, r.Check("/a", 1)), (r.CREATE, r.Create("/b", b"", OPEN_ACL, 0))]),
-     r.MultiReply([(r.CHECK, None, 0), (r.CREATE, r.Created("/b"), 0)])),
-    (r.MULTI, r.Multi([(r.DELETE, r.Delete("/a", 1)), (r.SET_DATA, r.SetData("/b", b"", 0))]),
-     r.MultiReply([(r.ERROR, None, 0), (r.ERROR, None, -101)]))])
+@pytest.mark.parametrize(
+    "op, body, answer",
+    [
+        (r.CREATE2, r.Create("/a", b"", OPEN_ACL, 0), r.Created2("/a", STAT)),
+        (r.DELETE, r.Delete("/a", -1), None),
+        (r.GET_DATA, r.Watched("/a", True), r.DataReply(b"x", STAT)),
+        (r.GET_CHILDREN, r.Watched("/", False), r.ChildrenReply(["a", "b"])),
+        (r.GET_ACL, r.OfPath("/a"), r.AclReply(OPEN_ACL, STAT)),
+        (r.SET_ACL, r.SetAcl("/a", OPEN_ACL, -1), r.StatReply(STAT)),
+        (r.SYNC, r.OfPath("/a"), r.OfPath("/a")),
+        (r.SET_WATCHES, r.SetWatches(3, ["/a"], [], ["/"]), None),
+        (r.SET_WATCHES2, r.SetWatches2(3, ["/a"], [], [], ["/p"], ["/r"]), None),
+        (r.AUTH, r.Auth(0, "digest", b"u:p"), None),
+        (r.ADD_WATCH, r.AddWatch("/a", 1), r.ErrorReply(0)),
+        (r.CLOSE, None, None),
+        (r.REMOVE_WATCHES, r.RemoveWatches("/a", 3), None),
+        (
+            r.MULTI,
+            r.Multi([(r.CHECK, r.Check("/a", 1)), (r.CREATE, r.Create("/b", b"", OPEN_ACL, 0))]),
+            r.MultiReply([(r.CHECK, None, 0), (r.CREATE, r.Created("/b"), 0)]),
+        ),
+        (
+            r.MULTI,
+            r.Multi([(r.DELETE, r.Delete("/a", 1)), (r.SET_DATA, r.SetData("/b", b"", 0))]),
+            r.MultiReply([(r.ERROR, None, 0), (r.ERROR, None, -101)]),
+        ),
+    ],
+)
 def test_each_operation_goes_there_and_back(op, body, answer):
     client, server = opened()
     xid, raw = client.request(op, body)
-    request, = server.feed(raw)
+    (request,) = server.feed(raw)
     assert (request.xid, request.op, request.body) == (xid, op, body)
-    reply, = client.feed(server.reply(xid, 9, 0, answer))
+    (reply,) = client.feed(server.reply(xid, 9, 0, answer))
     assert reply == Reply(xid, op, 9, 0, answer) and client.last_zxid == 9
 
 
@@ -116,11 +176,21 @@
     assert client.state == EXPIRED
 
 
-@pytest.mark.parametrize("frames, said", [
-    (lambda s: s.reply(5, 9, 0, r.Created("/a")), "xid 5"), (lambda s: s.reply(r.XID_PING, 9, 0), "ping"),
-    (lambda s: s.event(r.WatchEvent(r.DELETED, 3, "/b")), "never watched"), (lambda s: s.reply(1, 2, 0, r.StatReply(STAT)), "runs back"),
-    (lambda s: s.reply(1, 9, 0, r.StatReply(STAT)) + s.reply(1, 9, 0, r.StatReply(STAT)), "awaited is none"),
-    (lambda s: s.reply(1, 9, 0, r.Created("/a")), "stated"), (lambda s: b"\xff\xff\xff\xf0", "frame of")])
+@pytest.mark.parametrize(
+    "frames, said",
+    [
+        (lambda s: s.reply(5, 9, 0, r.Created("/a")), "xid 5"),
+        (lambda s: s.reply(r.XID_PING, 9, 0), "ping"),
+        (lambda s: s.event(r.WatchEvent(r.DELETED, 3, "/b")), "never watched"),
+        (lambda s: s.reply(1, 2, 0, r.StatReply(STAT)), "runs back"),
+        (
+            lambda s: s.reply(1, 9, 0, r.StatReply(STAT)) + s.reply(1, 9, 0, r.StatReply(STAT)),
+            "awaited is none",
+        ),
+        (lambda s: s.reply(1, 9, 0, r.Created("/a")), "stated"),
+        (lambda s: b"\xff\xff\xff\xf0", "frame of"),
+    ],
+)
 def test_a_server_that_breaks_the_order_of_things_is_left(frames, said):
     client, server = opened(last_zxid=5)
     client.request(r.EXISTS, r.Watched("/a", True))
@@ -130,7 +200,7 @@
 
 def test_an_operation_that_is_unknown_is_answered_and_an_endless_multi_refused():
     client, server = opened()
-    got, = server.feed(struct.pack(">iii", 8, 1, 16))
+    (got,) = server.feed(struct.pack(">iii", 8, 1, 16))
     assert got.problem == Code.UNIMPLEMENTED
     with pytest.raises(Broken):
         server.feed(client.request(r.MULTI, r.Multi([(r.CHECK, r.Check("/a", 1))] * 1001))[1])
@@ -138,6 +208,7 @@
 
 # ---- forms of nodes
 
+
 @pytest.mark.parametrize("form", ["serverset", "curator", "plain"])
 @pytest.mark.parametrize("phase", ["on", "fading"])
 def test_a_member_is_read_as_it_was_written(form, phase):
@@ -145,16 +216,37 @@
     assert read_member(write_member(member, form, "tiles"), form) == member
 
 
-@pytest.mark.parametrize("form, raw, wanted", [
-    ("serverset", '{"serviceEndpoint":{"host":"a","port":1},"additionalEndpoints":{},"status":"ALIVE","shard":3}',
-     Member("a:1", "on", 1.0, "", "")),
-    ("serverset", '{"serviceEndpoint":{"host":"a","port":1},"status":"STOPPING"}', Member("a:1", "fading", 1.0, "", "")),
-    ("serverset", '{"serviceEndpoint":{"host":"a","port":1},"status":"STARTING"}', Member("a:1", "off", 1.0, "", "")),
-    ("curator", '{"name":"t","id":"x","address":"a","port":1,"sslPort":null,"payload":null,"registrationTimeUTC":5}',
-     Member("a:1", "on", 1.0, "", "")),
-    ("curator", '{"name":"t","address":"a","port":null,"sslPort":443,"enabled":false,"payload":{"weight":"3"}}',
-     Member("a:443", "fading", 3.0, "", "")),
-    ("plain", '{"endpoint":"e","size":2,"start":4}', Member("e", "on", 2.0, "", "4"))])
+@pytest.mark.parametrize(
+    "form, raw, wanted",
+    [
+        (
+            "serverset",
+            '{"serviceEndpoint":{"host":"a","port":1},"additionalEndpoints":{},"status":"ALIVE","shard":3}',
+            Member("a:1", "on", 1.0, "", ""),
+        ),
+        (
+            "serverset",
+            '{"serviceEndpoint":{"host":"a","port":1},"status":"STOPPING"}',
+            Member("a:1", "fading", 1.0, "", ""),
+        ),
+        (
+            "serverset",
+            '{"serviceEndpoint":{"host":"a","port":1},"status":"STARTING"}',
+            Member("a:1", "off", 1.0, "", ""),
+        ),
+        (
+            "curator",
+            '{"name":"t","id":"x","address":"a","port":1,"sslPort":null,"payload":null,"registrationTimeUTC":5}',
+            Member("a:1", "on", 1.0, "", ""),
+        ),
+        (
+            "curator",
+            '{"name":"t","address":"a","port":null,"sslPort":443,"enabled":false,"payload":{"weight":"3"}}',
+            Member("a:443", "fading", 3.0, "", ""),
+        ),
+        ("plain", '{"endpoint":"e","size":2,"start":4}', Member("e", "on", 2.0, "", "4")),
+    ],
+)
 def test_the_forms_that_installations_use(form, raw, wanted):
     assert read_member(raw.encode(), form) == wanted
 
@@ -166,12 +258,25 @@
         read_member(raw, "serverset", "thrift")
 
 
-@pytest.mark.parametrize("form, raw, said", [
-    ("plain", b"", "nothing"), ("plain", None, "nothing"), ("plain", b"[1]", "list"), ("plain", b"{", "JSON"), ("plain", b"{}", "endpoint"),
-    ("plain", b"\xff\xfe", "JSON"), ("plain", b'{"endpoint":"e","size":0}', "above 0"), ("plain", b'{"endpoint":"e","phase":"up"}', "phase"),
-    ("serverset", b'{"serviceEndpoint":{"host":"a","port":70000}}', "70000"), ("serverset", b"{}", "missing"),
-    ("serverset", b'{"serviceEndpoint":{"host":"a","port":1},"status":"ODD"}', "ODD"), ("plain", b" " * 70_000, "70000 bytes"),
-    ("curator", b'{"address":"a","port":1,"enabled":"yes"}', "enabled"), ("curator", b'{"address":"a","port":1,"payload":[]}', "payload")])
+@pytest.mark.parametrize(
+    "form, raw, said",
+    [
+        ("plain", b"", "nothing"),
+        ("plain", None, "nothing"),
+        ("plain", b"[1]", "list"),
+        ("plain", b"{", "JSON"),
+        ("plain", b"{}", "endpoint"),
+        ("plain", b"\xff\xfe", "JSON"),
+        ("plain", b'{"endpoint":"e","size":0}', "above 0"),
+        ("plain", b'{"endpoint":"e","phase":"up"}', "phase"),
+        ("serverset", b'{"serviceEndpoint":{"host":"a","port":70000}}', "70000"),
+        ("serverset", b"{}", "missing"),
+        ("serverset", b'{"serviceEndpoint":{"host":"a","port":1},"status":"ODD"}', "ODD"),
+        ("plain", b" " * 70_000, "70000 bytes"),
+        ("curator", b'{"address":"a","port":1,"enabled":"yes"}', "enabled"),
+        ("curator", b'{"address":"a","port":1,"payload":[]}', "payload"),
+    ],
+)
 def test_a_broken_node_is_refused_with_the_reason(form, raw, said):
     with pytest.raises(NodeRefused, match=said):
         read_member(raw, form)
@@ -193,7 +298,7 @@
     assert zoo.listed["h:9000"].phase == "fading"
     zoo.loop.spawn(zoo.members["h:9000"].leave(), "leave")
     zoo.run(0.2)
-    assert zoo.listed["h:9000"].phase == "off"       # it drained: nothing is held back
+    assert zoo.listed["h:9000"].phase == "off"  # it drained: nothing is held back
     zoo.member("h:9009")
     zoo.run(1)
     assert zoo.on() == ["h:9001", "h:9002", "h:9009"]
@@ -216,7 +321,7 @@
     zoo = Zoo(recursive=recursive, members=2)
     zoo.members["h:9000"].stop()
     zoo.run(1.2)
-    assert zoo.on() == ["h:9000", "h:9001"] and not zoo.source.judge.gone      # its session lives
+    assert zoo.on() == ["h:9000", "h:9001"] and not zoo.source.judge.gone  # its session lives
     zoo.run(0.9)
     vanished = zoo.source.judge.gone["h:9000"].since
     zoo.run(2)
@@ -239,7 +344,7 @@
     newer = data.replace(b'"start":"1"', b'"start":"2"')
     zoo.ensemble.commit([("create", path, newer, OPEN_ACL, 0)])
     zoo.run(3)
-    assert "x:1" in zoo.on() and zoo.phases("x:1") == ["on"]         # told once: another process, never gone
+    assert "x:1" in zoo.on() and zoo.phases("x:1") == ["on"]  # told once: another process, never gone
     assert zoo.source.judge.nodes["x"].start == "2" and not zoo.source.judge.gone
 
 
@@ -254,7 +359,12 @@
     zoo.members["h:9002"].drain()
     zoo.run(4)
     assert zoo.source.client.session == session and zoo.source.client.counts["expiries"] == 0
-    assert zoo.on() == ["h:9000", "h:9001", "h:9003", "h:9004"]      # the deleted one was made again by its member
+    assert zoo.on() == [
+        "h:9000",
+        "h:9001",
+        "h:9003",
+        "h:9004",
+    ]  # the deleted one was made again by its member
     assert [phase for _, _, phase in zoo.told].count("off") <= 1
 
 
@@ -264,7 +374,7 @@
     zoo.told.clear()
     zoo.ensemble.control({"cut": [0, 1, 2]})
     zoo.source.client.read_only = False
-    zoo.run(6)                                       # everybody's session has expired by now
+    zoo.run(6)  # everybody's session has expired by now
     assert zoo.on() == ["h:9000", "h:9001", "h:9002", "h:9003"] and zoo.source.client.state == "disconnected"
     assert zoo.loop.now() - zoo.source.confirmed > 5 * SECOND
     zoo.members["h:9003"].stop()
@@ -281,7 +391,7 @@
     assert zoo.source.client.state == "read-only"
     confirmed = zoo.source.confirmed
     zoo.run(1)
-    assert zoo.source.confirmed == confirmed         # it tells nothing of what happens now
+    assert zoo.source.confirmed == confirmed  # it tells nothing of what happens now
     other = [n for n, place in enumerate(PLACES) if place != zoo.source.client.server]
     for server in other:
         zoo.ensemble.servers[server].cut = False
@@ -328,9 +438,9 @@
         zoo.members[name].stop()
     zoo.run(0.4)
     off = {name for _, name, phase in zoo.told if phase == "off"}
-    assert off == set(names[:10])                    # those that drained; the others are held back
+    assert off == set(names[:10])  # those that drained; the others are held back
     zoo.run(2)
-    report, = zoo.reports("mass_vanishing")
+    (report,) = zoo.reports("mass_vanishing")
     assert report["vanished"] == 20 and report["own_session"] == "lived"
     assert {name for _, name, phase in zoo.told if phase == "off"} == set(names[:30])
     assert zoo.on() == sorted(names[30:] + [f"s:{n}" for n in range(30)])
@@ -348,12 +458,12 @@
     zoo.run(3)
     assert zoo.on() == sorted(zoo.members) and zoo.source.shown()["vanished"][0]["in_doubt"]
     assert zoo.reports("mass_vanishing")[0]["own_session"] == "expired too"
-    zoo.source.on_sums("h:9000", 20, 20)             # the data plane loses ops there: it is dead
+    zoo.source.on_sums("h:9000", 20, 20)  # the data plane loses ops there: it is dead
     zoo.run(0.1)
     assert zoo.on() == ["h:9001", "h:9002"]
     zoo.member("n:1")
     zoo.run(1)
-    assert zoo.on() == ["n:1"]                       # another is there: the grace binds
+    assert zoo.on() == ["n:1"]  # another is there: the grace binds
 
 
 def test_a_herd_of_300_is_read_with_bounded_calls_in_flight(monkeypatch):
@@ -371,6 +481,7 @@
                 return
             most.append(len(zoo.source.client.calls))
             yield value
+
     monkeypatch.setattr(members_module.Follower, "_read_dirty", watched)
     for n in range(300):
         zoo.member(f"h:{n}")
@@ -383,7 +494,7 @@
     zoo.ensemble.commit([("create", f"{PATH}/odd", b"{", OPEN_ACL, 0)])
     zoo.run(0.5)
     assert zoo.on() == ["h:9000", "h:9001"] and "odd" in zoo.reports("node_refused")[0]["node"]
-    zoo.ensemble.commit([("set", f"{PATH}/h:9000", b"[]")])          # and one that was sound keeps what it said last
+    zoo.ensemble.commit([("set", f"{PATH}/h:9000", b"[]")])  # and one that was sound keeps what it said last
     zoo.run(0.5)
     assert zoo.on() == ["h:9000", "h:9001"] and set(zoo.source.refused) == {"odd", "h:9000"}
 
@@ -408,7 +519,7 @@
     assert state in [fields["state"] for fields in zoo.reports("source_state")]
     assert bool(zoo.reports("source_auth_refused")) == (state == "refused")
     zoo.run(5)
-    assert zoo.source.client.counts["connects"] < 12     # no hot circle
+    assert zoo.source.client.counts["connects"] < 12  # no hot circle
 
 
 def test_a_guarded_member_is_changed_by_itself_alone():
@@ -416,7 +527,9 @@
     zoo.member("h:1", auth=(("digest", b"m:pw"),))
     zoo.run(1)
     heard = []
-    other = ZooClient(zoo.loop, PLACES, 2 * SECOND, lambda: 0.3, lambda state: None, lambda event: None, zoo.loop.report)
+    other = ZooClient(
+        zoo.loop, PLACES, 2 * SECOND, lambda: 0.3, lambda state: None, lambda event: None, zoo.loop.report
+    )
     zoo.run(0.5)
 
     def tries():
@@ -424,6 +537,7 @@
             yield from other.call(r.SET_DATA, r.SetData(f"{PATH}/h:1", b"", -1))
         except ZooError as error:
             heard.append(error.code)
+
     zoo.loop.spawn(tries(), "tries")
     zoo.run(0.5)
     assert heard == [Code.NO_AUTH]
@@ -440,12 +554,14 @@
 
 def test_servers_before_3_6_are_watched_one_by_one(monkeypatch):
     from cedarshift.standins import ensemble
+
     real = ensemble.Server._read
 
     def older(self, connection, request):
         if request.op == r.ADD_WATCH:
             raise ZooError(Code.UNIMPLEMENTED)
         return real(self, connection, request)
+
     monkeypatch.setattr(ensemble.Server, "_read", older)
     zoo = Zoo(members=2)
     assert zoo.on() == ["h:9000", "h:9001"] and zoo.reports("source_one_shot")
@@ -472,6 +588,7 @@
 
 # ---- the client against servers that misbehave
 
+
 class Rogue:
     """Greets, then says what it is told to."""
 
@@ -494,14 +611,24 @@
             stream.write(self.speech(codec))
 
 
-@pytest.mark.parametrize("speech", [
-    lambda s: b"\xff\xff\xff\xff", lambda s: b"\x7f\xff\xff\xff", lambda s: s.reply(99, 1, 0), lambda s: b"",
-    lambda s: s.event(r.WatchEvent(r.DELETED, 3, "/x")), lambda s: s.reply(1, 1, 0) + b"\0\0\0\1"])
+@pytest.mark.parametrize(
+    "speech",
+    [
+        lambda s: b"\xff\xff\xff\xff",
+        lambda s: b"\x7f\xff\xff\xff",
+        lambda s: s.reply(99, 1, 0),
+        lambda s: b"",
+        lambda s: s.event(r.WatchEvent(r.DELETED, 3, "/x")),
+        lambda s: s.reply(1, 1, 0) + b"\0\0\0\1",
+    ],
+)
 def test_a_client_leaves_a_rogue_server_waits_and_holds_nobody_up(speech):
     loop = virtual_loop()
     rogue = Rogue(loop, speech)
     failed = []
-    client = ZooClient(loop, [PLACES[0]], 2 * SECOND, lambda: 0.5, lambda state: None, lambda event: None, loop.report)
+    client = ZooClient(
+        loop, [PLACES[0]], 2 * SECOND, lambda: 0.5, lambda state: None, lambda event: None, loop.report
+    )
 
     def asks():
         while True:
@@ -510,6 +637,7 @@
             except ZooError as error:
                 failed.append(error.code)
             yield from loop.sleep(20_000)
+
     loop.spawn(asks(), "asks")
     loop.run(loop.spawn(loop.sleep(20 * SECOND), "wait"))
     assert failed and set(failed) <= {Code.CONNECTION_LOSS, Code.SESSION_EXPIRED}
@@ -529,6 +657,7 @@
 
 # ---- registration
 
+
 @FORMS
 def test_a_member_is_registered_again_after_its_session_has_expired(form):
     zoo = Zoo(form, members=1)
@@ -536,7 +665,11 @@
     zoo.expire("h:9000")
     zoo.run(4)
     member = zoo.members["h:9000"]
-    assert member.registered and member.counts["created"] == 2 and (form == "plain" or form == "curator" or member.node != first)
+    assert (
+        member.registered
+        and member.counts["created"] == 2
+        and (form == "plain" or form == "curator" or member.node != first)
+    )
 
 
 def test_a_node_that_someone_deletes_is_made_again_and_what_someone_writes_stands():
@@ -547,7 +680,7 @@
     zoo.ensemble.commit([("set", f"{PATH}/h:9000", b'{"endpoint":"h:9000","phase":"fading"}')])
     zoo.run(1)
     assert zoo.listed["h:9000"].phase == "fading"
-    zoo.ensemble.commit([("delete", f"{PATH}/h:9000")])              # still watched after that change
+    zoo.ensemble.commit([("delete", f"{PATH}/h:9000")])  # still watched after that change
     zoo.run(1)
     assert zoo.members["h:9000"].counts["created"] == 3
 
@@ -555,11 +688,16 @@
 @pytest.mark.parametrize("form", ["serverset", "plain"])
 def test_a_create_whose_answer_is_lost_is_not_done_twice(form, monkeypatch):
     from cedarshift.standins import ensemble
+
     real, lost = ensemble.Server.serve, []
 
     def forgets(self, connection, request):
-        real(self, connection, request) if request.op != r.CREATE or lost or "/h:" not in str(request.body) and "member_" not in str(
-            request.body) else lost.append(self.ensemble.write(connection, request.op, request.body)) or connection.stream.close()
+        real(self, connection, request) if request.op != r.CREATE or lost or "/h:" not in str(
+            request.body
+        ) and "member_" not in str(request.body) else lost.append(
+            self.ensemble.write(connection, request.op, request.body)
+        ) or connection.stream.close()
+
     monkeypatch.setattr(ensemble.Server, "serve", forgets)
     zoo = Zoo(form, members=1)
     zoo.run(4)
@@ -573,7 +711,7 @@
     again = zoo.member("h:9000", start="2")
     zoo.run(1)
     assert again.registered and zoo.reports("register_replaces")
-    assert zoo.on() == ["h:9000"] and zoo.listed["h:9000"].started is not None      # cold, by its own word
+    assert zoo.on() == ["h:9000"] and zoo.listed["h:9000"].started is not None  # cold, by its own word
     zoo.run(4)
     assert zoo.on() == ["h:9000"]
 
@@ -581,13 +719,20 @@
 # ---- random troubles
 
 STEP = st.one_of(
-    st.tuples(st.just("new"), st.integers(0, 5)), st.tuples(st.just("leave"), st.integers(0, 5)),
-    st.tuples(st.just("drain"), st.integers(0, 5)), st.tuples(st.just("kill"), st.integers(0, 5)),
-    st.tuples(st.just("expire"), st.integers(0, 5)), st.tuples(st.just("expire_reader"), st.just(0)),
-    st.tuples(st.just("cut"), st.integers(0, 2)), st.tuples(st.just("heal"), st.integers(0, 2)),
-    st.tuples(st.just("lag"), st.integers(0, 2)), st.tuples(st.just("drop"), st.integers(0, 2)),
-    st.tuples(st.just("part"), st.integers(0, 5)), st.tuples(st.just("join"), st.just(0)),
-    st.tuples(st.just("wait"), st.integers(1, 40)))
+    st.tuples(st.just("new"), st.integers(0, 5)),
+    st.tuples(st.just("leave"), st.integers(0, 5)),
+    st.tuples(st.just("drain"), st.integers(0, 5)),
+    st.tuples(st.just("kill"), st.integers(0, 5)),
+    st.tuples(st.just("expire"), st.integers(0, 5)),
+    st.tuples(st.just("expire_reader"), st.just(0)),
+    st.tuples(st.just("cut"), st.integers(0, 2)),
+    st.tuples(st.just("heal"), st.integers(0, 2)),
+    st.tuples(st.just("lag"), st.integers(0, 2)),
+    st.tuples(st.just("drop"), st.integers(0, 2)),
+    st.tuples(st.just("part"), st.integers(0, 5)),
+    st.tuples(st.just("join"), st.just(0)),
+    st.tuples(st.just("wait"), st.integers(1, 40)),
+)
 
 
 def trouble(zoo, what, n):
@@ -608,7 +753,7 @@
         zoo.ensemble.control({"expire": [f"{zoo.source.client.session:#x}"]})
     elif what in ("cut", "heal", "drop"):
         zoo.ensemble.control({what: [n]})
-    elif what == "part":                             # the network between the members and the ensemble, for 4 s at least
+    elif what == "part":  # the network between the members and the ensemble, for 4 s at least
         zoo.loop.network.refuse.update(DOORS)
         zoo.ensemble.control({"drop": [3, 4, 5]})
         zoo.run(4)
@@ -637,11 +782,15 @@
             serving = [n for n in ever if n in zoo.members and zoo.members[n].member.phase == "on"]
             for name in ever:
                 zoo.source.on_sums(name, 20, 0 if name in zoo.members else 20)
-            late.extend(name for name, one in zoo.source.judge.gone.items()
-                        if now > one.until + 10_000 and name not in zoo.source.judge.doubted)
+            late.extend(
+                name
+                for name, one in zoo.source.judge.gone.items()
+                if now > one.until + 10_000 and name not in zoo.source.judge.doubted
+            )
             if serving and not zoo.on() and not any(zoo.listed[n].phase == "fading" for n in serving):
                 empty.append((now, serving))
             yield from zoo.loop.sleep(50_000)
+
     zoo.loop.spawn(inspect(), "inspect")
     for what, n in [*steps, ("join", 0)]:
         trouble(zoo, what, n)
@@ -649,7 +798,10 @@
     zoo.run(20)
     registered = {name for name, member in zoo.members.items() if member.registered}
     assert registered == set(zoo.members)
-    there = {zoo.source.judge.nodes[name].endpoint: zoo.source.judge.nodes[name].phase for name in zoo.source.judge.nodes}
+    there = {
+        zoo.source.judge.nodes[name].endpoint: zoo.source.judge.nodes[name].phase
+        for name in zoo.source.judge.nodes
+    }
     assert set(zoo.ensemble._children()) == set(zoo.source.judge.nodes)
     assert {name: entry.phase for name, entry in zoo.listed.items() if entry.phase != "off"} == there
     assert set(there) == set(zoo.members) and not late and not empty
@@ -659,8 +811,15 @@
 def test_what_an_event_overtook_is_not_told():
     zoo = Zoo(members=1)
     told = []
-    follower = members_module.Follower(zoo.loop, PATH, True, lambda name: True, lambda *told_now: told.append(told_now), zoo.loop.report,
-                                        lambda: 0.5)
+    follower = members_module.Follower(
+        zoo.loop,
+        PATH,
+        True,
+        lambda name: True,
+        lambda *told_now: told.append(told_now),
+        zoo.loop.report,
+        lambda: 0.5,
+    )
     batch = members_module.Batch()
     batch.seen = {"x": members_module.Raw(b"", 0, 1), "y": members_module.Raw(b"", 0, 2)}
     follower.dirty["x"] = None
@@ -671,7 +830,9 @@
 @WATCHES
 def test_an_update_whose_reading_was_cut_off_is_read_again(recursive):
     zoo = Zoo(recursive=recursive, members=2, delay=5_000)
-    zoo.ensemble.commit([("create", f"{PATH}/x", write_member(Member("x:1", "on", 1.0, "z", "1"), "plain"), OPEN_ACL, 0)])
+    zoo.ensemble.commit(
+        [("create", f"{PATH}/x", write_member(Member("x:1", "on", 1.0, "z", "1"), "plain"), OPEN_ACL, 0)]
+    )
     zoo.run(1)
     zoo.ensemble.commit([("set", f"{PATH}/x", write_member(Member("x:1", "fading", 1.0, "z", "1"), "plain"))])
     while not any(call.op == r.GET_DATA for call in zoo.source.client.calls):
@@ -683,6 +844,7 @@
 
 def test_many_changes_are_saved_together_and_the_last_before_a_stop_too(tmp_path, monkeypatch):
     from cedarshift.roster.sources import SavedList
+
     writes = []
     real = SavedList.write
     monkeypatch.setattr(SavedList, "write", lambda self: writes.append(len(self.entries)) or real(self))
@@ -690,11 +852,23 @@
     zoo.run(2)
     before = len(writes)
     for n in range(50):
-        zoo.ensemble.commit([("create", f"{PATH}/x{n}", write_member(Member(f"x:{n + 1}", "on", 1.0, "z", "1"), "plain"), OPEN_ACL, 0)])
+        zoo.ensemble.commit(
+            [
+                (
+                    "create",
+                    f"{PATH}/x{n}",
+                    write_member(Member(f"x:{n + 1}", "on", 1.0, "z", "1"), "plain"),
+                    OPEN_ACL,
+                    0,
+                )
+            ]
+        )
         zoo.run(0.02)
     zoo.run(1.5)
     assert 1 <= len(writes) - before <= 3 and writes[-1] == 51
-    zoo.ensemble.commit([("create", f"{PATH}/y", write_member(Member("y:1", "on", 1.0, "z", "1"), "plain"), OPEN_ACL, 0)])
+    zoo.ensemble.commit(
+        [("create", f"{PATH}/y", write_member(Member("y:1", "on", 1.0, "z", "1"), "plain"), OPEN_ACL, 0)]
+    )
     zoo.run(0.1)
     zoo.source.stop()
     assert writes[-1] == 52 and "y:1" in (tmp_path / "list.json").read_text()
--- a/tests/zoo.py
+++ b/tests/zoo.py
@@ -1,15 +1,19 @@
 """Builds what the tests of ephemeral nodes need: an ensemble, sources and members on one virtual loop."""
+
 import random
 
+from program import SECOND, virtual_loop
+
 from cedarshift.roster.ephemeral import EphemeralSource, EphemeralTerms
 from cedarshift.roster.formats import Member
 from cedarshift.roster.register import RegisterTerms, Registration
 from cedarshift.roster.sources import SavedList
 from cedarshift.standins.ensemble import Ensemble, EnsemblePlan
-from program import SECOND, virtual_loop
 
 PLACES = [("127.0.0.1", 2181 + n) for n in range(3)]
-DOORS = [("127.0.0.1", 2191 + n) for n in range(3)]   # the members' own, where a network is to be cut between the two
+DOORS = [
+    ("127.0.0.1", 2191 + n) for n in range(3)
+]  # the members' own, where a network is to be cut between the two
 PATH = "/svc/tiles"
 TIMEOUT = 2 * SECOND
 
@@ -17,10 +21,29 @@
 class Zoo:
     """An ensemble of three, one reader, and members that register themselves; `told` is what the reader's list was told."""
 
-    def __init__(self, form="plain", recursive=True, hold=SECOND, members=0, pools=False, auth=(), delay=200, reader=True,
-                 saved="", read_only=True, apart=False):
+    def __init__(
+        self,
+        form="plain",
+        recursive=True,
+        hold=SECOND,
+        members=0,
+        pools=False,
+        auth=(),
+        delay=200,
+        reader=True,
+        saved="",
+        read_only=True,
+        apart=False,
+    ):
         self.loop = virtual_loop(delay)
-        self.form, self.recursive, self.hold, self.pools, self.auth, self.saved = form, recursive, hold, pools, auth, saved
+        self.form, self.recursive, self.hold, self.pools, self.auth, self.saved = (
+            form,
+            recursive,
+            hold,
+            pools,
+            auth,
+            saved,
+        )
         self.read_only = read_only
         self.doors = DOORS if apart else PLACES
         self.ensemble = Ensemble(self.loop, EnsemblePlan(PLACES + (DOORS if apart else []), None, PATH, form))
@@ -37,9 +60,18 @@
         self.loop.run(self.loop.spawn(self.loop.sleep(int(seconds * SECOND)), "wait"))
 
     def reader(self, seed=1):
-        terms = EphemeralTerms(tuple(PLACES), PATH, TIMEOUT, self.form, "", self.recursive, self.read_only, self.hold, self.auth)
-        return EphemeralSource(self.loop, terms, self.pools, random.Random(seed).random, SavedList(self.saved), self.hear,
-                               self.loop.report)
+        terms = EphemeralTerms(
+            tuple(PLACES), PATH, TIMEOUT, self.form, "", self.recursive, self.read_only, self.hold, self.auth
+        )
+        return EphemeralSource(
+            self.loop,
+            terms,
+            self.pools,
+            random.Random(seed).random,
+            SavedList(self.saved),
+            self.hear,
+            self.loop.report,
+        )
 
     def hear(self, kind, entries):
         if kind == "replace":
@@ -51,8 +83,9 @@
     def member(self, endpoint, zone="z", start="", size=1.0, auth=()):
         terms = RegisterTerms(tuple(self.doors), PATH, TIMEOUT, self.form, "tiles", auth)
         seed = random.Random(f"{endpoint} {len(self.members)}")
-        made = self.members[endpoint] = Registration(self.loop, terms, Member(endpoint, "on", size, zone, start), seed.random,
-                                                     self.loop.report)
+        made = self.members[endpoint] = Registration(
+            self.loop, terms, Member(endpoint, "on", size, zone, start), seed.random, self.loop.report
+        )
         return made
 
     def expire(self, *endpoints):
