--- a/tests/fleet_process.py
+++ b/tests/fleet_process.py
@@ -74,7 +74,7 @@
 
     def lose_pilot(self):
         """The process is gone: its proxies' leases run out, and its slices are another's from then on."""
-        self.losing, self.lost_at, self.standing = False, self.loop.now(), []
+        self.losing, self.lost_at, self.snapshot = False, self.loop.now(), []
         self.cut()
         self.fleet.lose_pilot()
 
@@ -89,7 +89,7 @@
             if self.losing:
                 self.lose_pilot()
             elif self.lost_at is None:
-                self.standing = self._stands()
+                self.snapshot = self._stands()
             elif self.streams and self.loop.now() - self.lost_at > TAKEN_OVER_AFTER * 1e6:
                 self._give_back()
             if self.chance.random() < self.door_faults.resets * TICK / 1e6:
@@ -103,9 +103,9 @@
     def _give_back(self):
         self.lost_at = None
         for number, row in self.fleet.give_anew().items():
-            self.say("lease", f"shard={number}&set=1")
+            self.send_event("lease", f"shard={number}&set=1")
             if row.owner:
-                self.say("line", f"shard={number}&endpoint={row.owner}&w=1.0")
+                self.send_event("line", f"shard={number}&endpoint={row.owner}&w=1.0")
 
     def _stands(self):
         told = [("hello", _hello(number)) for number, proxy in self.fleet.proxies.items() if proxy.joined]
@@ -117,9 +117,9 @@
 
     def _tell(self, event, proxy, *more):
         if event == "ack":
-            self.say("ack", f"node={proxy}&nonce={more[0]}&latency={more[1] / 10}")
+            self.send_event("ack", f"node={proxy}&nonce={more[0]}&latency={more[1] / 10}")
         else:
-            self.say(
+            self.send_event(
                 "hello" if event == "join" else "bye", _hello(proxy) if event == "join" else f"node={proxy}"
             )
 
@@ -154,9 +154,9 @@
 class FleetAgent(ListAgent):
     """A discovery that outlives the process it serves."""
 
-    def tell(self, text):
+    def publish(self, text):
         try:
-            super().tell(text)
+            super().publish(text)
         except StreamBroken:
             self.streams = []
 
@@ -307,12 +307,12 @@
             if changes:
                 revision += 1
                 listed.update({one["instanceId"]: one for one in changes})
-                self.agent.first = [
+                self.agent.initial_lists = [
                     listing(
                         revision, *(one for one in listed.values() if one["lifecycle"] != "gone"), reset=True
                     )
                 ]
-            self.agent.tell(listing(revision, *changes) if changes else "\n")
+            self.agent.publish(listing(revision, *changes) if changes else "\n")
 
 
 def drawn(seed):
--- a/tests/platform_parts.py
+++ b/tests/platform_parts.py
@@ -1,4 +1,4 @@
-"""The platform's parties as its page tells of them, scripted, on the virtual clock: a relay, a discovery, a configuration."""
+"""Scripted platform services on the virtual clock: a relay, a discovery service and a configuration."""
 
 import json
 from urllib.parse import parse_qs
@@ -12,7 +12,7 @@
 from cedarshift.platform.service import PlatformPilot
 
 RELAY, DISCOVERY, PILOT = ("127.0.0.1", 6400), ("127.0.0.1", 8500), ("127.0.0.1", 8081)
-START = 1_700_000_000  # s; Unix time at the loop's nought
+START_S = 1_700_000_000  # Unix time when the virtual clock reads 0
 SETTINGS = {
     "classes": [
         {"name": "get", "on_time_ns": 2_000_000_000, "deadline_ns": 6_000_000_000},
@@ -75,34 +75,35 @@
     }
 
 
-TOLD = Environment("n0", PILOT, DISCOVERY, "config.json")
+ENVIRONMENT = Environment("n0", PILOT, DISCOVERY, "config.json")
 
 
-def a_place(**changes):
-    return parse_config(TOLD, json.dumps(configuration(**changes)).encode())
+def make_config(**changes):
+    return parse_config(ENVIRONMENT, json.dumps(configuration(**changes)).encode())
 
 
 class Relay:
-    """`script`: what becomes of the next calls, "ok" when it is empty: "silent" (carried out, no answer), "lost" (not carried
-    out, reset), "spoilt" (carried out, an answer that is none), "busy", or a number of orders to take."""
+    """A relay. `script` holds the outcomes of the next calls, "ok" when it is empty: "silent" (applied, no
+    response), "lost" (not applied, reset), "spoilt" (applied, invalid response), "busy", or a number of
+    orders to accept."""
 
     def __init__(self, loop, address=RELAY):
-        self.loop, self.script, self.standing, self.streams = loop, [], [], []
-        self.calls = []  # (connection, orders) of each call that came
-        self.connections = self.left = 0
-        self.door = listen(loop, address)
+        self.loop, self.script, self.snapshot, self.streams = loop, [], [], []
+        self.calls = []  # (connection number, orders) of each call
+        self.connections = self.closed_by_pilot = 0
+        self.listener = listen(loop, address)
         loop.spawn(self._accept(), "relay")
 
-    def stands(self, proxies=(0, 1), slices=None, zone="za"):
-        """What a stream begins with: joined proxies, slices in charge with their owners ("" for none)."""
+    def set_snapshot(self, proxies=(0, 1), slices=None, zone="za"):
+        """Sets the initial events of a stream: joined proxies, and slices with owners ("" for none)."""
         owners = {0: "a", 1: "b", 2: "a", 3: "b"} if slices is None else slices
-        self.standing = [("hello", f"node={n}&locality={zone}&w=2.5&cold=0") for n in proxies]
+        self.snapshot = [("hello", f"node={n}&locality={zone}&w=2.5&cold=0") for n in proxies]
         for number, owner in owners.items():
-            self.standing.append(("lease", f"shard={number}&set=1"))
+            self.snapshot.append(("lease", f"shard={number}&set=1"))
             if owner:
-                self.standing.append(("line", f"shard={number}&endpoint={owner}&w=1.0"))
+                self.snapshot.append(("line", f"shard={number}&endpoint={owner}&w=1.0"))
 
-    def say(self, event, data):
+    def send_event(self, event, data):
         self._write(f"event: {event}\ndata: {data}\n\n")
 
     def _write(self, text):
@@ -117,7 +118,7 @@
 
     def _accept(self):
         while True:
-            stream = yield from self.door.accept()
+            stream = yield from self.listener.accept()
             self.connections += 1
             self.loop.spawn(self._talk(stream, self.connections), "relay connection")
 
@@ -139,10 +140,10 @@
                         )
                     )
                     self.streams = [(stream, conn)]
-                    for event, data in self.standing:
-                        self.say(event, data)
+                    for event, data in self.snapshot:
+                        self.send_event(event, data)
                     yield from stream.read()
-                    self.left += 1  # the pilot has closed its side
+                    self.closed_by_pilot += 1
                     return
                 self._answer(stream, conn, number, parse_qs(body.decode())["orders"][0].split(";"))
                 conn.start_next_cycle()
@@ -169,16 +170,19 @@
 
     def _answer(self, stream, conn, number, orders):
         self.calls.append((number, orders))
-        what = self.script.pop(0) if self.script else "ok"
-        if what == "silent":
-            raise TimeoutError("held: open, and silent")
-        if what == "lost":
+        outcome = self.script.pop(0) if self.script else "ok"
+        if outcome == "silent":
+            raise TimeoutError("no response, connection left open")
+        if outcome == "lost":
             raise StreamBroken("lost")
-        taken = len(orders) if what == "ok" else what
-        text = f'<?xml version="1.0"?>\n<Response><entries><item><ok_count>{taken}</ok_count></item></entries></Response>'
-        if what == "busy":
+        accepted = len(orders) if outcome == "ok" else outcome
+        text = (
+            '<?xml version="1.0"?>\n'
+            f"<Response><entries><item><ok_count>{accepted}</ok_count></item></entries></Response>"
+        )
+        if outcome == "busy":
             text = "<Response><Errors><Error><Code>BUSY</Code></Error></Errors></Response>"
-        if what == "spoilt":
+        if outcome == "spoilt":
             text = text[:40]
         stream.write(
             conn.send(h11.Response(status_code=200, headers=[("content-length", str(len(text)))]))
@@ -188,65 +192,65 @@
 
 
 class ListAgent:
-    """A discovery: each watch gets `first`, then what `tell` is given."""
+    """A discovery service: each watch receives `initial_lists`, then whatever is published."""
 
     def __init__(self, loop, address=DISCOVERY):
-        self.loop, self.first, self.asked, self.streams = loop, [], [], []
-        self.door = listen(loop, address)
+        self.loop, self.initial_lists, self.requested_targets, self.streams = loop, [], [], []
+        self.listener = listen(loop, address)
         loop.spawn(self._accept(), "agent")
 
-    def tell(self, text):
+    def publish(self, text):
         text = text if isinstance(text, str) else json.dumps(text) + "\n"
         for stream, conn in self.streams:
             stream.write(conn.send(h11.Data(data=text.encode())))
 
     def _accept(self):
         while True:
-            stream = yield from self.door.accept()
+            stream = yield from self.listener.accept()
             self.loop.spawn(self._talk(stream), "agent connection")
 
     def _talk(self, stream):
         conn = h11.Connection(h11.SERVER)
         while not isinstance(event := conn.next_event(), h11.EndOfMessage):
             if isinstance(event, h11.Request):
-                self.asked.append(event.target.decode())
+                self.requested_targets.append(event.target.decode())
             elif event is h11.NEED_DATA:
                 conn.receive_data((yield from stream.read()))
         stream.write(conn.send(h11.Response(status_code=200, headers=[("transfer-encoding", "chunked")])))
         self.streams = [(stream, conn)]
-        for one in self.first:
-            self.tell(one)
+        for one in self.initial_lists:
+            self.publish(one)
         yield from stream.read()
         stream.close()
 
 
 class Stage:
-    """A pilot with its relay and its discovery in one loop; `run(seconds)` lets so much time pass, with signs of life."""
+    """A pilot, its relay and its discovery in one loop. `run(seconds)` advances time with heartbeats."""
 
     def __init__(self, proxies=(0, 1), slices=None, **changes):
         self.loop = virtual_loop()
         self.relay = Relay(self.loop)
-        self.relay.stands(proxies, slices)
+        self.relay.set_snapshot(proxies, slices)
         self.agent = ListAgent(self.loop)
-        self.place = a_place(**changes)
-        self.signs, self.wall_offset = True, START * SECOND
+        self.config = make_config(**changes)
+        self.heartbeats, self.wall_offset = True, START_S * SECOND
         self.pilot = PlatformPilot(
             self.loop,
-            self.place,
+            self.config,
             lambda: self.loop.now() + self.wall_offset,
             listen(self.loop, PILOT),
             self.loop.report,
             lambda: 0.5,
         )
         self.brain = self.pilot.brain
-        self.loop.spawn(self._signs(), "signs")
+        self.loop.spawn(self._send_heartbeats(), "heartbeats")
 
-    def _signs(self):
+    def _send_heartbeats(self):
         while True:
             yield from self.loop.sleep(SECOND // 2)
-            if self.signs:
+            if self.heartbeats:
                 self.relay._write(":\n\n")
-                self.agent.tell("\n")
+                self.agent.publish("\n")
 
     def run(self, seconds):
         def wait():
@@ -256,7 +260,7 @@
         return self
 
     def step_wall_clock(self, seconds):
-        """As an administrator does; the monotonic clock runs on."""
+        """Steps the wall clock; the monotonic clock is unaffected."""
         self.wall_offset += seconds * SECOND
 
     def unix_ms(self):
@@ -265,11 +269,11 @@
     def do(self, coroutine):
         return self.loop.run(self.loop.spawn(coroutine, "test"))
 
-    def heard(self, event):
+    def logged(self, event):
         return [fields for name, fields in self.loop.heard if name == event]
 
     def order(self, *decisions):
-        """Has the module decide these, beside whatever it decides itself."""
+        """Adds decisions to those of the module and submits them."""
         self.brain.out.extend(decisions)
         self.pilot._pull_decisions()
 
@@ -277,23 +281,23 @@
         return [one for _, orders in self.relay.calls for one in orders]
 
 
-def caller(stage, *pieces, until=10.0):
-    """Connects, sends, and returns (what came back, seconds until the end; None if none came)."""
+def connect_and_send(stage, *pieces, until=10.0):
+    """Returns (bytes received, seconds until the connection was closed or None if it stayed open)."""
 
     def talk():
         stream = yield from dial(stage.loop, PILOT)
-        begun = stage.loop.now()
+        started_at = stage.loop.now()
         for piece in pieces:
             stream.write(piece)
-        got = b""
+        received = b""
         try:
-            while data := (yield from stream.read(begun + int(until * SECOND))):
-                got += data
+            while data := (yield from stream.read(started_at + int(until * SECOND))):
+                received += data
         except TimedOut:
-            return got, None
+            return received, None
         except StreamBroken:
             pass
-        return got, (stage.loop.now() - begun) / SECOND
+        return received, (stage.loop.now() - started_at) / SECOND
 
     return talk()
 
--- a/tests/scripted_peers.py
+++ b/tests/scripted_peers.py
@@ -1,7 +1,7 @@
-"""Peers on real loopback sockets whose every byte a test sends itself, and a loop whose clock moves only when told.
+"""Scripted peers on real loopback sockets, and a loop whose clock advances only when a test advances it.
 
-The program's own parts run over `select.epoll` in the test's thread. So the order of two events is what the test makes it: it
-acts as the peer, or moves the clock, and then lets the loop run until what it waits for is seen.
+The pilot runs over `select.epoll` in the test's thread, so a test controls the order of events: it acts as a
+peer or advances the clock, then runs the loop until a condition holds.
 """
 
 import os
@@ -10,17 +10,17 @@
 import time
 from urllib.parse import parse_qs
 
-from platform_parts import a_place
+from platform_parts import make_config
 
 from cedarshift.codec.platform import frames
 from cedarshift.loop import Loop, listen
 from cedarshift.loop.epoll import EpollNetwork
 from cedarshift.platform.service import PlatformPilot
 
-PATIENCE = 5.0  # s of real time after which what is waited for has not come
-QUIET_PASSES = 5  # passes of the loop without an event after which nothing more is under way on loopback
+TIMEOUT_S = 5.0  # of real time
+QUIET_PASSES = 5  # loop passes after which loopback traffic has been delivered
 SECOND = 1_000_000  # us
-WALL = 1_700_000_000 * SECOND
+WALL_CLOCK_OFFSET_US = 1_700_000_000 * SECOND
 
 
 class SteppedClock:
@@ -32,7 +32,7 @@
 
 
 class SteppedLoop(Loop):
-    """A loop over real sockets on a clock that `advance` moves."""
+    """A loop over real sockets whose clock is moved by `advance`."""
 
     def __init__(self):
         self.events = []
@@ -48,15 +48,15 @@
         self.network.poll(wait)
 
     def until(self, condition):
-        """Runs until `condition()` gives something true, which is returned."""
-        limit = time.monotonic() + PATIENCE
-        while not (got := condition()):
-            assert time.monotonic() < limit, "what is waited for has not come"
+        """Runs until `condition()` returns a true value, and returns it."""
+        limit = time.monotonic() + TIMEOUT_S
+        while not (result := condition()):
+            assert time.monotonic() < limit, "condition not met in time"
             self.step()
-        return got
+        return result
 
     def settle(self, wait=1_000):
-        """Runs until everything that is under way has come. `wait`: us of real time for each of some looks at the network."""
+        """Runs until pending traffic has been handled. `wait` is the real time of each network poll in us."""
         for _ in range(QUIET_PASSES):
             self.step(wait)
             while self.ready:
@@ -66,8 +66,8 @@
         self.clock.time += int(seconds * SECOND)
         self.settle()
 
-    def held(self):
-        """What must be back at its former count after a test: tasks, timers, and sockets that the loop watches."""
+    def open_resources(self):
+        """Counts of tasks, timers and watched sockets, to detect leaks."""
         timers = sum(timer.call is not None for _, _, timer in self.timers)
         return {
             "tasks": sorted(task.name for task in self.tasks),
@@ -77,17 +77,17 @@
 
 
 class Peer:
-    """One end of a connection, in the test's hands."""
+    """One end of a connection, controlled by the test."""
 
     def __init__(self, loop, sock):
         self.loop = loop
         self.sock = sock
         self.sock.setblocking(False)
-        self.got = b""
+        self.received = b""
         self.ended = None  # "finished" or "reset", once the other side has ended
 
-    def look(self):
-        """Takes in what has come."""
+    def poll(self):
+        """Reads the available bytes."""
         while self.ended is None:
             try:
                 data = self.sock.recv(65_536)
@@ -98,14 +98,14 @@
                 break
             if not data:
                 self.ended = "finished"
-            self.got += data
+            self.received += data
         return self
 
     def until(self, text):
-        """Runs the loop until `text` has come; returns all up to its end and keeps the rest."""
-        self.loop.until(lambda: text in self.look().got)
-        at = self.got.index(text) + len(text)
-        taken, self.got = self.got[:at], self.got[at:]
+        """Runs the loop until `text` arrives. Returns the bytes up to its end and keeps the rest."""
+        self.loop.until(lambda: text in self.poll().received)
+        at = self.received.index(text) + len(text)
+        taken, self.received = self.received[:at], self.received[at:]
         return taken
 
     def request(self):
@@ -119,14 +119,14 @@
             ),
             0,
         )
-        self.loop.until(lambda: len(self.look().got) >= length)
-        body, self.got = self.got[:length], self.got[length:]
+        self.loop.until(lambda: len(self.poll().received) >= length)
+        body, self.received = self.received[:length], self.received[length:]
         return head.split("\r\n")[0], body
 
     def until_ended(self):
-        return self.loop.until(lambda: self.look().ended)
+        return self.loop.until(lambda: self.poll().ended)
 
-    def say(self, data):
+    def send(self, data):
         self.sock.sendall(data)
         self.loop.settle()
         return self
@@ -157,24 +157,24 @@
         self.sock.listen(64)
         self.sock.setblocking(False)
         self.address = self.sock.getsockname()
-        self.text = "%s:%d" % self.address
+        self.address_text = "%s:%d" % self.address
 
-    def waiting(self):
-        """The next connection, or None where nobody has connected."""
+    def accept_now(self):
+        """The next connection, or None if none is waiting."""
         try:
             return Peer(self.loop, self.sock.accept()[0])
         except BlockingIOError:
             return None
 
     def accept(self):
-        return self.loop.until(self.waiting)
+        return self.loop.until(self.accept_now)
 
     def close(self):
         self.sock.close()
 
 
-def call_to(loop, address):
-    sock = socket.create_connection(address, timeout=PATIENCE)
+def connect_to(loop, address):
+    sock = socket.create_connection(address, timeout=TIMEOUT_S)
     return Peer(loop, sock)
 
 
@@ -182,15 +182,18 @@
     return frames.encode(message)
 
 
-def answer(body, extra=b"", length=None):
-    """An HTTP answer. `length`: what its head claims."""
+def http_response(body, extra=b"", length=None):
+    """An HTTP response. `length` overrides the content length in its head."""
     head = f"HTTP/1.1 200 OK\r\nContent-Length: {len(body) if length is None else length}\r\n\r\n"
     return head.encode() + body + extra
 
 
-def taken(count):
-    """The body of a relay's answer that tells how many orders it took."""
-    return f"<?xml version='1.0'?>\n<Response><entries><item><ok_count>{count}</ok_count></item></entries></Response>".encode()
+def accepted_response(count):
+    """The body of a relay's response that accepted `count` orders."""
+    return (
+        "<?xml version='1.0'?>\n"
+        f"<Response><entries><item><ok_count>{count}</ok_count></item></entries></Response>"
+    ).encode()
 
 
 CHUNKED = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
@@ -201,59 +204,68 @@
     return b"%x\r\n%s\r\n" % (len(data), data)
 
 
-def news(event, data):
+def sse_event(event, data):
     return f"event: {event}\ndata: {data}\n\n"
 
 
-def standing(proxies=(0, 1), slices=None, zone="za"):
-    """What a stream begins with, up to the first sign of life."""
+def snapshot_text(proxies=(0, 1), slices=None, zone="za"):
+    """The initial snapshot of a stream, including the first heartbeat."""
     owners = {0: "a", 1: "b", 2: "a", 3: "b"} if slices is None else slices
-    text = "".join(news("hello", f"node={n}&locality={zone}&w=2.5&cold=0") for n in proxies)
+    text = "".join(sse_event("hello", f"node={n}&locality={zone}&w=2.5&cold=0") for n in proxies)
     for number, owner in owners.items():
-        text += news("lease", f"shard={number}&set=1")
+        text += sse_event("lease", f"shard={number}&set=1")
         if owner:
-            text += news("line", f"shard={number}&endpoint={owner}&w=1.0")
+            text += sse_event("line", f"shard={number}&endpoint={owner}&w=1.0")
     return text + ":\n\n"
 
 
 class Stage:
-    """A pilot between a scripted relay and a scripted discovery; `streams` are its stream of events and its watch, answered."""
+    """A pilot between a scripted relay and a scripted discovery service."""
 
     def __init__(self, **changes):
         self.loop = SteppedLoop()
         self.relay, self.discovery = Server(self.loop), Server(self.loop)
         self.listener = listen(self.loop, ("127.0.0.1", 0))
-        place = a_place(
-            **{"registry": {"address": self.relay.text}, "discovery": self.discovery.text, **changes}
+        config = make_config(
+            **{
+                "registry": {"address": self.relay.address_text},
+                "discovery": self.discovery.address_text,
+                **changes,
+            }
         )
         self.pilot = PlatformPilot(
-            self.loop, place, lambda: self.loop.now() + WALL, self.listener, self.loop.report, lambda: 0.5
+            self.loop,
+            config,
+            lambda: self.loop.now() + WALL_CLOCK_OFFSET_US,
+            self.listener,
+            self.loop.report,
+            lambda: 0.5,
         )
         self.brain = self.pilot.brain
         self.calls = self.pilot.calls
 
-    def begin(self, **stands):
-        """Answers the first stream and the first watch; returns them."""
+    def begin(self, **snapshot):
+        """Answers the first event stream and the first watch, and returns both."""
         stream, watch = self.relay.accept(), self.discovery.accept()
         assert stream.request()[0].startswith("GET /api/stream")
-        stream.say(CHUNKED + chunk(standing(**stands)))
+        stream.send(CHUNKED + chunk(snapshot_text(**snapshot)))
         self.loop.until(lambda: self.loop.reported("standing"))
         watch.request()
-        watch.say(CHUNKED + chunk("\n"))
+        watch.send(CHUNKED + chunk("\n"))
         return stream, watch
 
     def order(self, *decisions):
-        """Has the module decide these, beside whatever it decides itself."""
+        """Adds decisions to those of the module and submits them."""
         self.brain.out.extend(decisions)
         self.pilot._pull_decisions()
         self.loop.settle()
 
-    def moved_to(self, relay, discovery):
-        return a_place(registry={"address": relay.text}, discovery=discovery.text)
+    def config_for(self, relay, discovery):
+        return make_config(registry={"address": relay.address_text}, discovery=discovery.address_text)
 
-    def call(self):
-        """A connection to the pilot's own address."""
-        return call_to(self.loop, self.listener.address)
+    def connect(self):
+        """Connects to the pilot's listening port."""
+        return connect_to(self.loop, self.listener.address)
 
 
 def open_descriptors():
@@ -261,39 +273,39 @@
 
 
 class AnsweringRelay:
-    """Answers what comes to a stage's relay: a stream with `stands`, a call as the next word of `script` says.
+    """Serves a stage's relay: streams begin with `snapshot`, and calls end as the next item of `script` says.
 
-    "ok" and nothing: all orders taken. "lost": reset, not carried out. "unheard": carried out, then reset."""
+    "ok" (the default): all orders accepted. "lost": not applied, reset. "unheard": applied, then reset."""
 
     def __init__(self, stage):
-        self.stage, self.script, self.stands = stage, [], standing()
-        self.open, self.stream = [], None
-        self.orders = []  # (time in us, order) of each order that was carried out
-
-    def look(self):
-        while (peer := self.stage.relay.waiting()) is not None:
-            self.open.append(peer)
-        for peer in list(self.open):
-            if b"\r\n\r\n" in peer.look().got:
+        self.stage, self.script, self.snapshot = stage, [], snapshot_text()
+        self.connections, self.stream = [], None
+        self.orders = []  # (time in us, order) of each applied order
+
+    def poll(self):
+        while (peer := self.stage.relay.accept_now()) is not None:
+            self.connections.append(peer)
+        for peer in list(self.connections):
+            if b"\r\n\r\n" in peer.poll().received:
                 self._answer(peer)
             elif peer.ended:
-                self.open.remove(peer)
+                self.connections.remove(peer)
 
     def _answer(self, peer):
         line, body = peer.request()
         if line.startswith("GET"):
             self.stream = peer
-            peer.say(CHUNKED + chunk(self.stands))
+            peer.send(CHUNKED + chunk(self.snapshot))
             return
         orders = parse_qs(body.decode())["orders"][0].split(";")
-        fate = self.script.pop(0) if self.script else "ok"
-        if fate != "lost":
+        outcome = self.script.pop(0) if self.script else "ok"
+        if outcome != "lost":
             self.orders += [(self.stage.loop.now(), order) for order in orders]
-        if fate == "ok":
-            peer.say(answer(taken(len(orders))))
+        if outcome == "ok":
+            peer.send(http_response(accepted_response(len(orders))))
         else:
-            self.open.remove(peer)
+            self.connections.remove(peer)
             peer.reset()
 
-    def say(self, *events):
-        self.stream.say(chunk("".join(news(*event) for event in events)))
+    def send(self, *events):
+        self.stream.send(chunk("".join(sse_event(*event) for event in events)))
--- a/tests/soak.py
+++ b/tests/soak.py
@@ -36,7 +36,7 @@
     def __init__(self, relay, discovery):
         self.loop = real_loop()
         self.relay, self.agent = Relay(self.loop, relay), ListAgent(self.loop, discovery)
-        self.relay.stands()
+        self.relay.set_snapshot()
         self.loop.spawn(self._signs(), "signs")
         threading.Thread(target=self.loop.run, daemon=True).start()
 
@@ -46,7 +46,7 @@
             yield from self.loop.sleep(SECOND // 4)
             revision += 1
             self.relay._write(":\n\n")
-            self.agent.tell(listing(revision, instance("a", started=int(time.time() * 1000))))
+            self.agent.publish(listing(revision, instance("a", started=int(time.time() * 1000))))
 
 
 class Soak:
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -4,7 +4,7 @@
 
 import pytest
 from platform_parts import SETTINGS, instance, listing
-from scripted_peers import CHUNKED, SECOND, AnsweringRelay, Stage, chunk, frame, standing
+from scripted_peers import CHUNKED, SECOND, AnsweringRelay, Stage, chunk, frame, snapshot_text
 
 from cedarshift.brain import MARKS
 
@@ -23,10 +23,10 @@
         )
         self.stage = Stage(known=known, settings=settings)
         self.relay = AnsweringRelay(self.stage)
-        self.relay.stands = standing(slices=OWNERS, zone=zones[0])
+        self.relay.snapshot = snapshot_text(slices=OWNERS, zone=zones[0])
         self.watch = self.stage.discovery.accept()
         self.watch.request()
-        self.watch.say(CHUNKED + chunk("\n"))
+        self.watch.send(CHUNKED + chunk("\n"))
         self.beats = 0
         self.run(1.5)
         assert len(self.stage.loop.reported("standing")) == 1
@@ -35,13 +35,13 @@
         for _ in range(round(seconds / BEAT)):
             self.stage.loop.clock.time += int(BEAT * SECOND)
             self.stage.loop.settle(wait=0)  # what comes a beat late is no matter
-            self.relay.look()
+            self.relay.poll()
             self.stage.loop.settle(wait=0)
             self.beats += 1
             if self.beats % 20 == 0:
-                self.watch.say(chunk("\n"))
-                if self.relay.stream is not None and not self.relay.stream.look().ended:
-                    self.relay.stream.say(chunk(":\n\n"))
+                self.watch.send(chunk("\n"))
+                if self.relay.stream is not None and not self.relay.stream.poll().ended:
+                    self.relay.stream.send(chunk(":\n\n"))
         return self
 
     def until(self, found, within=6.0):
@@ -52,7 +52,7 @@
         raise AssertionError("what is waited for has not come")
 
     def list(self, revision, *instances):
-        self.watch.say(chunk(json.dumps(listing(revision, *instances)) + "\n"))
+        self.watch.send(chunk(json.dumps(listing(revision, *instances)) + "\n"))
 
     def ordered(self, start, since=0):
         """(time in s, order) of the first order carried out that begins so, from the one numbered `since` on; None where there is none."""
@@ -88,7 +88,7 @@
         applied = self.stage.loop.now() if at is None else int(at * SECOND)
         taken_at = next((at for at, one in self.relay.orders if one.startswith(f"mark,{mark},")), applied)
         latency = (applied - taken_at) / 1_000
-        self.relay.say(("ack", f"node={proxy}&nonce={mark}&latency={latency}"))
+        self.relay.send(("ack", f"node={proxy}&nonce={mark}&latency={latency}"))
 
     def now(self):
         return self.stage.loop.now() / SECOND
@@ -174,7 +174,7 @@
 def test_a_proxy_that_leaves_is_waited_for_no_longer_than_its_lease(scene):
     mark = scene.revoke()
     scene.ack(0, mark)
-    scene.relay.say(("bye", "node=1"))
+    scene.relay.send(("bye", "node=1"))
     left = scene.now()
     at, _ = scene.grant()
     assert left + LEASE + SETTLE - 0.01 <= at <= left + LEASE + SETTLE + 0.5
@@ -183,9 +183,9 @@
 def test_a_proxy_that_comes_back_within_its_lease_still_has_to_ack(scene):
     mark = scene.revoke()
     scene.ack(0, mark)
-    scene.relay.say(("bye", "node=1"))
+    scene.relay.send(("bye", "node=1"))
     scene.run(LEASE / 2)
-    scene.relay.say(("hello", "node=1&locality=za&w=2.5&cold=0"))
+    scene.relay.send(("hello", "node=1&locality=za&w=2.5&cold=0"))
     back = scene.now()
     scene.run(LEASE + SETTLE)
     assert not scene.grants()
@@ -202,7 +202,7 @@
     mark = scene.revoke()
     if anyone_acked:
         scene.ack(0, mark)
-    scene.relay.say(("hello", "node=2&locality=za&w=2.5&cold=1"))
+    scene.relay.send(("hello", "node=2&locality=za&w=2.5&cold=1"))
     joined = scene.now()
     if not anyone_acked:
         scene.ack(0, mark)
@@ -223,7 +223,7 @@
     events = [("lease", "shard=0&set=0"), ("lease", "shard=0&set=1")]
     if line:
         events.append(("line", f"shard=0&endpoint={line}&w=1.0"))
-    scene.relay.say(*events)
+    scene.relay.send(*events)
     back = scene.now()
     scene.ack(1, mark)  # of the hand-over that was cut off
     if line == "c":
@@ -303,7 +303,7 @@
     scene.run(SETTLE - BEAT)
     scene.relay.script = ["unheard"]
     at, endpoint = scene.grant()
-    scene.relay.stands = standing(slices={**OWNERS, 0: endpoint})
+    scene.relay.snapshot = snapshot_text(slices={**OWNERS, 0: endpoint})
     scene.relay.stream.reset()
     scene.relay.stream = None
     scene.run(3)
@@ -324,11 +324,11 @@
     """Reports of a hot owner and slow classes, then a drain and its hand-over; (time, order) of all that was ordered, by the first settings' names."""
     scene = Scene(settings)
     names, zones = [one["name"] for one in settings["classes"]], settings["zones"]
-    collector = scene.stage.call().say(frame(t="agent", locality=zones[0]))
+    collector = scene.stage.connect().send(frame(t="agent", locality=zones[0]))
     for period in range(6):
         for at, endpoint in enumerate("abc"):
             for far, zone in enumerate(zones):  # the way from the second zone loses half of all
-                collector.say(
+                collector.send(
                     frame(
                         t="outcomes",
                         locality=zone,
@@ -341,7 +341,7 @@
                 )
         for number in range(4):
             for at, name in enumerate(names):
-                collector.say(
+                collector.send(
                     frame(
                         t="hot",
                         shard=number,
--- a/tests/test_last_answers.py
+++ b/tests/test_last_answers.py
@@ -1,4 +1,4 @@
-"""Who was read gets an answer, however its connection or the process ends: real processes and real loopback sockets."""
+"""Every request that was read is answered, however its connection or the process ends."""
 
 import json
 import os
@@ -18,11 +18,11 @@
 from cedarshift.web import Pool, serve_http
 
 PROBE, ALIVE = frame(t="probe"), frame(t="alive")
-EARLIEST_KILL = 0.7  # s after SIGTERM
+KILL_DELAY_S = 0.7  # the platform kills this long after SIGTERM
 
 
 class Program:
-    """The program as `run` starts it, with nobody at the relay or at discovery."""
+    """The pilot process, with no relay and no discovery listening."""
 
     def __init__(self, folder):
         ports = Ports(real_loop())
@@ -31,7 +31,7 @@
         path.write_text(
             json.dumps(configuration(listen=listen, discovery=nobody, registry={"address": nobody}))
         )
-        told = {
+        variables = {
             "RELAY_NAME": "n0",
             "RELAY_LISTEN": listen,
             "RELAY_DISCOVERY": nobody,
@@ -41,7 +41,7 @@
         self.address = tuple(listen.rsplit(":", 1))
         self.process = subprocess.Popen(
             [sys.executable, "-m", "cedarshift", "platform"],
-            env={**os.environ, **told},
+            env={**os.environ, **variables},
             stderr=subprocess.DEVNULL,
         )
         self._wait_until_ready()
@@ -49,9 +49,9 @@
     def _wait_until_ready(self):
         for _ in range(200):
             try:
-                with self.connect() as asking:
-                    asking.sendall(PROBE)
-                    if asking.recv(100) == ALIVE:
+                with self.connect() as probe:
+                    probe.sendall(PROBE)
+                    if probe.recv(100) == ALIVE:
                         return
             except OSError:
                 time.sleep(0.05)
@@ -82,7 +82,7 @@
 
 
 def read_to_end(connection):
-    """(what came, the error that ended it or None)."""
+    """Returns (bytes received, name of the error that ended the connection or None)."""
     received = b""
     try:
         while data := connection.recv(65_536):
@@ -96,7 +96,7 @@
 def test_an_error_reaches_a_caller_that_goes_on_sending(program, behind):
     for _ in range(10):
         with program.connect() as caller:
-            for _ in range(20):  # in pieces: some come after the first was refused
+            for _ in range(20):  # some arrive after the first was rejected
                 caller.sendall(b"GET / HTTP/1.1\r\n\r\n" + behind)
             received, ended = read_to_end(caller)
         assert b'"t":"error"' in received and ended is None
@@ -112,15 +112,15 @@
     for one in idle + new:
         one.sendall(PROBE)
     program.signal(signal.SIGTERM, signal.SIGHUP, signal.SIGTERM, signal.SIGCONT)
-    begun = time.monotonic()
+    started_at = time.monotonic()
     answers = [read_to_end(one) for one in idle + new]
-    assert program.process.wait(EARLIEST_KILL) == 0 and time.monotonic() - begun < EARLIEST_KILL
+    assert program.process.wait(KILL_DELAY_S) == 0 and time.monotonic() - started_at < KILL_DELAY_S
     assert answers == [(ALIVE, None)] * 40
 
 
 def test_a_caller_that_is_pushed_out_by_a_crowd_is_answered_first(program):
     program.signal(signal.SIGSTOP)
-    crowd = [program.connect() for _ in range(150)]  # a quarter of 256 descriptors is for them
+    crowd = [program.connect() for _ in range(150)]  # more than the limit of 64, 1/4 of 256 descriptors
     for one in crowd:
         one.sendall(PROBE)
     program.signal(signal.SIGCONT)
--- a/tests/test_lifecycle.py
+++ b/tests/test_lifecycle.py
@@ -1,4 +1,4 @@
-"""The process as it is started: signals, restarts, new configurations, descriptors. Events meet while it is stopped by SIGSTOP."""
+"""The pilot process: signals, restarts, reloads, descriptors. SIGSTOP makes events coincide."""
 
 import json
 import os
@@ -12,27 +12,37 @@
 
 import pytest
 from platform_parts import SETTINGS, configuration
-from scripted_peers import CHUNKED, PATIENCE, Peer, Server, answer, chunk, frame, standing, taken
+from scripted_peers import (
+    CHUNKED,
+    TIMEOUT_S,
+    Peer,
+    Server,
+    accepted_response,
+    chunk,
+    frame,
+    http_response,
+    snapshot_text,
+)
 
-ENDS_WITHIN = 0.7  # s; the platform kills no sooner after SIGTERM
-READY_WITHIN = 10.0  # s; what nine in ten restarts must keep to
-QUICK = {
+STOP_TIMEOUT_S = 0.7  # the platform kills this long after SIGTERM
+READY_TIMEOUT_S = 10.0  # to be met by nine in ten restarts
+SHORT_LEASE_SETTINGS = {
     **SETTINGS,
     "family_info": {**SETTINGS["family_info"], "lease_ns": 20_000_000, "in_flight_max_ns": 20_000_000},
 }
-DESCRIPTORS = 64  # the fewest that a configuration may state
-MET = dict(t="outcomes", locality="za", endpoint="a", total=12, errors=3, rtt=41.7, interval=2000.0)
+MIN_SOCKETS = 64  # the minimum that a configuration may set
+OUTCOMES = dict(t="outcomes", locality="za", endpoint="a", total=12, errors=3, rtt=41.7, interval=2000.0)
 
 
 class RealTime:
-    """Stands where an in-process test has its loop: waits for what another process does."""
+    """Replaces the loop of in-process tests: waits in real time for another process."""
 
-    def until(self, condition, within=PATIENCE):
+    def until(self, condition, within=TIMEOUT_S):
         limit = time.monotonic() + within
-        while not (got := condition()):
-            assert time.monotonic() < limit, "what is waited for has not come"
+        while not (result := condition()):
+            assert time.monotonic() < limit, "condition not met in time"
             time.sleep(0.001)
-        return got
+        return result
 
     def settle(self):
         pass
@@ -45,7 +55,7 @@
 
 
 class Process:
-    """One pilot with a relay and a discovery that the test scripts."""
+    """A pilot process with a scripted relay and discovery service."""
 
     def __init__(self, folder, sockets=256, listen=None):
         self.time = RealTime()
@@ -57,26 +67,26 @@
         self.write(self.relay, self.discovery)
         self.process = None
 
-    def text(self, relay, discovery):
+    def config_text(self, relay, discovery):
         return json.dumps(
             configuration(
                 listen="%s:%d" % self.listen,
-                discovery=discovery.text,
-                registry={"address": relay.text},
+                discovery=discovery.address_text,
+                registry={"address": relay.address_text},
                 limits={"sockets": self.sockets},
-                settings=QUICK,
+                settings=SHORT_LEASE_SETTINGS,
             )
         )
 
     def write(self, relay, discovery):
-        self.path.write_text(self.text(relay, discovery))
+        self.path.write_text(self.config_text(relay, discovery))
 
     def start(self):
         listen = "%s:%d" % self.listen
         variables = {
             "RELAY_NAME": "n0",
             "RELAY_LISTEN": listen,
-            "RELAY_DISCOVERY": self.discovery.text,
+            "RELAY_DISCOVERY": self.discovery.address_text,
             "RELAY_CONFIG": str(self.path),
         }
         with open(self.log_path, "a") as log:
@@ -99,10 +109,10 @@
         self.time.until(lambda: len(self.log(event)) >= count)
 
     def connect(self):
-        return Peer(self.time, socket.create_connection(self.listen, timeout=PATIENCE))
+        return Peer(self.time, socket.create_connection(self.listen, timeout=TIMEOUT_S))
 
     def alive(self):
-        """Whether a probe is answered, as the platform asks before it uses a pilot."""
+        """Whether the pilot answers a health probe."""
         try:
             with socket.create_connection(self.listen, timeout=0.5) as probe:
                 probe.sendall(frame(t="probe"))
@@ -111,37 +121,37 @@
             return False
 
     def until_ready(self):
-        begun = time.monotonic()
-        self.time.until(self.alive, READY_WITHIN)
-        return time.monotonic() - begun
+        started_at = time.monotonic()
+        self.time.until(self.alive, READY_TIMEOUT_S)
+        return time.monotonic() - started_at
 
-    def begin(self, **stands):
-        """Answers the stream and the watch, and one call if `call`; returns them."""
+    def begin(self, **snapshot):
+        """Answers the event stream and the watch, and returns both."""
         stream, watch = self.relay.accept(), self.discovery.accept()
         stream.request()
-        stream.say(CHUNKED + chunk(standing(**stands)))
+        stream.send(CHUNKED + chunk(snapshot_text(**snapshot)))
         watch.request()
-        watch.say(CHUNKED + chunk("\n"))
+        watch.send(CHUNKED + chunk("\n"))
         self.until_logged("standing")
         return stream, watch
 
-    def a_call(self, stream):
-        """Has the pilot make a call: a slice with no owner is granted one as soon as a lease and the settle time are over."""
-        stream.say(chunk("event: lease\ndata: shard=3&set=0\n\nevent: lease\ndata: shard=3&set=1\n\n"))
+    def trigger_call(self, stream):
+        """Makes the pilot call the relay by assigning it a slice without an owner."""
+        stream.send(chunk("event: lease\ndata: shard=3&set=0\n\nevent: lease\ndata: shard=3&set=1\n\n"))
         peer = self.relay.accept()
         assert b"share,3," in peer.request()[1]
         return peer
 
-    def stopped(self):
+    def suspend(self):
         self.process.send_signal(signal.SIGSTOP)
         self.time.until(
             lambda: "T" in Path(f"/proc/{self.process.pid}/stat").read_text().rsplit(")", 1)[1].split()[0]
         )
 
-    def goes_on(self):
+    def resume(self):
         self.process.send_signal(signal.SIGCONT)
 
-    def ends(self, within=ENDS_WITHIN):
+    def wait_ended(self, within=STOP_TIMEOUT_S):
         return self.process.wait(within)
 
 
@@ -179,28 +189,28 @@
 ):
     pilot.start().until_ready()
     stream, watch = pilot.begin()
-    collector = pilot.connect().say(frame(t="agent", locality="za"))
-    call = pilot.a_call(stream)
+    collector = pilot.connect().send(frame(t="agent", locality="za"))
+    call = pilot.trigger_call(stream)
     if crossing == "between calls":
-        call.say(answer(taken(2)))
-    pilot.stopped()
-    body = answer(taken(2))
+        call.send(http_response(accepted_response(2)))
+    pilot.suspend()
+    body = http_response(accepted_response(2))
     {
-        "answer unread": lambda: call.say(body),
-        "answer half come": lambda: call.say(body[:-3]),
-        "refused": lambda: call.say(answer(taken(0))),
-        "news unread": lambda: stream.say(chunk("event: lease\ndata: shard=2&set=0\n\n")),
-        "list half come": lambda: watch.say(chunk('{"generation":8,"re')),
+        "answer unread": lambda: call.send(body),
+        "answer half come": lambda: call.send(body[:-3]),
+        "refused": lambda: call.send(http_response(accepted_response(0))),
+        "news unread": lambda: stream.send(chunk("event: lease\ndata: shard=2&set=0\n\n")),
+        "list half come": lambda: watch.send(chunk('{"generation":8,"re')),
         "reset": lambda: (call.reset(), stream.reset(), watch.reset()),
-        "collector half come": lambda: collector.say(frame(**MET)[:20]),
-        "accept waiting": lambda: pilot.connect().say(frame(t="probe")),
+        "collector half come": lambda: collector.send(frame(**OUTCOMES)[:20]),
+        "accept waiting": lambda: pilot.connect().send(frame(t="probe")),
     }.get(crossing, lambda: None)()
     pilot.process.send_signal(number)
-    pilot.goes_on()
-    assert pilot.ends() == 0
+    pilot.resume()
+    assert pilot.wait_ended() == 0
     assert collector.until_ended()
-    while (later := pilot.relay.waiting()) is not None:
-        assert b"CommitChanges" not in later.look().got
+    while (later := pilot.relay.accept_now()) is not None:
+        assert b"CommitChanges" not in later.poll().received
     assert len(pilot.log("pilot_stopped")) == 1
 
 
@@ -216,12 +226,12 @@
 def test_two_signals_in_one_step(pilot, first, second):
     pilot.start().until_ready()
     pilot.begin()
-    pilot.path.write_text("{")  # a reload would have to wait for the rest
-    pilot.stopped()
+    pilot.path.write_text("{")  # an incomplete file, which a reload retries
+    pilot.suspend()
     pilot.process.send_signal(first)
     pilot.process.send_signal(second)
-    pilot.goes_on()
-    assert pilot.ends() == 0
+    pilot.resume()
+    assert pilot.wait_ended() == 0
 
 
 def test_sigterm_while_a_reload_waits_for_the_rest_of_its_file(pilot):
@@ -231,7 +241,7 @@
     pilot.process.send_signal(signal.SIGHUP)
     pilot.until_logged("reload_refused")
     pilot.process.send_signal(signal.SIGTERM)
-    assert pilot.ends() == 0
+    assert pilot.wait_ended() == 0
 
 
 @pytest.mark.parametrize("answered", ["nothing", "head", "half of what stands"])
@@ -241,22 +251,22 @@
     for peer in (stream, watch):
         peer.request()
         if answered != "nothing":
-            peer.say(CHUNKED)
+            peer.send(CHUNKED)
     if answered == "half of what stands":
-        stream.say(chunk(standing()[:100]))
+        stream.send(chunk(snapshot_text()[:100]))
     pilot.process.send_signal(signal.SIGTERM)
-    assert pilot.ends() == 0 and stream.until_ended() and watch.until_ended()
+    assert pilot.wait_ended() == 0 and stream.until_ended() and watch.until_ended()
 
 
 def test_sigterm_at_any_time_of_a_start_ends_the_process(pilot):
-    """Before Python has installed the handler the signal itself ends it; from then on the program does."""
+    """Before the handler is installed the signal itself ends the process, afterwards the pilot does."""
     for delay in range(0, 300, 30):
         pilot.start()
         until = time.monotonic() + delay / 1000
         while time.monotonic() < until:
             pass
         pilot.process.send_signal(signal.SIGTERM)
-        assert pilot.ends(PATIENCE) in (0, -signal.SIGTERM)
+        assert pilot.wait_ended(TIMEOUT_S) in (0, -signal.SIGTERM)
         assert not [line for line in pilot.log_path.read_text().splitlines() if "Traceback" in line]
 
 
@@ -264,10 +274,10 @@
     pilot.path.write_text("{")
     pilot.start().until_logged("start_waits")
     pilot.process.send_signal(signal.SIGTERM)
-    assert pilot.ends() == 0
+    assert pilot.wait_ended() == 0
 
 
-# ---- a start
+# ---- start
 
 
 @pytest.mark.parametrize("state", ["missing", "empty", "half"])
@@ -296,16 +306,16 @@
 )
 def test_a_start_that_can_t_be_is_refused_with_one_line(pilot, text, reason):
     pilot.path.write_text(text)
-    begun = time.monotonic()
-    assert pilot.start().ends(PATIENCE) == 2
+    started_at = time.monotonic()
+    assert pilot.start().wait_ended(TIMEOUT_S) == 2
     lines = [line for line in pilot.log_path.read_text().splitlines() if not line.startswith("{")]
     assert len(lines) == 1 and reason in lines[0] and str(pilot.path) in lines[0]
-    assert (time.monotonic() - begun > 2) is (text == "{")
+    assert (time.monotonic() - started_at > 2) is (text == "{")
 
 
 @pytest.mark.parametrize("peers", ["absent", "accept and say nothing", "a head and no more", "reset"])
 def test_nine_in_ten_restarts_are_ready_in_time_whatever_relay_and_discovery_do(tmp_path, peers):
-    took = []
+    startup_times = []
     pilot = Process(tmp_path)
     if peers == "absent":
         pilot.relay.close()
@@ -316,14 +326,14 @@
             if peers in ("a head and no more", "reset"):
                 for server in (pilot.relay, pilot.discovery):
                     peer = server.accept()
-                    peer.say(CHUNKED) if peers == "a head and no more" else peer.reset()
-            took.append(pilot.until_ready())
+                    peer.send(CHUNKED) if peers == "a head and no more" else peer.reset()
+            startup_times.append(pilot.until_ready())
             pilot.process.send_signal(signal.SIGTERM)
-            assert pilot.ends() == 0
+            assert pilot.wait_ended() == 0
     finally:
         pilot.process.kill()
         pilot.process.wait()
-    assert sorted(took)[8] < READY_WITHIN and sorted(took)[4] < 2
+    assert sorted(startup_times)[8] < READY_TIMEOUT_S and sorted(startup_times)[4] < 2
 
 
 # ---- SIGHUP
@@ -334,27 +344,27 @@
     stream, watch = pilot.begin()
     pilot.process.send_signal(signal.SIGHUP)
     pilot.until_logged("reloaded")
-    assert stream.look().ended is None and watch.look().ended is None
-    assert pilot.relay.waiting() is None and pilot.discovery.waiting() is None
+    assert stream.poll().ended is None and watch.poll().ended is None
+    assert pilot.relay.accept_now() is None and pilot.discovery.accept_now() is None
 
 
 def test_sighups_that_meet_end_at_the_newest_file(pilot):
-    """The file changes again while the first reload is on its way, to an address that accepts and says nothing."""
+    """The file changes again while the first reload waits for an address that accepts but never responds."""
     pilot.start().until_ready()
     pilot.begin()
     silent, good = (Server(pilot.time), Server(pilot.time)), (Server(pilot.time), Server(pilot.time))
     pilot.write(*silent)
     pilot.process.send_signal(signal.SIGHUP)
     held = [server.accept() for server in silent]
-    pilot.stopped()
+    pilot.suspend()
     pilot.write(*good)
     pilot.process.send_signal(signal.SIGHUP)
     pilot.process.send_signal(signal.SIGHUP)
-    pilot.goes_on()
-    begun = time.monotonic()
+    pilot.resume()
+    started_at = time.monotonic()
     for server in good:
         assert server.accept().request()[0].startswith("GET ")
-    assert time.monotonic() - begun < 1  # a silent answer would be waited for over two seconds
+    assert time.monotonic() - started_at < 1  # less than the silence timeout
     for peer in held:
         assert peer.until_ended()
 
@@ -363,7 +373,7 @@
     pilot.start().until_ready()
     pilot.begin()
     relay, discovery = Server(pilot.time), Server(pilot.time)
-    text = pilot.text(relay, discovery)
+    text = pilot.config_text(relay, discovery)
     pilot.path.unlink()
     pilot.process.send_signal(signal.SIGHUP)
     pilot.until_logged("reload_refused")
@@ -378,40 +388,40 @@
 def test_a_call_at_the_old_address_that_is_closed_without_an_answer_goes_on_at_the_new_one(pilot):
     pilot.start().until_ready()
     stream, _ = pilot.begin()
-    call = pilot.a_call(stream)
+    call = pilot.trigger_call(stream)
     relay, discovery = Server(pilot.time), Server(pilot.time)
-    pilot.stopped()
+    pilot.suspend()
     pilot.write(relay, discovery)
     pilot.process.send_signal(signal.SIGHUP)
-    call.finish()  # in the step that reloads
-    pilot.goes_on()
+    call.finish()  # in the same step as the reload
+    pilot.resume()
     stream = relay.accept()
     assert stream.request()[0].startswith("GET /api/stream")
-    stream.say(CHUNKED + chunk(standing(slices={0: "a", 1: "b", 2: "a", 3: ""})))
+    stream.send(CHUNKED + chunk(snapshot_text(slices={0: "a", 1: "b", 2: "a", 3: ""})))
     call, body = relay.accept(), b""
-    while b"share,3," not in body:  # first its mark alone, where the slice was given anew over the silence
+    while b"share,3," not in body:  # the first call may hold only its mark
         body = call.request()[1]
-        call.say(answer(taken(body.count(b"%3B") + 1)))
+        call.send(http_response(accepted_response(body.count(b"%3B") + 1)))
 
 
-# ---- descriptors
+# ---- file descriptors
 
 
 def test_beside_silent_connections_up_to_the_limit_a_collector_joins_and_the_relay_is_called(tmp_path):
-    pilot = Process(tmp_path, sockets=DESCRIPTORS).start()
+    pilot = Process(tmp_path, sockets=MIN_SOCKETS).start()
     silent = []
     try:
         pilot.until_ready()
         stream, _ = pilot.begin()
-        for _ in range(4 * DESCRIPTORS):
+        for _ in range(4 * MIN_SOCKETS):
             silent.append(pilot.connect())
-        collector = pilot.connect().say(frame(t="agent", locality="za"))
-        collector.say(frame(**MET))
-        call = pilot.a_call(stream)
-        call.say(answer(taken(2)))
+        collector = pilot.connect().send(frame(t="agent", locality="za"))
+        collector.send(frame(**OUTCOMES))
+        call = pilot.trigger_call(stream)
+        call.send(http_response(accepted_response(2)))
         assert pilot.alive()
-        pilot.time.until(lambda: all(one.look().ended for one in silent))
-        assert collector.look().ended is None
+        pilot.time.until(lambda: all(one.poll().ended for one in silent))
+        assert collector.poll().ended is None
         pilot.until_logged("figures")
         assert pilot.log("figures")[-1]["joined"] == 1 and pilot.log("figures")[-1]["reports"] == 1
         assert not pilot.log("task_failed")
@@ -426,7 +436,7 @@
     variables = {
         "RELAY_NAME": "n0",
         "RELAY_LISTEN": "%s:%d" % pilot.listen,
-        "RELAY_DISCOVERY": pilot.discovery.text,
+        "RELAY_DISCOVERY": pilot.discovery.address_text,
         "RELAY_CONFIG": str(pilot.path),
     }
     pilot.process = subprocess.Popen(
@@ -438,12 +448,12 @@
         os.close(reader)
         stream, watch = pilot.relay.accept(), pilot.discovery.accept()
         for peer in (stream, watch):
-            peer.reset()  # each is told of in the log, and asked for anew
+            peer.reset()  # each is logged and requested again
         assert pilot.relay.accept().request()[0].startswith("GET ")
         assert pilot.discovery.accept().request()[0].startswith("GET ")
         assert pilot.alive()
         pilot.process.send_signal(signal.SIGTERM)
-        assert pilot.ends() == 0
+        assert pilot.wait_ended() == 0
     finally:
         pilot.process.kill()
         pilot.process.wait()
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -13,12 +13,12 @@
     ListAgent,
     Relay,
     Stage,
-    a_place,
-    caller,
     configuration,
+    connect_and_send,
     frame,
     instance,
     listing,
+    make_config,
 )
 from program import SECOND
 
@@ -31,25 +31,25 @@
 from cedarshift.rehearsal.fleet import Ports
 
 LINE, OTHER = ("line", 0, "a", 1), ("line", 1, "b", 1)
-MET = dict(t="outcomes", locality="za", endpoint="a", total=12, errors=3, rtt=41.7, interval=2000.0)
+OUTCOMES = dict(t="outcomes", locality="za", endpoint="a", total=12, errors=3, rtt=41.7, interval=2000.0)
 
 
 # ---- relay calls
 
 
-@pytest.mark.parametrize("fate", ["silent", "lost", "spoilt"])
-def test_a_call_without_an_answer_is_made_again_before_anything_later(fate):
+@pytest.mark.parametrize("outcome", ["silent", "lost", "spoilt"])
+def test_a_call_without_an_answer_is_made_again_before_anything_later(outcome):
     stage = Stage().run(1)
-    stage.relay.script = [fate, fate]
+    stage.relay.script = [outcome, outcome]
     stage.order(LINE, ("mark", 9, True))
-    stage.order(OTHER)  # decided while the call is on its way: has to wait
+    stage.order(OTHER)  # decided during the call: has to wait
     stage.run(3)
     first = ["share,0,a,1", "mark,9,1"]
     assert [orders for _, orders in stage.relay.calls] == [first, first, first, ["share,1,b,1"]]
-    assert len({number for number, _ in stage.relay.calls[:3]}) == 3  # each repeat on a new connection
+    assert len({number for number, _ in stage.relay.calls[:3]}) == 3  # each retry on a new connection
 
 
-@pytest.mark.parametrize("fate", ["silent", "spoilt"])
+@pytest.mark.parametrize("outcome", ["silent", "spoilt"])
 @pytest.mark.parametrize(
     "acks, calls",
     [
@@ -59,13 +59,13 @@
         ([], 2),
     ],
 )
-def test_a_call_whose_mark_is_acked_was_carried_out_and_is_not_made_again(fate, acks, calls):
+def test_a_call_whose_mark_is_acked_was_carried_out_and_is_not_made_again(outcome, acks, calls):
     stage = Stage().run(1)
-    stage.relay.script = [fate]
+    stage.relay.script = [outcome]
     stage.order(LINE, ("mark", 9, True))
     stage.run(0.3)
     for ack in acks:
-        stage.relay.say("ack", ack)
+        stage.relay.send_event("ack", ack)
     stage.run(1)
     assert [orders for _, orders in stage.relay.calls] == [["share,0,a,1", "mark,9,1"]] * calls
     assert not stage.pilot.calls.busy and stage.pilot.slices[0] == "a"
@@ -77,8 +77,8 @@
     stage.order(("level", 0, 2, 0, 0), ("mark", 9, True))
     stage.run(0.3)
     stage.pilot._reopen_slice(0, "admit,0,put,1,0")
-    stage.run(0.4)  # made again, with the order behind the mark, and lost
-    stage.relay.say("ack", "node=0&nonce=9&latency=5.0")
+    stage.run(0.4)  # retried with the order after the mark, and lost
+    stage.relay.send_event("ack", "node=0&nonce=9&latency=5.0")
     stage.run(0.5)
     assert [orders for _, orders in stage.relay.calls[1:]] == [
         ["admit,0,put,0,0", "mark,9,1", "admit,0,put,1,0"],
@@ -96,8 +96,8 @@
         ["share,0,a,1", "share,1,never-listed,1", "share,2,b,1", "mark,9,1"],
         ["share,2,b,1", "mark,9,1"],
     ]
-    assert stage.heard("order_refused")[0]["order"] == "share,1,never-listed,1"
-    assert stage.brain.slices[1].owner == "b" == stage.pilot.slices[1]  # the module has what the store has
+    assert stage.logged("order_refused")[0]["order"] == "share,1,never-listed,1"
+    assert stage.brain.slices[1].owner == "b" == stage.pilot.slices[1]  # same as in the store
 
 
 def test_a_busy_relay_is_waited_for_without_spinning():
@@ -116,10 +116,10 @@
     stage.relay.script = ["silent"]
     stage.order(("line", 0, "b", 1), OTHER, ("mark", 9, True))
     stage.run(0.05)
-    stage.relay.say("lease", "shard=0&set=0")
+    stage.relay.send_event("lease", "shard=0&set=0")
     if back:
-        stage.relay.say("lease", "shard=0&set=1")
-        stage.relay.say("line", "shard=0&endpoint=a&w=1.0")
+        stage.relay.send_event("lease", "shard=0&set=1")
+        stage.relay.send_event("line", "shard=0&endpoint=a&w=1.0")
     stage.run(1)
     assert [orders for _, orders in stage.relay.calls[:2]] == [
         ["share,0,b,1", "share,1,b,1", "mark,9,1"],
@@ -136,8 +136,8 @@
     stage.order(("mark", 9, True))
     stage.run(1.5)
     taken = stage.pilot.marks[9].accepted_at // 100 + stage.pilot.start_times.base // 100
-    assert taken - decided >= 90  # the repeats took a while
-    stage.relay.say("ack", "node=0&nonce=9&latency=5.0")
+    assert taken - decided >= 90  # 9 ms or more of retries
+    stage.relay.send_event("ack", "node=0&nonce=9&latency=5.0")
     stage.run(0.05)
     assert stage.brain.proxies[0].acked_at >= taken + 50
 
@@ -156,7 +156,7 @@
     stage = Stage().run(1)
     stage.order(("mark", 9, True))
     stage.run(0.1)
-    stage.relay.say("ack", ack)
+    stage.relay.send_event("ack", ack)
     stage.run(0.1)
     assert [p.acked for p in stage.brain.proxies.values()] == [None, None]
 
@@ -165,17 +165,17 @@
     stage = Stage().run(1)
     monkeypatch.setattr(stage.brain, "_turn", lambda now: 1 // 0)
     stage.run(1)
-    assert "ZeroDivisionError" in stage.heard("module_failed")[0]["error"]
+    assert "ZeroDivisionError" in stage.logged("module_failed")[0]["error"]
     monkeypatch.undo()
-    beats = stage.brain.beat
+    alarms_before = stage.brain.beat
     stage.run(1)
-    assert stage.brain.beat > beats + 10
+    assert stage.brain.beat > alarms_before + 10
 
 
 def test_a_line_after_its_giving_is_the_pilot_s_own_and_ends_no_hand_over():
     stage = Stage().run(1)
     stage.brain.slices[0].state = REVOKING
-    stage.relay.say("line", "shard=0&endpoint=a&w=1.0")
+    stage.relay.send_event("line", "shard=0&endpoint=a&w=1.0")
     stage.run(0.01)
     assert stage.brain.slices[0].state == REVOKING
 
@@ -183,26 +183,25 @@
 @pytest.mark.parametrize("how", ["cut", "silent"])
 def test_news_that_ends_or_falls_silent_is_asked_for_anew_and_reconciled(how):
     stage = Stage(proxies=(0, 1, 2)).run(1)
-    stage.relay.stands((1, 2, 3), {1: "b", 2: "b", 3: "b"})
+    stage.relay.set_snapshot((1, 2, 3), {1: "b", 2: "b", 3: "b"})
     before, joined = dict(stage.brain.slices), stage.brain.proxies[1]
     if how == "cut":
         stage.relay.cut()
     else:
-        stage.signs = False
+        stage.heartbeats = False
         stage.run(3)
-        assert (
-            stage.brain.proxies[0].joined and 0 in stage.brain.slices
-        )  # no sign of life yet: what stands may be still to come
-        stage.signs = True
+        # Without a heartbeat the snapshot may be incomplete.
+        assert stage.brain.proxies[0].joined and 0 in stage.brain.slices
+        stage.heartbeats = True
     stage.run(4)
-    assert stage.pilot.events.counts["streams"] >= 2 and (how == "cut" or stage.relay.left)
+    assert stage.pilot.events.counts["streams"] >= 2 and (how == "cut" or stage.relay.closed_by_pilot)
     assert {n for n, p in stage.brain.proxies.items() if p.joined} == {1, 2, 3}
-    assert stage.brain.proxies[1] is not joined  # its stream may have broken too: it joins anew
+    assert stage.brain.proxies[1] is not joined  # joins again, as its stream may have broken
     assert sorted(stage.brain.slices) == [1, 2, 3]
-    assert stage.brain.slices[1] is before[1]  # it stayed: not given anew
+    assert stage.brain.slices[1] is before[1]  # unchanged
     assert (
         stage.brain.slices[2] is not before[2] and stage.brain.slices[2].owner == "b"
-    )  # another pilot moved it
+    )  # moved by another pilot
 
 
 @pytest.mark.parametrize(
@@ -213,7 +212,7 @@
         (1.5, False, False, OWNED),
         (0.9, True, True, OWNED),
     ],
-)  # a stream that breaks off before all has come ends no gap
+)  # a stream that breaks during its snapshot does not end a gap
 def test_a_hand_over_goes_on_over_a_short_gap_and_is_undone_where_the_slice_may_have_been_away(
     gap, flaps, answered, state
 ):
@@ -222,27 +221,27 @@
     stage.relay.script = [] if answered else ["silent"] * 9
     stage.order(("level", 0, 2, 0, 0))
     s.state, s.closed, s.mark, s.since = REVOKING, True, 9, stage.pilot._now()
-    stage.brain.endpoints["a"].phase = "fading"  # so that the module does not undo it by itself
+    stage.brain.endpoints["a"].phase = "fading"  # keeps the module from cancelling the hand-over
     stage.brain.weighed_at = stage.pilot._now() + 10**9
     stage.run(0.1)
     assert stage.pilot.reopen_orders.get(0) == ("admit,0,put,1,0" if answered else None)
-    stage.relay.door.close()
+    stage.relay.listener.close()
     stage.relay.cut()
     stage.run(gap)
     if flaps:
-        flap = Relay(stage.loop)
-        flap.stands()
-        while not flap.streams:
+        flapping_relay = Relay(stage.loop)
+        flapping_relay.set_snapshot()
+        while not flapping_relay.streams:
             stage.run(0.01)
-        flap.door.close()
-        flap.cut()
+        flapping_relay.listener.close()
+        flapping_relay.cut()
     ordered = len(stage.orders())
-    old, stage.relay = stage.relay, Relay(stage.loop)  # calls go on over the connection that stands
-    stage.relay.stands()
+    old, stage.relay = stage.relay, Relay(stage.loop)  # calls keep their open connection
+    stage.relay.set_snapshot()
     seen = []
     for _ in range(60):
         stage.run(0.02)
-        if len(stage.heard("standing")) == 2 and not seen:
+        if len(stage.logged("standing")) == 2 and not seen:
             seen = [stage.brain.slices[0] is s]
     assert seen[0] == (state == REVOKING)
     since = [one for _, orders in old.calls for one in orders][ordered:] + stage.orders()
@@ -252,15 +251,15 @@
 @pytest.mark.parametrize("gap", [0.2, 0.9])
 @pytest.mark.parametrize("late", [True, False])
 def test_a_grant_taken_while_the_stream_is_asked_for_outlives_the_older_line_that_it_tells(gap, late):
-    """What the stream tells was read before the grant was carried out, and is heard after the grant's answer."""
+    """A snapshot read before a grant but received after its response must not revert the grant."""
     stage = Stage().run(1)
     stage.brain.weighed_at = stage.pilot._now() + 10**9
-    stage.relay.stands(slices={0: "a", 1: "b", 2: "a", 3: "b"})
+    stage.relay.set_snapshot(slices={0: "a", 1: "b", 2: "a", 3: "b"})
     talk = stage.relay._talk
-    stage.order(("mark", 8, True))  # calls go on over the connection that this one leaves
+    stage.order(("mark", 8, True))  # opens the connection that later calls use
     stage.run(0.1)
     stage.relay.cut()
-    stage.relay._talk = lambda stream, number: held(stage, talk, stream, number, gap)
+    stage.relay._talk = lambda stream, number: delayed_talk(stage, talk, stream, number, gap)
     stage.run(0.1)
     if late:
         stage.order(("line", 0, "b", 1), ("mark", 9, True))
@@ -268,15 +267,15 @@
     stage.relay._talk = talk
     if late:
         assert stage.pilot.slices[0] == "b" and stage.pilot.counts["slices_given_anew"] == 0
-        stage.relay.stands(slices={0: "b", 1: "b", 2: "a", 3: "b"})
+        stage.relay.set_snapshot(slices={0: "b", 1: "b", 2: "a", 3: "b"})
     stage.run(1.5)
     assert stage.pilot.slices[0] == ("b" if late else "a") and stage.pilot.counts["slices_given_anew"] == 0
     assert not stage.pilot.resync_silence_us
-    assert len(stage.heard("standing")) == (3 if late and gap > 0.7 else 2)
+    assert len(stage.logged("standing")) == (3 if late and gap > 0.7 else 2)
 
 
-def held(stage, talk, stream, number, gap):
-    """A connection for news whose first bytes come late; calls go on over theirs."""
+def delayed_talk(stage, talk, stream, number, gap):
+    """Delays the first bytes of an event stream."""
     yield from stage.loop.sleep(int(gap * 1e6))
     yield from talk(stream, number)
 
@@ -285,7 +284,7 @@
 def test_a_piece_of_news_that_can_t_be_used_is_passed_over_alone(bad):
     stage = Stage().run(1)
     stage.relay._write(bad)
-    stage.relay.say("bye", "node=1")
+    stage.relay.send_event("bye", "node=1")
     stage.run(0.1)
     assert not stage.brain.proxies[1].joined and stage.pilot.events.counts["streams"] == 1
 
@@ -295,12 +294,12 @@
 
 def test_a_watch_begins_at_the_known_revision_and_follows_changes():
     stage = Stage().run(1)
-    assert stage.agent.asked == ["/registry/instances?stream=1&index=7"]
-    stage.agent.tell(listing(8, instance("a", "draining"), instance("c", started=1_700_000_000_500)))
+    assert stage.agent.requested_targets == ["/registry/instances?stream=1&index=7"]
+    stage.agent.publish(listing(8, instance("a", "draining"), instance("c", started=1_700_000_000_500)))
     stage.run(0.1)
     known = stage.brain.endpoints
     assert (known["a"].phase, known["b"].phase, known["c"].started) == ("fading", "on", 17_000_000_005_000)
-    stage.agent.tell(listing(9, instance("c", started=1_700_000_000_500), reset=True))
+    stage.agent.publish(listing(9, instance("c", started=1_700_000_000_500), reset=True))
     stage.run(0.1)
     assert (known["b"].phase, known["c"].phase) == ("off", "on")
 
@@ -308,15 +307,15 @@
 @pytest.mark.parametrize("bad", ["{not json\n", '{"generation": 9}\n', None])
 def test_a_watch_that_can_t_be_read_or_falls_silent_begins_anew_where_it_was(bad):
     stage = Stage().run(1)
-    stage.agent.tell(listing(8, instance("c")))
+    stage.agent.publish(listing(8, instance("c")))
     stage.run(0.1)
     if bad is None:
-        stage.signs = False
+        stage.heartbeats = False
     else:
-        stage.agent.tell(bad)
+        stage.agent.publish(bad)
     stage.run(6)
-    assert stage.agent.asked[1] == "/registry/instances?stream=1&index=8"
-    assert stage.brain.endpoints["c"].phase == "on"  # unreachable is not empty
+    assert stage.agent.requested_targets[1] == "/registry/instances?stream=1&index=8"
+    assert stage.brain.endpoints["c"].phase == "on"  # a lost watch does not empty the list
 
 
 @pytest.mark.parametrize("whose", ["every machine's", "the pilot's alone"])
@@ -330,20 +329,20 @@
         stamp = (stage.loop.now() + before) // 1000
     else:
         stamp = stage.unix_ms()
-    stage.agent.tell(listing(8, instance("c", started=stamp)))
+    stage.agent.publish(listing(8, instance("c", started=stamp)))
     shares = []
     for seconds in (0.1, 7.4, 7.4, 3):
         stage.run(seconds)
         shares.append(round(stage.brain._warmth(stage.brain.endpoints["c"], stage.pilot._now()), 1))
-    assert shares == [0.2, 0.6, 1.0, 1.0]  # of its capacity at least: the settings have 15 s, from 0.2
-    stage.agent.tell(listing(9, instance("c", started=stamp), reset=True))
+    assert shares == [0.2, 0.6, 1.0, 1.0]  # warm-up from 0.2 within 15 s
+    stage.agent.publish(listing(9, instance("c", started=stamp), reset=True))
     stage.run(0.1)
     assert (
         stage.brain._warmth(stage.brain.endpoints["c"], stage.pilot._now()) == 1.0
-    )  # the same start, told again
+    )  # the same start time, received again
 
 
-# ---- the pilot's address
+# ---- listening port
 
 
 @pytest.mark.parametrize(
@@ -360,7 +359,7 @@
         (b"\0\0\0\x03abc",),
         (frame(t="agent", locality="nowhere"),),
         (frame(t="agent"),),
-        (frame(**MET),),
+        (frame(**OUTCOMES),),
         (frame(t="hello", node=99_999),),
         (frame(t="share"),),
         (frame(u=1),),
@@ -369,28 +368,31 @@
 )
 def test_whoever_is_no_collector_is_sent_away_in_time(sent):
     stage = Stage().run(1)
-    got, after = stage.do(caller(stage, *sent))
+    got, after = stage.do(connect_and_send(stage, *sent))
     assert after is not None and after < 2
-    assert not stage.pilot.collectors.unjoined and not stage.heard("task_failed")
+    assert not stage.pilot.collectors.unjoined and not stage.logged("task_failed")
 
 
 def test_a_sign_of_life_is_given_on_any_connection():
     stage = Stage().run(1)
     alive = frame(t="alive")
-    assert stage.do(caller(stage, frame(t="probe"), frame(t="probe")))[0] == alive * 2
-    assert stage.do(caller(stage, frame(t="agent", locality="za"), frame(t="probe"), until=2))[0] == alive
+    assert stage.do(connect_and_send(stage, frame(t="probe"), frame(t="probe")))[0] == alive * 2
+    assert (
+        stage.do(connect_and_send(stage, frame(t="agent", locality="za"), frame(t="probe"), until=2))[0]
+        == alive
+    )
 
 
 def test_a_collector_s_spoilt_report_is_dropped_alone_and_nothing_is_written_to_it():
     stage = Stage().run(1)
     sent = [
         frame(t="agent", locality="za"),
-        frame(**MET),
-        frame(**{**MET, "total": "x"}),
+        frame(**OUTCOMES),
+        frame(**{**OUTCOMES, "total": "x"}),
         frame(t="news"),
-        frame(**MET),
+        frame(**OUTCOMES),
     ]
-    assert stage.do(caller(stage, *sent, until=3)) == (b"", None)
+    assert stage.do(connect_and_send(stage, *sent, until=3)) == (b"", None)
     assert len(stage.brain.endpoints["a"].samples) == 2 and stage.pilot.collectors.counts["spoilt"] == 2
 
 
@@ -399,8 +401,8 @@
 )
 def test_a_collector_that_goes_on_with_what_can_t_be_read_or_without_end_is_left_and_another_may_come(bad):
     stage = Stage().run(1)
-    assert stage.do(caller(stage, frame(t="agent", locality="za"), bad))[1] < 6
-    stage.do(caller(stage, frame(t="agent", locality="za"), frame(**MET), until=1))
+    assert stage.do(connect_and_send(stage, frame(t="agent", locality="za"), bad))[1] < 6
+    stage.do(connect_and_send(stage, frame(t="agent", locality="za"), frame(**OUTCOMES), until=1))
     assert len(stage.brain.endpoints["a"].samples) == 1
 
 
@@ -411,7 +413,9 @@
         streams = []
         for _ in range(400):
             streams.append((yield from dial(stage.loop, PILOT)))
-        got = yield from caller(stage, frame(t="agent", locality="za"), frame(**MET), until=0.3)
+        got = yield from connect_and_send(
+            stage, frame(t="agent", locality="za"), frame(**OUTCOMES), until=0.3
+        )
         held = len(stage.pilot.collectors.unjoined)
         return got, held, streams
 
@@ -429,8 +433,8 @@
 
     monkeypatch.setattr(door, "accept", full)
     stage.loop.at(stage.loop.now() + 200_000, monkeypatch.undo)
-    got, _ = stage.do(caller(stage, frame(t="probe")))
-    assert got == frame(t="alive") and stage.heard("accept_failed")
+    got, _ = stage.do(connect_and_send(stage, frame(t="probe")))
+    assert got == frame(t="alive") and stage.logged("accept_failed")
 
 
 def test_new_addresses_are_used_and_an_unanswered_call_goes_on_there():
@@ -438,9 +442,9 @@
     stage.relay.script = ["silent"]
     stage.order(LINE, ("mark", 9, True))
     stage.run(0.01)
-    there, agent = Relay(stage.loop, ("127.0.0.1", 6401)), ListAgent(stage.loop, ("127.0.0.1", 8501))
-    there.stands()
-    new = a_place(registry={"address": "127.0.0.1:6401"}, discovery="127.0.0.1:8501")
+    new_relay, agent = Relay(stage.loop, ("127.0.0.1", 6401)), ListAgent(stage.loop, ("127.0.0.1", 8501))
+    new_relay.set_snapshot()
+    new = make_config(registry={"address": "127.0.0.1:6401"}, discovery="127.0.0.1:8501")
     reads = [ConfigError("half written"), ConfigError("half written"), new]
 
     def read():
@@ -451,15 +455,15 @@
 
     stage.do(apply_reload(stage.loop, read, stage.pilot, stage.loop.report))
     stage.run(1)
-    assert len(stage.heard("reload_refused")) == 2
-    assert [orders for _, orders in there.calls] == [["share,0,a,1", "mark,9,1"]]
-    assert there.streams and agent.asked == ["/registry/instances?stream=1&index=7"]
-    assert stage.brain.slices[0].state == OWNED and len(stage.heard("standing")) == 2
+    assert len(stage.logged("reload_refused")) == 2
+    assert [orders for _, orders in new_relay.calls] == [["share,0,a,1", "mark,9,1"]]
+    assert new_relay.streams and agent.requested_targets == ["/registry/instances?stream=1&index=7"]
+    assert stage.brain.slices[0].state == OWNED and len(stage.logged("standing")) == 2
 
 
 def test_a_configuration_that_can_t_be_read_for_long_is_still_taken_on():
     stage, reads = Stage().run(1), []
-    new = a_place(discovery="127.0.0.1:8501")
+    new = make_config(discovery="127.0.0.1:8501")
 
     def read():
         reads.append(stage.loop.now())
@@ -487,7 +491,7 @@
     stage.order(LINE, ("mark", 9, True))
     stage.run(1.5)
     assert [orders for _, orders in stage.relay.calls][0] == ["share,0,a,1", "mark,9,1"]
-    assert not stage.pilot.calls.busy and len(stage.heard("task_failed")) == 2
+    assert not stage.pilot.calls.busy and len(stage.logged("task_failed")) == 2
 
 
 def test_signals_of_a_real_process(tmp_path):
@@ -495,20 +499,25 @@
     listen, nobody = (f"{host}:{port}" for host, port in (ports.take(), ports.take()))
     path = tmp_path / "config.json"
     path.write_text(json.dumps(configuration(listen=listen, discovery=nobody, registry={"address": nobody})))
-    told = {"RELAY_NAME": "n0", "RELAY_LISTEN": listen, "RELAY_DISCOVERY": nobody, "RELAY_CONFIG": str(path)}
+    orders_after = {
+        "RELAY_NAME": "n0",
+        "RELAY_LISTEN": listen,
+        "RELAY_DISCOVERY": nobody,
+        "RELAY_CONFIG": str(path),
+    }
     ports.release()
     process = subprocess.Popen(
         [sys.executable, "-m", "cedarshift", "platform"],
-        env={**os.environ, **told},
+        env={**os.environ, **orders_after},
         stderr=subprocess.PIPE,
         text=True,
     )
     try:
         assert "pilot_serves" in process.stderr.readline()
-        path.write_text("{")  # half written
+        path.write_text("{")  # incomplete
         process.send_signal(signal.SIGHUP)
         while "reload_refused" not in (line := process.stderr.readline()):
-            assert line, "it has ended"
+            assert line, "the process has ended"
         with socket.create_connection(tuple(listen.rsplit(":", 1)), timeout=5) as asking:
             asking.sendall(frame(t="probe"))
             assert asking.recv(100) == frame(t="alive")
@@ -533,11 +542,11 @@
     assert json.loads(lines[MAX_LINES_PER_WINDOW])["held_back"] == 1000 - MAX_LINES_PER_WINDOW
 
 
-def with_a_held_line():
-    """A stage of which slice 0 has left its drained owner `a`, and as nobody acknowledges, names it again with all classes closed."""
+def stage_with_held_line():
+    """A stage whose slice 0 was revoked from its owner, then restored with op types blocked."""
     family = {**SETTINGS["family_info"], "empty_for_ns": 8_000_000_000}
     stage = Stage(settings={**SETTINGS, "family_info": family}).run(2)
-    stage.agent.tell(listing(8, instance("a", "draining")))
+    stage.agent.publish(listing(8, instance("a", "draining")))
     stage.run(7)
     orders = stage.orders()
     assert stage.pilot.held_lines == {0, 2} and orders.index("admit,0,*,0,0") < orders.index("share,0,a,1")
@@ -545,29 +554,33 @@
 
 
 def test_a_held_line_is_not_opened_after_a_long_break_of_the_news_but_revoked_anew():
-    stage = with_a_held_line()
-    stage.signs = False
-    stage.run(1)  # silent for longer than another pilot needs
-    stage.relay.stands(slices={0: "a", 1: "b", 2: "a", 3: "b"})
+    stage = stage_with_held_line()
+    stage.heartbeats = False
+    stage.run(1)  # longer than another pilot needs to take over
+    stage.relay.set_snapshot(slices={0: "a", 1: "b", 2: "a", 3: "b"})
     before = len(stage.orders())
     stage.relay.cut()
-    stage.signs = True
+    stage.heartbeats = True
     stage.run(3)
-    told = stage.orders()[before:]
-    assert "share,0,a,0" in told and not any(
-        one.startswith(("admit,0,put,1", "admit,0,*,1", "share,0,b")) for one in told
+    orders_after = stage.orders()[before:]
+    assert "share,0,a,0" in orders_after and not any(
+        one.startswith(("admit,0,put,1", "admit,0,*,1", "share,0,b")) for one in orders_after
     )
     for proxy in (0, 1):
-        stage.relay.say("ack", f"node={proxy}&nonce={stage.brain.mark}&latency=10.0")
+        stage.relay.send_event("ack", f"node={proxy}&nonce={stage.brain.mark}&latency=10.0")
     stage.run(3)
-    told = stage.orders()[before:]
-    assert told.index("share,0,a,0") < told.index("share,0,b,1") < told.index("admit,0,*,1,0")
+    orders_after = stage.orders()[before:]
+    assert (
+        orders_after.index("share,0,a,0")
+        < orders_after.index("share,0,b,1")
+        < orders_after.index("admit,0,*,1,0")
+    )
     assert not stage.pilot.held_lines and 0 not in stage.pilot.reopen_orders
 
 
 def test_a_held_line_stays_through_a_break_of_the_news_that_is_shorter():
-    stage = with_a_held_line()
-    stage.relay.stands(slices={0: "a", 1: "b", 2: "a", 3: "b"})
+    stage = stage_with_held_line()
+    stage.relay.set_snapshot(slices={0: "a", 1: "b", 2: "a", 3: "b"})
     before = len(stage.orders())
     stage.relay.cut()
     stage.run(1)
@@ -579,25 +592,25 @@
 
 def test_an_emptied_slice_keeps_waiting_for_its_proxies_over_a_break_of_the_news():
     stage = Stage().run(2)
-    stage.agent.tell(listing(8, instance("a", "draining")))
+    stage.agent.publish(listing(8, instance("a", "draining")))
     stage.run(4)
     assert not stage.brain.slices[0].line and stage.brain.slices[0].closed
     mark = stage.brain.slices[0].mark
-    stage.signs = False
+    stage.heartbeats = False
     stage.run(1)
-    stage.relay.stands(slices={0: "", 1: "b", 2: "", 3: "b"})
+    stage.relay.set_snapshot(slices={0: "", 1: "b", 2: "", 3: "b"})
     stage.relay.cut()
-    stage.signs = True
+    stage.heartbeats = True
     stage.run(3)
     assert stage.brain.slices[0].mark == mark and stage.brain.slices[0].state == "revoking"
-    assert "share,0,b,1" not in stage.orders(), "granted while nobody has acknowledged the revoke"
+    assert "share,0,b,1" not in stage.orders(), "granted before the revoke was acked"
 
 
 def test_a_channel_whose_acknowledgements_were_lost_does_not_hold_orders_back_for_good():
-    """Room is freed by acks: where those are lost, with a stream or at their proxies, only signs of life tell that none is to come."""
+    """Acks free channel capacity; if they are lost, heartbeats must free it instead."""
     family = {**SETTINGS["family_info"], "pending_max": 60.0}
     stage = Stage(settings={**SETTINGS, "family_info": family}).run(2)
-    stage.agent.tell(listing(8, instance("a", "draining")))
+    stage.agent.publish(listing(8, instance("a", "draining")))
     stage.run(6)
     assert "share,0,a,0" in stage.orders() and "share,2,a,0" in stage.orders(), (
         "the drained owner's lines were never emptied"
--- a/tests/test_platform_codec.py
+++ b/tests/test_platform_codec.py
@@ -2,13 +2,13 @@
 
 import orjson
 import pytest
-from platform_parts import TOLD, configuration, instance, listing
+from platform_parts import ENVIRONMENT, configuration, instance, listing
 
 from cedarshift.brain import ALL_TABLES
 from cedarshift.codec.platform import config, entries, events, frames, orders, reports
 from cedarshift.codec.platform.errors import ConfigError, InvalidMessage, MalformedStream
 
-MET = {
+OUTCOMES = {
     "t": "outcomes",
     "locality": "za",
     "endpoint": "a",
@@ -17,9 +17,9 @@
     "rtt": 41.7,
     "interval": 2000.0,
 }
-HEAT = {"t": "hot", "shard": 3, "route": "get", "total": 4, "errors": 1, "interval": 2000.0}
-NOTHING = object()
-SPOILT = [NOTHING, None, "s-zz", "nan", "", [1], {}, -3, True, 38654705664, 1e30, float("inf")]
+SLICE_LOAD = {"t": "hot", "shard": 3, "route": "get", "total": 4, "errors": 1, "interval": 2000.0}
+MISSING = object()
+INVALID_VALUES = [MISSING, None, "s-zz", "nan", "", [1], {}, -3, True, 38654705664, 1e30, float("inf")]
 
 
 def pieces(data, size):
@@ -28,11 +28,11 @@
 
 @pytest.mark.parametrize("size", [1, 3, 7, 1000])
 def test_messages_come_whole_in_whatever_pieces(size):
-    cut, got = frames.FrameDecoder(), []
-    for piece in pieces(frames.encode(MET) + frames.encode(HEAT), size):
-        cut.feed(piece)
-        got += cut.messages()
-    assert got == [MET, HEAT] and not cut.buffer
+    decoder, received = frames.FrameDecoder(), []
+    for piece in pieces(frames.encode(OUTCOMES) + frames.encode(SLICE_LOAD), size):
+        decoder.feed(piece)
+        received += decoder.messages()
+    assert received == [OUTCOMES, SLICE_LOAD] and not decoder.buffer
 
 
 @pytest.mark.parametrize(
@@ -49,24 +49,24 @@
     ],
 )
 def test_what_can_be_no_message_is_told_from_what_has_come(data):
-    cut = frames.FrameDecoder()
-    cut.feed(data)
+    decoder = frames.FrameDecoder()
+    decoder.feed(data)
     with pytest.raises(MalformedStream):
-        list(cut.messages())
+        list(decoder.messages())
 
 
-@pytest.mark.parametrize("sound, field", [(m, f) for m in (MET, HEAT) for f in m if f != "t"])
-@pytest.mark.parametrize("value", SPOILT)
-def test_a_spoilt_report_is_refused_with_its_field(sound, field, value):
-    message = {k: v for k, v in {**sound, field: value}.items() if v is not NOTHING}
+@pytest.mark.parametrize("valid, field", [(m, f) for m in (OUTCOMES, SLICE_LOAD) for f in m if f != "t"])
+@pytest.mark.parametrize("value", INVALID_VALUES)
+def test_a_spoilt_report_is_refused_with_its_field(valid, field, value):
+    message = {k: v for k, v in {**valid, field: value}.items() if v is not MISSING}
     with pytest.raises(InvalidMessage, match=field):
-        reports.parse_outcomes(message, {"za"}, {"a"}) if sound is MET else reports.parse_slice_load(
+        reports.parse_outcomes(message, {"za"}, {"a"}) if valid is OUTCOMES else reports.parse_slice_load(
             message, 8, ["get"]
         )
 
 
 def test_sums_are_told_in_tenths_of_a_millisecond_and_extra_fields_are_passed_over():
-    assert reports.parse_outcomes({**MET, "metrics": {"util": 1}, "new": []}, {"za"}, {"a"}) == (
+    assert reports.parse_outcomes({**OUTCOMES, "metrics": {"util": 1}, "new": []}, {"za"}, {"a"}) == (
         "a",
         "za",
         12,
@@ -74,13 +74,13 @@
         417,
         20_000,
     )
-    assert reports.parse_slice_load({**HEAT, "new": None}, 8, ["get"]) == (3, "get", 4, 1, 20_000)
-    assert reports.parse_slice_load({**HEAT, "total": 0, "errors": 5}, 8, ["get"])[2:4] == (
+    assert reports.parse_slice_load({**SLICE_LOAD, "new": None}, 8, ["get"]) == (3, "get", 4, 1, 20_000)
+    assert reports.parse_slice_load({**SLICE_LOAD, "total": 0, "errors": 5}, 8, ["get"])[2:4] == (
         0,
         5,
-    )  # some began in the interval before
+    )  # includes ops of the previous interval
     with pytest.raises(InvalidMessage, match="errors"):
-        reports.parse_outcomes({**MET, "errors": 13}, {"za"}, {"a"})
+        reports.parse_outcomes({**OUTCOMES, "errors": 13}, {"za"}, {"a"})
 
 
 @pytest.mark.parametrize(
@@ -116,15 +116,15 @@
     assert all(len(call) <= orders.MAX_ORDERS_BYTES for call in calls) and calls[-1].endswith("mark,1,1")
 
 
-def an_answer(inner):
+def response_xml(inner):
     return f'<?xml version="1.0"?>\n<Response><entries><item>{inner}</item></entries></Response>'.encode()
 
 
 @pytest.mark.parametrize(
     "body, answer",
     [
-        (an_answer("<ok_count>2</ok_count>"), orders.CallResponse(2)),
-        (an_answer("<ok_count> 0\n</ok_count>"), orders.CallResponse(0)),
+        (response_xml("<ok_count>2</ok_count>"), orders.CallResponse(2)),
+        (response_xml("<ok_count> 0\n</ok_count>"), orders.CallResponse(0)),
         (
             b"<Response><Errors><Error><Code>BUSY</Code></Error></Errors></Response>",
             orders.CallResponse(None, "BUSY"),
@@ -141,11 +141,11 @@
         b"",
         b"<Response>",
         b"\xff\xfe",
-        an_answer(""),
-        an_answer("<ok_count>3</ok_count>"),
-        an_answer("<ok_count>-1</ok_count>"),
-        an_answer("<ok_count>x</ok_count>"),
-        an_answer("<ok_count>1</ok_count><ok_count>1</ok_count>"),
+        response_xml(""),
+        response_xml("<ok_count>3</ok_count>"),
+        response_xml("<ok_count>-1</ok_count>"),
+        response_xml("<ok_count>x</ok_count>"),
+        response_xml("<ok_count>1</ok_count><ok_count>1</ok_count>"),
         b"{}",
         b"<!DOCTYPE a [<!ENTITY b '1'>]><Response><ok_count>&b;</ok_count></Response>",
         b"<a>" + b" " * orders.MAX_RESPONSE_BYTES + b"</a>",
@@ -158,15 +158,17 @@
 
 @pytest.mark.parametrize("size", [1, 5, 1000])
 def test_news_comes_in_whatever_pieces(size):
-    stream, got = events.EventStreamDecoder(), []
+    stream, received = events.EventStreamDecoder(), []
     for piece in pieces(
         b":\n\nevent: ack\r\ndata: node=17&nonce=905&latency=310.4\r\n\r\n:\n\nevent: bye\ndata: node=1\n\n",
         size,
     ):
-        got += stream.feed(piece)
-    assert got == [("ack", "node=17&nonce=905&latency=310.4"), ("bye", "node=1")] and stream.heartbeats == 2
-    told = events.parse_fields(got[0][1])
-    assert (events.proxy(told), events.mark(told), events.latency(told)) == (17, 905, 3104)
+        received += stream.feed(piece)
+    assert (
+        received == [("ack", "node=17&nonce=905&latency=310.4"), ("bye", "node=1")] and stream.heartbeats == 2
+    )
+    parsed = events.parse_fields(received[0][1])
+    assert (events.proxy(parsed), events.mark(parsed), events.latency(parsed)) == (17, 905, 3104)
 
 
 @pytest.mark.parametrize("data", [b"x" * 70_000, b"data: x\n" * 70_000, b"data: \xff\n"])
@@ -188,9 +190,9 @@
     ],
 )
 def test_spoilt_news_is_refused(data):
-    told = events.parse_fields(data)
+    parsed = events.parse_fields(data)
     with pytest.raises(InvalidMessage):
-        events.proxy(told), events.mark(told), events.latency(told)
+        events.proxy(parsed), events.mark(parsed), events.latency(parsed)
 
 
 @pytest.mark.parametrize("size", [1, 11, 10_000])
@@ -202,16 +204,16 @@
         + orjson.dumps(listing(10, instance("b", started=1_700_000_000_123, zone="zb"), reset=True))
         + b"\n"
     )
-    lines, got = entries.ListDecoder(), []
+    lines, received = entries.ListDecoder(), []
     for piece in pieces(body, size):
-        got += lines.feed(piece)
-    assert [(one.revision, one.is_snapshot) for one in got] == [(9, False), (10, True)]
-    assert got[0].entries == [entries.Entry("a", "fading", 1.0, "za", None)]
-    assert got[1].entries == [entries.Entry("b", "on", 1.0, "zb", 17_000_000_001_230)]
+        received += lines.feed(piece)
+    assert [(one.revision, one.is_snapshot) for one in received] == [(9, False), (10, True)]
+    assert received[0].entries == [entries.Entry("a", "fading", 1.0, "za", None)]
+    assert received[1].entries == [entries.Entry("b", "on", 1.0, "zb", 17_000_000_001_230)]
 
 
 @pytest.mark.parametrize(
-    "spoilt, where",
+    "invalid, where",
     [
         ({"generation": -1}, "generation"),
         ({"reset": None}, "reset"),
@@ -225,9 +227,9 @@
         ({"instances": [{**instance("b"), "weight": "1"}]}, "weight"),
     ],
 )
-def test_a_spoilt_list_is_refused_with_its_place(spoilt, where):
+def test_a_spoilt_list_is_refused_with_its_place(invalid, where):
     with pytest.raises(InvalidMessage, match=where):
-        entries.parse_list({**listing(4, instance("a")), **spoilt})
+        entries.parse_list({**listing(4, instance("a")), **invalid})
 
 
 @pytest.mark.parametrize(
@@ -247,10 +249,10 @@
 )
 def test_a_wrong_configuration_is_refused_with_file_and_place(changes, where):
     with pytest.raises(ConfigError, match=f"config.json: .*{where}"):
-        config.parse_config(TOLD, json.dumps(configuration(**changes)).encode())
+        config.parse_config(ENVIRONMENT, json.dumps(configuration(**changes)).encode())
     for unreadable in (b"", b"{", b"[]", b"\xff"):
         with pytest.raises(ConfigError, match="config.json:"):
-            config.parse_config(TOLD, unreadable)
+            config.parse_config(ENVIRONMENT, unreadable)
 
 
 @pytest.mark.parametrize(
@@ -270,6 +272,12 @@
 
 
 def test_a_configuration_as_figures():
-    told = config.parse_config(TOLD, json.dumps(configuration()).encode())
-    assert told.relay == ("127.0.0.1", 6400) and told.max_sockets == 256 and told.initial_list.revision == 7
-    assert told.terms.slices == 4 and told.terms.seed == 0x8C1F30D27A5BE964 and told.terms.lease == 8_000
+    parsed = config.parse_config(ENVIRONMENT, json.dumps(configuration()).encode())
+    assert (
+        parsed.relay == ("127.0.0.1", 6400)
+        and parsed.max_sockets == 256
+        and parsed.initial_list.revision == 7
+    )
+    assert (
+        parsed.terms.slices == 4 and parsed.terms.seed == 0x8C1F30D27A5BE964 and parsed.terms.lease == 8_000
+    )
--- a/tests/test_system_faults.py
+++ b/tests/test_system_faults.py
@@ -1,4 +1,4 @@
-"""System calls that fail in ways that Linux documents, under real loopback sockets and real processes."""
+"""Documented failures of Linux system calls, injected under real loopback sockets and processes."""
 
 import errno
 import gc
@@ -18,11 +18,11 @@
 from cedarshift.loop.epoll import EpollNetwork, Signals, SocketPipe, real_loop
 
 SECOND = 1_000_000
-SIZE = 200_000  # bytes, more than a socket's buffer takes at once
+SIZE = 200_000  # bytes; exceeds a socket buffer
 
 
 def descriptors():
-    """Those that this process holds, once what earlier tests have left to the garbage collector is gone."""
+    """The open file descriptors of this process, after garbage collection."""
     gc.collect()
     return set(os.listdir("/proc/self/fd"))
 
@@ -52,7 +52,7 @@
 
 
 def echo_peer(size):
-    """A thread that takes one connection, reads `size` bytes and sends them back; its address."""
+    """Starts a thread that echoes `size` bytes on one connection, and returns its address."""
     door = socket.create_server(("127.0.0.1", 0))
 
     def serve():
@@ -131,7 +131,7 @@
     stream = run_with_limit(loop, dial_twice())
     assert refused and not stream.closed
     stream.close()
-    assert descriptors() == before  # the refused connection has left no descriptor behind
+    assert descriptors() == before  # no descriptor leaked
 
 
 LOG = """
@@ -148,10 +148,10 @@
 def test_a_log_whose_reader_stalls_blocks_nobody():
     done = subprocess.Popen([sys.executable, "-c", LOG], stdout=subprocess.PIPE, stderr=subprocess.PIPE)
     ready, _, _ = select.select([done.stdout], [], [], 10)
-    said = os.read(done.stdout.fileno(), 100) if ready else b""
+    output = os.read(done.stdout.fileno(), 100) if ready else b""
     done.kill()
     done.communicate()
-    assert said == b"returned"
+    assert output == b"returned"
 
 
 class FailingSocket:
