--- a/cedarshift/codec/platform/fields.py
+++ b/cedarshift/codec/platform/fields.py
@@ -11,7 +11,7 @@
 def string(raw: Any, key: str, max_length: int = 256) -> str:
     value = raw.get(key)
     if not isinstance(value, str) or not 0 < len(value) <= max_length:
-        raise InvalidMessage(f"{key}: {_describe(value)}, expected a string of 1 to {max_length} characters")
+        raise InvalidMessage(f"{key}: {_describe(value)}, a text of 1 to {max_length} characters is allowed")
     return value
 
 
--- a/cedarshift/codec/platform/frames.py
+++ b/cedarshift/codec/platform/frames.py
@@ -34,16 +34,16 @@
             while len(self.buffer) - offset >= HEADER_BYTES:
                 length = int.from_bytes(self.buffer[offset : offset + HEADER_BYTES], "big")
                 if not 0 < length <= self.max_bytes:
-                    raise MalformedStream(f"message of {length} bytes, expected 1 to {self.max_bytes}")
+                    raise MalformedStream(f"a message of {length} bytes, 1 to {self.max_bytes} are allowed")
                 end = offset + HEADER_BYTES + length
                 if len(self.buffer) < end:
                     break
                 try:
                     message = orjson.loads(self.buffer[offset + HEADER_BYTES : end])
                 except orjson.JSONDecodeError as error:
-                    raise MalformedStream(f"invalid JSON: {error}") from None
+                    raise MalformedStream(f"no JSON: {error}") from None
                 if not isinstance(message, dict):
-                    raise MalformedStream(f"JSON {type(message).__name__}, expected an object")
+                    raise MalformedStream(f"a JSON {type(message).__name__}, an object is allowed")
                 offset = end
                 yield message
         finally:
--- a/cedarshift/codec/platform/reports.py
+++ b/cedarshift/codec/platform/reports.py
@@ -66,5 +66,5 @@
 def _one_of(message: dict[str, Any], key: str, names: Container[str]) -> str:
     name = fields.string(message, key)
     if name not in names:
-        raise InvalidMessage(f"{key}: unknown name {name!r}")
+        raise InvalidMessage(f"{key}: {name!r} is not known here")
     return name
--- a/cedarshift/platform/collectors.py
+++ b/cedarshift/platform/collectors.py
@@ -59,7 +59,7 @@
             self.window_started_at, self.messages_in_window = now, 0
         self.messages_in_window += 1
         if self.messages_in_window > self.max_messages_per_s:
-            raise MalformedStream(f"over {self.max_messages_per_s} messages per second")
+            raise MalformedStream(f"over {self.max_messages_per_s} messages in a second")
 
     def deadline(self) -> int:
         """When the connection times out unless another byte arrives."""
@@ -218,7 +218,7 @@
             reports.parse_zone(message, self.zones)
             self._join(connection)
         elif not connection.joined:
-            raise InvalidMessage(f"{str(kind)[:32]!r} before joining")
+            raise InvalidMessage(f"{str(kind)[:32]!r} before a joining")
         else:
             self._handle_report(message)
 
--- a/cedarshift/platform/service.py
+++ b/cedarshift/platform/service.py
@@ -313,8 +313,10 @@
         """Whether the slice's line was, or may have been, set again while op types were blocked."""
         pending_orders = self.calls.pending_for(slice_id)
         admits = any(one.line is None and not one.reopen_order for one in pending_orders)
-        shut = slice_id in self.reopen_orders or any(one.reopen_order for one in pending_orders)
-        return slice_id in self.held_lines or shut and not admits and any(one.line for one in pending_orders)
+        blocked = slice_id in self.reopen_orders or any(one.reopen_order for one in pending_orders)
+        return (
+            slice_id in self.held_lines or blocked and not admits and any(one.line for one in pending_orders)
+        )
 
     def _reassign_closed(self, slice_id: int, endpoint: str, reopen: str) -> None:
         """Treats the slice as newly assigned but keeps op types blocked: its owner's drain grace is over."""
--- a/cedarshift/platform/start.py
+++ b/cedarshift/platform/start.py
@@ -17,7 +17,7 @@
 from cedarshift.platform.log import make_report
 from cedarshift.platform.service import PlatformPilot
 
-MAX_RELOAD_ATTEMPTS = 20  # for an invalid configuration, which may still be being written
+MAX_RELOAD_ATTEMPTS = 20  # of an invalid configuration, possibly still being written
 REREAD_DELAY_US = 100_000
 MAX_REREAD_DELAY_US = 1_000_000  # for a file that cannot be read, which is retried without limit
 START_TIMEOUT_US = 3_000_000  # for a readable configuration and a free listen address
@@ -57,6 +57,7 @@
 
 
 def report_start_failure(error: Exception) -> int:
+    """Logs why the pilot could not start and returns the exit code."""
     LogOutput().write(f"cedarshift platform: {error}\n")
     return EXIT_START_FAILED
 
--- a/cedarshift/web/server.py
+++ b/cedarshift/web/server.py
@@ -98,7 +98,7 @@
         elif isinstance(event, h11.Data):
             body += event.data
             if len(body) > MAX_BODY_BYTES:
-                raise h11.RemoteProtocolError(f"body over {MAX_BODY_BYTES} bytes", 413)
+                raise h11.RemoteProtocolError(f"a body over {MAX_BODY_BYTES} bytes", 413)
         elif isinstance(event, h11.EndOfMessage):
             assert head is not None
             headers = {k.decode("latin-1"): v.decode("latin-1") for k, v in head.headers}
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -70,7 +70,7 @@
 
 
 @pytest.mark.parametrize("extra", [http_response(b"stale"), b"\r\n", b"x", b"HTTP/1.1 200 OK\r\n"])
-def test_what_comes_behind_an_answer_is_never_read_as_the_next_one(client, extra):
+def test_bytes_after_a_response_are_never_read_as_the_next_one(client, extra):
     peer = client.exchange(extra)
     assert peer.until_ended()
     task = client.request(b"two")
@@ -81,7 +81,7 @@
     assert task.result.body == b"fresh"
 
 
-def test_an_answer_that_comes_before_its_request_is_written_whole_keeps_no_connection(client, monkeypatch):
+def test_a_response_before_its_request_is_fully_written_closes_the_connection(client, monkeypatch):
     send, room = SocketPipe.send, [10]  # bytes the kernel accepts before EAGAIN
 
     def send_what_fits(pipe, view):
@@ -99,7 +99,7 @@
 
 
 @pytest.mark.parametrize("how", ["finish", "reset", "send"])
-def test_an_idle_connection_that_its_peer_ends_in_the_step_that_takes_it_is_not_used(client, how):
+def test_an_idle_connection_that_its_peer_ends_in_the_same_step_is_not_reused(client, how):
     peer = client.exchange()
     peer.sock.sendall(b"HTTP/1.1 408 Too slow\r\n\r\n") if how == "send" else getattr(peer, how)()
     task = client.request(b"two")  # the loop has not polled the network since
@@ -138,7 +138,7 @@
     )
 
 
-def test_an_idle_connection_is_closed_in_time_though_nobody_asks_again(client):
+def test_an_idle_connection_is_closed_in_time_without_another_request(client):
     peer = client.exchange()
     before = open_descriptors()
     client.loop.advance(1.9)
@@ -148,7 +148,7 @@
     assert client.loop.open_resources() == {"tasks": [], "timers": 0, "sockets": 0}
 
 
-def test_a_request_that_the_kernel_refuses_has_surely_not_left(client, monkeypatch):
+def test_a_request_that_the_kernel_refuses_counts_as_not_sent(client, monkeypatch):
     peer = client.exchange()
     monkeypatch.setattr(
         Pool, "_closed_by_peer", staticmethod(lambda stream: False)
@@ -173,7 +173,7 @@
         (b"\0\1\2\r\n\r\n", None),
     ],
 )
-def test_an_answer_that_breaks_off_anywhere_is_told_and_its_connection_not_kept(client, part, how):
+def test_a_truncated_response_raises_and_its_connection_is_not_kept(client, part, how):
     task = client.request()
     peer = client.server.accept()
     peer.request()
@@ -241,7 +241,7 @@
     return stream
 
 
-def test_a_stream_that_stalls_in_the_middle_of_what_stands_takes_nothing_away(stage):
+def test_a_stream_that_stalls_in_its_snapshot_removes_nothing(stage):
     stream, _ = stage.begin(proxies=(0, 1, 2))
     whole = snapshot_text(proxies=(0, 1), slices={0: "a", 1: "b", 2: "a"})
     half = len(snapshot_text(proxies=(0,), slices={})) - len(":\n\n")
@@ -264,7 +264,7 @@
 @pytest.mark.parametrize(
     "event, joined, left", [("bye", "node=1", True), ("hello", "node=1&locality=za&w=1&cold=0", False)]
 )
-def test_an_event_that_comes_before_the_first_sign_of_life_counts_once(stage, event, joined, left):
+def test_an_event_before_the_first_heartbeat_counts_once(stage, event, joined, left):
     stream, _ = stage.begin()
     text = snapshot_text(proxies=(0,))[: -len(":\n\n")]
     stream = reconnect_stream(stage, stream, 0.1, text)
@@ -279,7 +279,7 @@
 
 
 @pytest.mark.parametrize("carried_out", [True, False])
-def test_an_order_unanswered_over_a_long_silence_is_looked_for_once_more_in_what_stands(stage, carried_out):
+def test_an_unanswered_order_over_a_long_silence_needs_a_second_snapshot(stage, carried_out):
     """A snapshot older than an order with a lost response must not decide: a later snapshot does."""
     stream, _ = stage.begin()
     stage.brain.weighed_at = 10**15  # suppress other decisions
@@ -306,7 +306,7 @@
     assert not stage.pilot.resync_silence_us and not stage.calls.busy
 
 
-def test_the_line_of_a_pilot_s_own_grant_that_comes_late_ends_no_hand_over(stage):
+def test_a_delayed_line_event_of_a_pilot_s_own_grant_ends_no_hand_over(stage):
     """The delayed line event of a pilot's own grant must not end the next hand-over."""
     stream, _ = stage.begin(slices={0: "", 1: "b"})
     stage.brain.weighed_at = 10**15
@@ -324,7 +324,7 @@
 # ---- new addresses
 
 
-def test_an_answer_under_way_at_the_old_address_counts_and_its_connection_goes(stage):
+def test_a_pending_response_from_the_old_address_counts_and_its_connection_is_closed(stage):
     stage.begin()
     stage.order(LINE, MARK)
     old = stage.relay.accept()
@@ -344,7 +344,7 @@
 
 
 @pytest.mark.parametrize("which", ["relay", "discovery"])
-def test_an_address_that_accepts_and_says_nothing_is_left_at_once_for_the_next(stage, which):
+def test_an_address_that_never_responds_is_left_at_once_for_the_next(stage, which):
     stage.begin()
     silent, good = (Server(stage.loop), Server(stage.loop)), (Server(stage.loop), Server(stage.loop))
     at = 0 if which == "relay" else 1
@@ -440,7 +440,7 @@
     assert ("index=" in asked) is (target is None)
 
 
-def test_a_fault_while_a_list_is_taken_in_does_not_end_the_watch(monkeypatch):
+def test_an_exception_while_a_list_is_handled_does_not_end_the_watch(monkeypatch):
     stage = Stage()
     _, watch = stage.begin()
     monkeypatch.setattr(stage.brain, "on_list", lambda *_: 1 // 0)
@@ -478,7 +478,7 @@
     assert collector.until_ended() and not stage.pilot.collectors.joined
 
 
-def test_strangers_that_join_and_say_nothing_push_out_no_collector_that_reports(stage):
+def test_joined_connections_that_are_silent_do_not_evict_a_reporting_collector(stage):
     stage.begin()
     limits = stage.pilot.collectors.limits
     collector = stage.connect().send(frame(t="agent", locality="za"))
@@ -504,7 +504,7 @@
     assert not stage.pilot.collectors.unjoined
 
 
-def test_bytes_and_the_end_that_come_in_one_step_are_both_heard(stage):
+def test_bytes_and_the_end_of_a_connection_in_one_step_are_both_handled(stage):
     stage.begin()
     probe = stage.connect()
     probe.sock.sendall(frame(t="probe"))
@@ -543,7 +543,7 @@
     assert limits.joined >= min(zones, sockets // 2) and limits.messages_per_s >= reports
 
 
-def test_a_site_without_zones_hears_its_collector():
+def test_a_site_without_zones_accepts_reports():
     settings = {**load_settings(), "zones": []}
     stage = Stage(settings=settings)
     stage.begin(zone="")
--- a/tests/test_last_answers.py
+++ b/tests/test_last_answers.py
@@ -18,7 +18,7 @@
 from cedarshift.web import Pool, serve_http
 
 PROBE, ALIVE = frame(t="probe"), frame(t="alive")
-KILL_DELAY_S = 0.7  # the platform kills this long after SIGTERM
+KILL_DELAY_S = 0.7  # the platform kills no earlier after SIGTERM
 
 
 class Program:
@@ -118,7 +118,7 @@
     assert answers == [(ALIVE, None)] * 40
 
 
-def test_a_caller_that_is_pushed_out_by_a_crowd_is_answered_first(program):
+def test_an_evicted_connection_is_answered_first(program):
     program.signal(signal.SIGSTOP)
     crowd = [program.connect() for _ in range(150)]  # more than the limit of 64, 1/4 of 256 descriptors
     for one in crowd:
--- a/tests/test_lifecycle.py
+++ b/tests/test_lifecycle.py
@@ -24,7 +24,7 @@
     snapshot_text,
 )
 
-STOP_TIMEOUT_S = 0.7  # the platform kills this long after SIGTERM
+STOP_TIMEOUT_S = 0.7  # the platform kills no earlier after SIGTERM
 READY_TIMEOUT_S = 10.0  # to be met by nine in ten restarts
 SHORT_LEASE_SETTINGS = {
     **SETTINGS,
@@ -304,7 +304,7 @@
 @pytest.mark.parametrize(
     "text, reason", [('{"registry": 3}', "registry: 3"), ("[]", "expected an object"), ("{", "invalid JSON")]
 )
-def test_a_start_that_can_t_be_is_refused_with_one_line(pilot, text, reason):
+def test_an_impossible_start_fails_with_one_line(pilot, text, reason):
     pilot.path.write_text(text)
     started_at = time.monotonic()
     assert pilot.start().wait_ended(TIMEOUT_S) == 2
@@ -407,7 +407,7 @@
 # ---- file descriptors
 
 
-def test_beside_silent_connections_up_to_the_limit_a_collector_joins_and_the_relay_is_called(tmp_path):
+def test_a_collector_joins_and_the_relay_is_called_beside_silent_connections_up_to_the_limit(tmp_path):
     pilot = Process(tmp_path, sockets=MIN_SOCKETS).start()
     silent = []
     try:
@@ -430,7 +430,7 @@
         pilot.process.wait()
 
 
-def test_a_log_that_nobody_reads_any_more_ends_nothing(tmp_path):
+def test_a_closed_log_pipe_does_not_stop_the_pilot(tmp_path):
     pilot = Process(tmp_path)
     reader, writer = os.pipe()
     variables = {
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -71,7 +71,7 @@
     assert not stage.pilot.calls.busy and stage.pilot.slices[0] == "a"
 
 
-def test_an_ack_proves_no_order_that_was_put_behind_its_mark():
+def test_an_ack_proves_nothing_about_orders_after_its_mark():
     stage = Stage().run(1)
     stage.relay.script = ["silent", "lost"]
     stage.order(("level", 0, 2, 0, 0), ("mark", 9, True))
@@ -86,7 +86,7 @@
     ]
 
 
-def test_an_order_not_taken_is_left_out_and_the_rest_goes_on():
+def test_an_order_that_is_not_accepted_is_dropped_and_the_rest_is_sent():
     stage = Stage().run(1)
     stage.relay.script = [1]
     stage.brain.slices[1].owner = "never-listed"
@@ -100,7 +100,7 @@
     assert stage.brain.slices[1].owner == "b" == stage.pilot.slices[1]  # same as in the store
 
 
-def test_a_busy_relay_is_waited_for_without_spinning():
+def test_calls_to_a_busy_relay_are_retried_with_a_delay():
     stage = Stage().run(1)
     stage.relay.script = ["busy"] * 10
     stage.order(LINE)
@@ -111,7 +111,7 @@
 
 
 @pytest.mark.parametrize("back", [False, True])
-def test_orders_of_a_slice_that_left_the_charge_are_not_made_again(back):
+def test_orders_of_a_removed_slice_are_not_retried(back):
     stage = Stage().run(1)
     stage.relay.script = ["silent"]
     stage.order(("line", 0, "b", 1), OTHER, ("mark", 9, True))
@@ -128,7 +128,7 @@
     assert (0 in stage.brain.slices) is back and (not back or stage.brain.slices[0].owner == "a")
 
 
-def test_an_ack_counts_from_the_decision_however_late_the_call_was_taken():
+def test_ack_latency_counts_from_the_decision_however_late_the_call_was_accepted():
     stage = Stage().run(1)
     stage.relay.script = ["lost", "lost"]
     stage.brain.channel.send(stage.pilot._now(), 9, 0, 1)
@@ -152,7 +152,7 @@
         "node=0&nonce=9",
     ],
 )
-def test_an_ack_that_can_t_be_right_is_not_believed(ack):
+def test_invalid_acks_are_ignored(ack):
     stage = Stage().run(1)
     stage.order(("mark", 9, True))
     stage.run(0.1)
@@ -161,7 +161,7 @@
     assert [p.acked for p in stage.brain.proxies.values()] == [None, None]
 
 
-def test_a_fault_of_the_module_is_told_and_its_beat_goes_on(monkeypatch):
+def test_an_exception_in_the_module_is_logged_and_its_alarms_continue(monkeypatch):
     stage = Stage().run(1)
     monkeypatch.setattr(stage.brain, "_turn", lambda now: 1 // 0)
     stage.run(1)
@@ -172,7 +172,7 @@
     assert stage.brain.beat > alarms_before + 10
 
 
-def test_a_line_after_its_giving_is_the_pilot_s_own_and_ends_no_hand_over():
+def test_later_line_events_of_a_slice_do_not_end_its_hand_over():
     stage = Stage().run(1)
     stage.brain.slices[0].state = REVOKING
     stage.relay.send_event("line", "shard=0&endpoint=a&w=1.0")
@@ -181,7 +181,7 @@
 
 
 @pytest.mark.parametrize("how", ["cut", "silent"])
-def test_news_that_ends_or_falls_silent_is_asked_for_anew_and_reconciled(how):
+def test_an_event_stream_that_ends_or_goes_silent_is_reopened_and_reconciled(how):
     stage = Stage(proxies=(0, 1, 2)).run(1)
     stage.relay.set_snapshot((1, 2, 3), {1: "b", 2: "b", 3: "b"})
     before, joined = dict(stage.brain.slices), stage.brain.proxies[1]
@@ -250,7 +250,7 @@
 
 @pytest.mark.parametrize("gap", [0.2, 0.9])
 @pytest.mark.parametrize("late", [True, False])
-def test_a_grant_taken_while_the_stream_is_asked_for_outlives_the_older_line_that_it_tells(gap, late):
+def test_a_grant_accepted_after_a_stream_request_outlives_the_older_snapshot(gap, late):
     """A snapshot read before a grant but received after its response must not revert the grant."""
     stage = Stage().run(1)
     stage.brain.weighed_at = stage.pilot._now() + 10**9
@@ -281,7 +281,7 @@
 
 
 @pytest.mark.parametrize("bad", ["event: ack\ndata: node=x\n\n", "event: new\ndata: a=b\n\n", "data\n\n"])
-def test_a_piece_of_news_that_can_t_be_used_is_passed_over_alone(bad):
+def test_an_invalid_event_is_skipped(bad):
     stage = Stage().run(1)
     stage.relay._write(bad)
     stage.relay.send_event("bye", "node=1")
@@ -305,7 +305,7 @@
 
 
 @pytest.mark.parametrize("bad", ["{not json\n", '{"generation": 9}\n', None])
-def test_a_watch_that_can_t_be_read_or_falls_silent_begins_anew_where_it_was(bad):
+def test_a_malformed_or_silent_watch_is_resumed_from_the_last_revision(bad):
     stage = Stage().run(1)
     stage.agent.publish(listing(8, instance("c")))
     stage.run(0.1)
@@ -366,14 +366,14 @@
         (frame(t="probe"),),
     ],
 )
-def test_whoever_is_no_collector_is_sent_away_in_time(sent):
+def test_connections_that_do_not_join_are_closed_in_time(sent):
     stage = Stage().run(1)
     got, after = stage.do(connect_and_send(stage, *sent))
     assert after is not None and after < 2
     assert not stage.pilot.collectors.unjoined and not stage.logged("task_failed")
 
 
-def test_a_sign_of_life_is_given_on_any_connection():
+def test_probes_are_answered_on_any_connection():
     stage = Stage().run(1)
     alive = frame(t="alive")
     assert stage.do(connect_and_send(stage, frame(t="probe"), frame(t="probe")))[0] == alive * 2
@@ -383,7 +383,7 @@
     )
 
 
-def test_a_collector_s_spoilt_report_is_dropped_alone_and_nothing_is_written_to_it():
+def test_an_invalid_report_is_dropped_and_its_collector_stays_connected():
     stage = Stage().run(1)
     sent = [
         frame(t="agent", locality="za"),
@@ -399,14 +399,14 @@
 @pytest.mark.parametrize(
     "bad", [b"\0\0\0\x03abc", b"\xff\xff\xff\xff", b"\0\0\1\0{", frame(t="probe") * 6_000]
 )
-def test_a_collector_that_goes_on_with_what_can_t_be_read_or_without_end_is_left_and_another_may_come(bad):
+def test_a_collector_that_sends_malformed_or_too_many_messages_is_closed_and_another_may_join(bad):
     stage = Stage().run(1)
     assert stage.do(connect_and_send(stage, frame(t="agent", locality="za"), bad))[1] < 6
     stage.do(connect_and_send(stage, frame(t="agent", locality="za"), frame(**OUTCOMES), until=1))
     assert len(stage.brain.endpoints["a"].samples) == 1
 
 
-def test_hundreds_that_say_nothing_leave_room_for_a_collector():
+def test_hundreds_of_silent_connections_leave_room_for_a_collector():
     stage = Stage().run(1)
 
     def flood():
@@ -424,7 +424,7 @@
     assert held <= 256 // 4 and stage.pilot.collectors.counts["evicted"] >= 400 - held
 
 
-def test_without_descriptors_callers_wait_and_are_heard_later(monkeypatch):
+def test_connections_wait_while_descriptors_are_exhausted(monkeypatch):
     stage = Stage().run(1)
     door = stage.pilot.collectors.listener.door
 
@@ -461,7 +461,7 @@
     assert stage.brain.slices[0].state == OWNED and len(stage.logged("standing")) == 2
 
 
-def test_a_configuration_that_can_t_be_read_for_long_is_still_taken_on():
+def test_a_configuration_that_stays_unreadable_for_long_is_still_applied():
     stage, reads = Stage().run(1), []
     new = make_config(discovery="127.0.0.1:8501")
 
@@ -478,7 +478,7 @@
     )
 
 
-def test_a_fault_while_orders_are_carried_out_ends_no_later_order(monkeypatch):
+def test_an_exception_while_orders_are_sent_does_not_stop_later_orders(monkeypatch):
     stage = Stage().run(1)
     ask, faults = stage.pilot.calls.pool.request, [OSError(errno.ENOMEM, "no memory"), ZeroDivisionError()]
 
@@ -528,7 +528,7 @@
         process.wait()
 
 
-def test_log_lines_are_limited_in_rate_and_tell_what_was_held_back():
+def test_log_lines_are_rate_limited_and_count_suppressed_ones():
     lines = []
     clock = type("Clock", (), {"time": 0, "now": lambda self: self.time})()
     report = make_report(clock, "n0", lines.append)
@@ -553,7 +553,7 @@
     return stage
 
 
-def test_a_held_line_is_not_opened_after_a_long_break_of_the_news_but_revoked_anew():
+def test_a_held_line_is_revoked_again_after_a_long_event_stream_outage():
     stage = stage_with_held_line()
     stage.heartbeats = False
     stage.run(1)  # longer than another pilot needs to take over
@@ -578,7 +578,7 @@
     assert not stage.pilot.held_lines and 0 not in stage.pilot.reopen_orders
 
 
-def test_a_held_line_stays_through_a_break_of_the_news_that_is_shorter():
+def test_a_held_line_stays_through_a_short_event_stream_outage():
     stage = stage_with_held_line()
     stage.relay.set_snapshot(slices={0: "a", 1: "b", 2: "a", 3: "b"})
     before = len(stage.orders())
@@ -590,7 +590,7 @@
     )
 
 
-def test_an_emptied_slice_keeps_waiting_for_its_proxies_over_a_break_of_the_news():
+def test_an_emptied_slice_keeps_waiting_for_its_proxies_over_an_event_stream_outage():
     stage = Stage().run(2)
     stage.agent.publish(listing(8, instance("a", "draining")))
     stage.run(4)
@@ -606,7 +606,7 @@
     assert "share,0,b,1" not in stage.orders(), "granted before the revoke was acked"
 
 
-def test_a_channel_whose_acknowledgements_were_lost_does_not_hold_orders_back_for_good():
+def test_lost_acks_do_not_block_the_channel_forever():
     """Acks free channel capacity; if they are lost, heartbeats must free it instead."""
     family = {**SETTINGS["family_info"], "pending_max": 60.0}
     stage = Stage(settings={**SETTINGS, "family_info": family}).run(2)
--- a/tests/test_platform_codec.py
+++ b/tests/test_platform_codec.py
@@ -27,7 +27,7 @@
 
 
 @pytest.mark.parametrize("size", [1, 3, 7, 1000])
-def test_messages_come_whole_in_whatever_pieces(size):
+def test_messages_are_decoded_from_pieces_of_any_size(size):
     decoder, received = frames.FrameDecoder(), []
     for piece in pieces(frames.encode(OUTCOMES) + frames.encode(SLICE_LOAD), size):
         decoder.feed(piece)
@@ -48,7 +48,7 @@
         b'\0\0\0\x05"\xff\xff\xff"',
     ],
 )
-def test_what_can_be_no_message_is_told_from_what_has_come(data):
+def test_invalid_messages_are_rejected_as_soon_as_possible(data):
     decoder = frames.FrameDecoder()
     decoder.feed(data)
     with pytest.raises(MalformedStream):
@@ -57,7 +57,7 @@
 
 @pytest.mark.parametrize("valid, field", [(m, f) for m in (OUTCOMES, SLICE_LOAD) for f in m if f != "t"])
 @pytest.mark.parametrize("value", INVALID_VALUES)
-def test_a_spoilt_report_is_refused_with_its_field(valid, field, value):
+def test_an_invalid_report_is_rejected_with_its_field(valid, field, value):
     message = {k: v for k, v in {**valid, field: value}.items() if v is not MISSING}
     with pytest.raises(InvalidMessage, match=field):
         reports.parse_outcomes(message, {"za"}, {"a"}) if valid is OUTCOMES else reports.parse_slice_load(
@@ -65,7 +65,7 @@
         )
 
 
-def test_sums_are_told_in_tenths_of_a_millisecond_and_extra_fields_are_passed_over():
+def test_reports_are_converted_to_tenths_of_a_millisecond_and_extra_fields_ignored():
     assert reports.parse_outcomes({**OUTCOMES, "metrics": {"util": 1}, "new": []}, {"za"}, {"a"}) == (
         "a",
         "za",
@@ -98,7 +98,7 @@
     assert orders.encode_order(decision, ["get", "put"], ALL_TABLES).text == text
 
 
-def test_an_order_tells_what_the_store_holds_after_it_and_what_undoes_it():
+def test_an_order_holds_the_resulting_line_and_the_order_that_reopens():
     line, gone = (orders.encode_order(("line", 4, "a", w), [], ALL_TABLES) for w in (1, 0))
     shut, opened = (orders.encode_order(("level", 4, 2, w, 0), ["get", "put"], ALL_TABLES) for w in (0, 1))
     assert (line.line, gone.line, shut.line) == ("a", "", None)
@@ -151,13 +151,13 @@
         b"<a>" + b" " * orders.MAX_RESPONSE_BYTES + b"</a>",
     ],
 )
-def test_an_answer_that_is_none_is_refused(body):
+def test_malformed_responses_are_rejected(body):
     with pytest.raises(MalformedStream):
         orders.parse_response(body, 2)
 
 
 @pytest.mark.parametrize("size", [1, 5, 1000])
-def test_news_comes_in_whatever_pieces(size):
+def test_events_are_decoded_from_pieces_of_any_size(size):
     stream, received = events.EventStreamDecoder(), []
     for piece in pieces(
         b":\n\nevent: ack\r\ndata: node=17&nonce=905&latency=310.4\r\n\r\n:\n\nevent: bye\ndata: node=1\n\n",
@@ -172,7 +172,7 @@
 
 
 @pytest.mark.parametrize("data", [b"x" * 70_000, b"data: x\n" * 70_000, b"data: \xff\n"])
-def test_news_without_end_or_reason_is_refused(data):
+def test_unbounded_or_undecodable_event_streams_are_rejected(data):
     with pytest.raises(MalformedStream):
         list(events.EventStreamDecoder().feed(data))
 
@@ -189,14 +189,14 @@
         "node=1&nonce=70000&latency=1",
     ],
 )
-def test_spoilt_news_is_refused(data):
+def test_invalid_events_are_rejected(data):
     parsed = events.parse_fields(data)
     with pytest.raises(InvalidMessage):
         events.proxy(parsed), events.mark(parsed), events.latency(parsed)
 
 
 @pytest.mark.parametrize("size", [1, 11, 10_000])
-def test_lists_come_in_whatever_pieces(size):
+def test_lists_are_decoded_from_pieces_of_any_size(size):
     body = (
         b"\n"
         + orjson.dumps(listing(9, instance("a", "draining")))
@@ -227,7 +227,7 @@
         ({"instances": [{**instance("b"), "weight": "1"}]}, "weight"),
     ],
 )
-def test_a_spoilt_list_is_refused_with_its_place(invalid, where):
+def test_an_invalid_list_is_rejected_with_its_path(invalid, where):
     with pytest.raises(InvalidMessage, match=where):
         entries.parse_list({**listing(4, instance("a")), **invalid})
 
@@ -247,7 +247,7 @@
         ({"known": listing(1, {"instanceId": "a"})}, r"known.instances\[0\].lifecycle"),
     ],
 )
-def test_a_wrong_configuration_is_refused_with_file_and_place(changes, where):
+def test_an_invalid_configuration_is_rejected_with_file_and_path(changes, where):
     with pytest.raises(ConfigError, match=f"config.json: .*{where}"):
         config.parse_config(ENVIRONMENT, json.dumps(configuration(**changes)).encode())
     for unreadable in (b"", b"{", b"[]", b"\xff"):
@@ -259,7 +259,7 @@
     "wrong",
     [{"RELAY_NAME": ""}, {"RELAY_LISTEN": "here"}, {"RELAY_DISCOVERY": "x:99999"}, {"RELAY_CONFIG": ""}],
 )
-def test_missing_and_wrong_variables_are_told_by_name(wrong):
+def test_missing_and_invalid_variables_are_reported_by_name(wrong):
     good = {
         "RELAY_NAME": "n0",
         "RELAY_LISTEN": "127.0.0.1:8081",
@@ -271,7 +271,7 @@
         config.parse_environment({**good, **wrong})
 
 
-def test_a_configuration_as_figures():
+def test_a_configuration_is_parsed():
     parsed = config.parse_config(ENVIRONMENT, json.dumps(configuration()).encode())
     assert (
         parsed.relay == ("127.0.0.1", 6400)
