--- a/benchmarks/footprint.py
+++ b/benchmarks/footprint.py
@@ -72,10 +72,12 @@
                 for _ in range(OPS_PER_S // 100):
                     agent, number = chance.choice(agents), chance.randrange(SLICES)
                     kind = int(chance.random() < 0.3)
-                    agent.came(number, kind)
+                    agent.on_op_received(number, kind)
                     pick = agent.tables.pick(loop.now(), number, kind, 0.5)
                     if isinstance(pick, Pick):
-                        agent.tried(pick, chance.random() < 0.02, int(chance.lognormvariate(12.5, 0.5)))
+                        agent.on_try_finished(
+                            pick, chance.random() < 0.02, int(chance.lognormvariate(12.5, 0.5))
+                        )
 
         def play() -> Any:
             start("store", "store", "serve", d.file)
--- a/benchmarks/lending.py
+++ b/benchmarks/lending.py
@@ -23,8 +23,8 @@
 from cedarshift.loop import listen
 from cedarshift.loop.epoll import real_loop
 from cedarshift.pilot import PilotService
-from cedarshift.pilot.intake import SliceHeat, ZoneMet
-from cedarshift.pilot.learning import unpack
+from cedarshift.pilot.intake import SliceOps, ZoneOutcomes
+from cedarshift.pilot.learning import unpack_chunk
 
 ENDPOINTS, SLICES, LENT_SLICES = 12, 96, 20_000
 
@@ -48,12 +48,16 @@
             assert pilot.lending is not None
             for n in range(LENT_SLICES):
                 for k in range(4):
-                    pilot.lending.heard_heat(loop.now(), "fetch", SliceHeat(n, 0, 40 + k, n % 3, 1_000_000))
+                    pilot.lending.record_slice_ops(
+                        loop.now(), "fetch", SliceOps(n, 0, 40 + k, n % 3, 1_000_000)
+                    )
             for n in range(ENDPOINTS):
                 for k in range(24):
-                    pilot.lending.heard_sum(
+                    pilot.lending.record_outcomes(
                         loop.now(),
-                        ZoneMet(f"10.0.0.{n}:7500", "abcd"[k % 4], 30 + k, n % 4, 150_000 + n, 1_000_000),
+                        ZoneOutcomes(
+                            f"10.0.0.{n}:7500", "abcd"[k % 4], 30 + k, n % 4, 150_000 + n, 1_000_000
+                        ),
                     )
 
         def borrow() -> Any:
@@ -66,7 +70,7 @@
                     link.send(m.AskFacts(version, number))
                     got = (yield from link.receive(loop.now() + 30_000_000))[0]
                     assert isinstance(got, m.Facts), got
-                    unpack(got)
+                    unpack_chunk(got)
                     version, number, chunks = got.version, number + 1, got.chunks
                     lent["chunks"] += 1
                 lent["lendings"] += 1
@@ -98,14 +102,14 @@
         for packed in (False, True):
             pilot.deployment = dataclasses.replace(d, learn=dataclasses.replace(learn, compress=packed))
             assert pilot.lending is not None
-            plan = pilot.lending._plan("")
+            plan = pilot.lending._get_plan("")
             begun, size, facts, worst = time.perf_counter(), 0, 0, 0.0
             for number in range(len(plan.parts)):
                 one = time.perf_counter()
-                chunk = pilot.lending._chunk(plan, number)
+                chunk = pilot.lending._build_chunk(plan, number)
                 worst = max(worst, time.perf_counter() - one)
                 size += len(chunk.payload)
-                held = unpack(chunk)
+                held = unpack_chunk(chunk)
                 facts += len(held.endpoints) + len(held.slices)
             took = time.perf_counter() - begun
             print(
--- a/cedarshift/agent/__init__.py
+++ b/cedarshift/agent/__init__.py
@@ -1,4 +1,4 @@
-"""What a plain proxy needs: tables and leases held, picks, acks of marks, sums, and redials. Counts, never decides."""
+"""The client library of a proxy: routing tables, leases, endpoint choice, acks and reports to the pilots."""
 
 from cedarshift.agent.client import Agent
 from cedarshift.agent.tables import NoPick, Pick, Tables
--- a/cedarshift/agent/client.py
+++ b/cedarshift/agent/client.py
@@ -1,11 +1,11 @@
-"""The agent's streams: one to each pilot, redialled with jittered waits; beats, acks, sums; the store at the start."""
+"""The agent's connections: streams to the pilots with heartbeats, acks and reports, and a store read."""
 
 from __future__ import annotations
 
 from collections import Counter
 from typing import Callable, Optional
 
-from cedarshift.agent.gate import ProxyGate, Turned
+from cedarshift.agent.gate import ProxyGate, Rejection
 from cedarshift.agent.shares import ProxyShares
 from cedarshift.agent.tables import NoPick, OpKind, Pick, Tables
 from cedarshift.codec import Badge, ProtocolError, Session
@@ -15,24 +15,29 @@
 from cedarshift.loop import Loop, StreamBroken, TimedOut
 from cedarshift.loop.core import Coroutine, Waker
 
-DIAL_TIMEOUT = 1_000_000  # us for a connect and its handshake
-REDIAL_FIRST = 100_000  # us
-REDIAL_MOST = 2_000_000
-SILENCE = 4  # leases without a word after which a pilot's stream counts as broken
-SILENCE_LEAST = 2_000_000  # us; with short leases, a slow moment must not break streams
+DIAL_TIMEOUT_US = 1_000_000  # connect and handshake
+MIN_REDIAL_DELAY_US = 100_000
+MAX_REDIAL_DELAY_US = 2_000_000
+SILENCE_LEASES = 4  # a stream without messages for this many leases is closed
+MIN_SILENCE_US = 2_000_000  # lower bound of that, for short leases
 
 
-class Tally:
-    """What was met and what came since the last sums to one pilot."""
+class PendingSums:
+    """Counts since the last report to one pilot."""
 
     def __init__(self, now: int) -> None:
         self.since = now
-        self.met: dict[str, list[int]] = {}
-        self.heat: dict[tuple[int, int], list[int]] = {}
+        # endpoint -> tries, aborted, total latency of acked tries (us), tries that found it full
+        self.outcomes: dict[str, list[int]] = {}
+        self.slice_ops: dict[tuple[int, int], list[int]] = {}  # (slice, op type) -> ops, unanswered
 
 
 class Agent:
-    """`chance()` gives [0, 1); `challenge()` fresh bytes for a handshake. `observe(event, **fields)` hears what came on the streams, for a record."""
+    """Connects a proxy to its pilots and the store.
+
+    `rng` returns random numbers in [0, 1) and `challenge` random bytes for a handshake.
+    `observe(event, **fields)` is called for events on the streams.
+    """
 
     def __init__(
         self,
@@ -41,30 +46,30 @@
         pilots: dict[str, tuple[str, int]],
         store: Optional[tuple[str, int]],
         tables: Tables,
-        chance: Callable[[], float],
+        rng: Callable[[], float],
         observe: Optional[Callable[..., None]] = None,
         challenge: Callable[[], bytes] = lambda: b"",
     ) -> None:
         self.loop = loop
-        self.shares = ProxyShares(1 + int(chance() * (1 << 52)), loop.now())
-        self.gate = ProxyGate(chance)
+        self.shares = ProxyShares(1 + int(rng() * (1 << 52)), loop.now())
+        self.gate = ProxyGate(rng)
         tables.may_probe = self._may_probe
-        tables.answered = self.gate.answered
+        tables.overload_active = self.gate.has_active_policy
         self.challenge = challenge
         self.badge = badge
         self.pilots = pilots
         self.tables = tables
-        self.chance = chance
+        self.rng = rng
         self.observe = observe or (lambda event, **fields: None)
-        self.tallies: dict[str, Tally] = {}
-        self.open: dict[str, Counter[str]] = {}  # by pilot: tries under way at each endpoint
-        self.frozen_until = 0  # applying a message takes time, in which nothing is picked
-        self.changed: list[Waker] = []  # ops that wait for an owner
+        self.pending_sums: dict[str, PendingSums] = {}
+        self.in_flight: dict[str, Counter[str]] = {}  # pilot -> tries in flight by endpoint
+        self.applying_until = 0  # us; nothing is picked while a message is being applied
+        self.owner_waiters: list[Waker] = []  # ops that wait for an owner
         self.links: dict[str, Link] = {}
-        if tables.slices:  # each slice has a pilot of its own, so all are listened to
-            self.tasks = [loop.spawn(self._follow([name]), f"agent {name}") for name in pilots]
+        if tables.slices:  # any pilot may hold slices, so a stream to each is kept
+            self.tasks = [loop.spawn(self._stream_loop([name]), f"agent {name}") for name in pilots]
         else:
-            self.tasks = [loop.spawn(self._follow(list(pilots)), "agent")]
+            self.tasks = [loop.spawn(self._stream_loop(list(pilots)), "agent")]
         if store is not None:
             self.tasks.append(loop.spawn(self._read_store(store), "agent store"))
 
@@ -74,125 +79,133 @@
         for link in self.links.values():
             link.close("stopping", "the proxy stops")
 
-    # ---- the proxy's side
+    # ---- calls of the proxy
 
     def may_retry(self) -> bool:
-        """Whether one op may be tried again now, by the fleet's budget for that; spends one if so. Always where there is none."""
+        """Spends a retry of the fleet's budget. Returns False if none is left, True if no budget applies."""
         return self.shares.spend(self.loop.now(), "retries")
 
     def _may_probe(self) -> bool:
         return self.shares.spend(self.loop.now(), "probes")
 
     def pick(self, slice_id: int, op_type: int) -> Coroutine:
-        """A Pick or a NoPick; waits while a message is being applied."""
-        while self.loop.now() < self.frozen_until:
-            yield from self.loop.sleep(self.frozen_until - self.loop.now())
-        return self.tables.pick(self.loop.now(), slice_id, op_type, self.chance())
+        """Returns a Pick or a NoPick, after waiting while a message is being applied."""
+        while self.loop.now() < self.applying_until:
+            yield from self.loop.sleep(self.applying_until - self.loop.now())
+        return self.tables.pick(self.loop.now(), slice_id, op_type, self.rng())
 
     def pick_within(self, slice_id: int, op_type: int, span: int) -> Coroutine:
-        """As `pick`, but an op that finds no owner waits up to `span` us for one."""
+        """Like `pick`, but waits up to `span` us for a slice to get an owner."""
         until = self.loop.now() + span
         while True:
-            got = yield from self.pick(slice_id, op_type)
-            if isinstance(got, Pick) or not got.waits or self.loop.now() >= until:
-                return got
+            picked = yield from self.pick(slice_id, op_type)
+            if isinstance(picked, Pick) or not picked.waits or self.loop.now() >= until:
+                return picked
             waker = self.loop.waker()
-            self.changed.append(waker)
+            self.owner_waiters.append(waker)
             try:
                 yield from self.loop.park(until)
             except TimedOut:
-                return got
+                return picked
 
-    def came(self, slice_id: int, op_type: int, fresh: bool = True) -> None:
-        """An op came, a repeat or one that will be rejected too. `fresh`: it is no repeat, and earns its part of one."""
+    def on_op_received(self, slice_id: int, op_type: int, fresh: bool = True) -> None:
+        """Counts an incoming op, whatever becomes of it. `fresh` is whether it is no repeat."""
         if fresh:
-            self.shares.on_fresh()
-        self.gate.came(self.loop.now(), self.tables.told_by(slice_id), op_type, fresh)
+            self.shares.on_first_try()
+        self.gate.on_op_received(self.loop.now(), self.tables.pilot_for(slice_id), op_type, fresh)
         if self.tables.slices:
-            tally = self.tallies.get(self.tables.held[slice_id].pilot)
-            if tally is not None:
-                tally.heat.setdefault((slice_id, op_type), [0, 0])[0] += 1
+            pending = self.pending_sums.get(self.tables.held[slice_id].pilot)
+            if pending is not None:
+                pending.slice_ops.setdefault((slice_id, op_type), [0, 0])[0] += 1
 
-    def unanswered(self, slice_id: int, op_type: int) -> None:
-        """An op that was let in got no response."""
+    def on_op_unanswered(self, slice_id: int, op_type: int) -> None:
+        """Counts an admitted op that got no response."""
         if self.tables.slices:
-            tally = self.tallies.get(self.tables.held[slice_id].pilot)
-            if tally is not None:
-                tally.heat.setdefault((slice_id, op_type), [0, 0])[1] += 1
+            pending = self.pending_sums.get(self.tables.held[slice_id].pilot)
+            if pending is not None:
+                pending.slice_ops.setdefault((slice_id, op_type), [0, 0])[1] += 1
 
-    def admit(self, pick: Pick, op_type: int, left: int, fresh: bool = True) -> Optional[Turned]:
-        """Whether a picked op may be sent: None, or why it is rejected. `left`: us of its op timeout."""
+    def admit(self, pick: Pick, op_type: int, left: int, fresh: bool = True) -> Optional[Rejection]:
+        """Returns None if a picked op may be sent, or why not. `left` is the rest of its op timeout (us)."""
         return self.gate.admit(self.loop.now(), pick.pilot, pick.endpoint, op_type, left, fresh)
 
-    def sent(self, pick: Pick) -> None:
-        """A try begins; `tried` tells of its end."""
-        self.open.setdefault(pick.pilot, Counter())[pick.endpoint] += 1
+    def on_try_started(self, pick: Pick) -> None:
+        """Counts a try as in flight until `on_try_finished`."""
+        self.in_flight.setdefault(pick.pilot, Counter())[pick.endpoint] += 1
 
-    def tried(self, pick: Pick, aborted: bool, took: int, op_type: int = -1, full: bool = False) -> None:
-        """One try has ended; `took` in us. `full`: the endpoint turned it away for want of room."""
+    def on_try_finished(
+        self, pick: Pick, aborted: bool, took: int, op_type: int = -1, full: bool = False
+    ) -> None:
+        """Records a try that took `took` us. `full` is whether the endpoint's queue was full."""
         self.tables.on_outcome(self.loop.now(), pick.endpoint, aborted)
-        under_way = self.open.get(pick.pilot)
-        if under_way is not None and under_way[pick.endpoint] > 0:
-            under_way[pick.endpoint] -= 1
+        in_flight = self.in_flight.get(pick.pilot)
+        if in_flight is not None and in_flight[pick.endpoint] > 0:
+            in_flight[pick.endpoint] -= 1
         if op_type >= 0:
             outcome = "full" if full else "aborted" if aborted else "acked"
-            self.gate.ended(self.loop.now(), pick.pilot, pick.endpoint, op_type, outcome, took)
-        tally = self.tallies.get(pick.pilot)
-        if tally is not None:
-            met = tally.met.setdefault(pick.endpoint, [0, 0, 0, 0])
-            met[0] += 1
-            met[1] += aborted
-            met[2] += 0 if aborted else took
-            met[3] += full
-
-    # ---- one pilot's stream
-
-    def _follow(self, names: list[str]) -> Coroutine:
-        """Keeps one stream, to the first of `names` that answers, beginning with one by chance."""
-        redial = Redial(REDIAL_FIRST, REDIAL_MOST, self.chance)
-        at = int(self.chance() * len(names))
+            self.gate.on_try_finished(self.loop.now(), pick.pilot, pick.endpoint, op_type, outcome, took)
+        pending = self.pending_sums.get(pick.pilot)
+        if pending is not None:
+            counts = pending.outcomes.setdefault(pick.endpoint, [0, 0, 0, 0])
+            counts[0] += 1
+            counts[1] += aborted
+            counts[2] += 0 if aborted else took
+            counts[3] += full
+
+    # ---- streams of pilots
+
+    def _stream_loop(self, names: list[str]) -> Coroutine:
+        """Keeps one stream open to any of `names`, tried in turn from a random one."""
+        backoff = Redial(MIN_REDIAL_DELAY_US, MAX_REDIAL_DELAY_US, self.rng)
+        at = int(self.rng() * len(names))
         while True:
-            name, asked = names[at % len(names)], 0
+            name, min_wait = names[at % len(names)], 0
             try:
                 link, first = yield from self._dial(name)
-                redial.well()
-                yield from self._talk(name, link, first)
+                backoff.well()
+                yield from self._run_session(name, link, first)
             except (StreamBroken, ProtocolError, TimedOut) as error:
-                asked = getattr(error, "after", 0)
+                min_wait = getattr(error, "after", 0)
                 self.observe("lost", pilot=name, reason=str(error) or "silence")
             at += 1
-            yield from self.loop.sleep(redial.wait(asked))
+            yield from self.loop.sleep(backoff.wait(min_wait))
 
     def _dial(self, name: str) -> Coroutine:
+        """Connects to a pilot. Raises StreamBroken if another one answers at its address."""
         session = Session(self.badge, challenge=self.challenge())
-        link, first = yield from connect(self.loop, self.pilots[name], session, DIAL_TIMEOUT)
+        link, first = yield from connect(self.loop, self.pilots[name], session, DIAL_TIMEOUT_US)
         assert session.peer is not None
         if session.peer.id != name:
             link.close("wrong-peer", f"{session.peer.id} answers where {name} was expected")
             raise StreamBroken(f"{session.peer.id} answers where {name} was expected")
         return link, first
 
-    def _talk(self, name: str, link: Link, first: list[m.Message]) -> Coroutine:
+    def _run_session(self, name: str, link: Link, first: list[m.Message]) -> Coroutine:
+        """Handles a pilot's messages until its stream ends."""
         welcome = link.session.welcome
         assert welcome is not None
         self.links[name] = link
         self.tables.on_join(name)
         self.shares.on_join(self.loop.now(), name, welcome.budgets)
         self.gate.on_join(self.loop.now(), name, welcome.loads)
-        tally = self.tallies[name] = Tally(self.loop.now())
+        pending = self.pending_sums[name] = PendingSums(self.loop.now())
         self.observe("joined", pilot=name)
         beats: dict[int, int] = {}
         helpers = [
-            self.loop.spawn(self._beat(name, link, beats, welcome.beat_every), f"agent {name} beat"),
-            self.loop.spawn(self._report(name, link, tally, welcome.report_every), f"agent {name} report"),
+            self.loop.spawn(
+                self._heartbeat_loop(name, link, beats, welcome.beat_every), f"agent {name} beat"
+            ),
+            self.loop.spawn(
+                self._report_loop(name, link, pending, welcome.report_every), f"agent {name} report"
+            ),
         ]
-        silence = max(SILENCE_LEAST, SILENCE * welcome.lease)
-        got = first
+        silence = max(MIN_SILENCE_US, SILENCE_LEASES * welcome.lease)
+        messages = first
         try:
             while True:
-                for message in got:
-                    yield from self._take(name, link, message, beats, welcome.apply_cost)
-                got = yield from link.receive(self.loop.now() + silence)
+                for message in messages:
+                    yield from self._handle_message(name, link, message, beats, welcome.apply_cost)
+                messages = yield from link.receive(self.loop.now() + silence)
         except ProtocolError as error:
             link.close(error.code, str(error))
             raise
@@ -204,7 +217,9 @@
             self.links.pop(name, None)
             link.stream.finish(500_000)
 
-    def _take(self, name: str, link: Link, message: m.Message, beats: dict[int, int], cost: int) -> Coroutine:
+    def _handle_message(
+        self, name: str, link: Link, message: m.Message, beats: dict[int, int], cost: int
+    ) -> Coroutine:
         now = self.loop.now()
         if isinstance(message, m.BeatOk):
             asked_at = beats.pop(message.n, None)
@@ -212,46 +227,49 @@
                 self.tables.on_lease(name, asked_at)
             self.shares.on_beat_ok(now, name, message)
             if message.told is not None:
-                self.gate.on_told(now, name, message.told, message.fair)
+                self.gate.on_policy(now, name, message.told, message.fair)
             if message.trials is not None:
                 self.tables.on_trials(now, name, {own.endpoint: own.share for own in message.trials})
             if message.probe:
-                self.tables.on_leave(now, message.probe)
+                self.tables.on_probe_permit(now, message.probe)
         elif isinstance(message, m.Order):
             rows = len(message.lines) + len(message.levels)
             self.observe("order", pilot=name, order=message)
-            if cost and rows:  # the proxy stands still for the stated cost a line
-                self.frozen_until = max(now, self.frozen_until) + cost * rows
-                yield from self.loop.sleep(self.frozen_until - now)
+            if cost and rows:  # applying takes the configured cost per line
+                self.applying_until = max(now, self.applying_until) + cost * rows
+                yield from self.loop.sleep(self.applying_until - now)
             self.tables.on_order(name, message)
-            self._in_force(name)
+            self._wake_waiters(name)
             if message.mark is not None:
                 link.send(m.Ack(message.mark))
         elif isinstance(message, m.Snapshot):
             self.observe("held", pilot=name, rows=message.slices)
             self.tables.on_snapshot(now, name, message)
-            self._in_force(name)
+            self._wake_waiters(name)
         elif isinstance(message, m.Charge):
             self.observe("held", pilot=name, rows=message.given)
             self.tables.on_charge(now, name, message)
-            self._in_force(name)
+            self._wake_waiters(name)
 
-    def _in_force(self, name: str) -> None:
+    def _wake_waiters(self, name: str) -> None:
         self.observe("in_force", pilot=name)
-        waiting, self.changed = self.changed, []
+        waiting, self.owner_waiters = self.owner_waiters, []
         for waker in waiting:
             waker.wake()
 
-    def _beat(self, name: str, link: Link, beats: dict[int, int], every: int) -> Coroutine:
-        """Asks for the lease; each answer counts from when it was asked."""
+    def _heartbeat_loop(self, name: str, link: Link, beats: dict[int, int], every: int) -> Coroutine:
+        """Sends heartbeats, whose answers extend the lease from when they were sent.
+
+        The second follows after a random part of the period, to spread proxies that joined together.
+        """
         n, wait = (
             0,
-            int(every * self.chance()),
-        )  # the second beat at a phase of its own: joiners after a restart came together
+            int(every * self.rng()),
+        )
         while not link.closed:
             n += 1
             beats[n] = self.loop.now()
-            beats.pop(n - 64, None)  # so many without an answer: the old ones bring no lease any more
+            beats.pop(n - 64, None)  # drops a heartbeat too old to extend the lease
             try:
                 link.send(self.shares.on_beat(self.loop.now(), name, m.Beat(n)))
             except StreamBroken:
@@ -259,57 +277,63 @@
             yield from self.loop.sleep(wait)
             wait = every
 
-    def _report(self, name: str, link: Link, tally: Tally, every: int) -> Coroutine:
-        wait = int(
-            every * (0.5 + self.chance() / 2)
-        )  # the first sums early, each proxy's at a phase of its own
+    def _report_loop(self, name: str, link: Link, pending: PendingSums, every: int) -> Coroutine:
+        """Sends periodic reports, the first after a random part of the period."""
+        wait = int(every * (0.5 + self.rng() / 2))
         while not link.closed:
             yield from self.loop.sleep(wait)
             wait = every
-            span = self.loop.now() - tally.since
-            tally.since = self.loop.now()
-            loads, under_way = self.gate.loads(self.loop.now(), name), self.open.get(name, Counter())
-            for end in +under_way if name in self.gate.counting else ():
-                tally.met.setdefault(end, [0, 0, 0, 0])
-            met = [
-                m.Met(end, tries, bad, took // max(1, tries - bad), span, full, under_way[end])
-                for end, (tries, bad, took, full) in sorted(tally.met.items())
+            span = self.loop.now() - pending.since
+            pending.since = self.loop.now()
+            loads, in_flight = (
+                self.gate.take_loads(self.loop.now(), name),
+                self.in_flight.get(name, Counter()),
+            )
+            for endpoint in +in_flight if name in self.gate.counting_since else ():
+                pending.outcomes.setdefault(endpoint, [0, 0, 0, 0])
+            outcomes = [
+                m.Met(
+                    endpoint, tries, aborted, took // max(1, tries - aborted), span, full, in_flight[endpoint]
+                )
+                for endpoint, (tries, aborted, took, full) in sorted(pending.outcomes.items())
             ]
-            heat = [
-                m.Heat(number, kind, ops, lost, span)
-                for (number, kind), (ops, lost) in sorted(tally.heat.items())
+            slice_ops = [
+                m.Heat(slice_id, op_type, ops, unanswered, span)
+                for (slice_id, op_type), (ops, unanswered) in sorted(pending.slice_ops.items())
             ]
-            tally.met.clear()
-            tally.heat.clear()
-            shuns = self.tables.shunned(self.loop.now()) if name in self.gate.counting else []
+            pending.outcomes.clear()
+            pending.slice_ops.clear()
+            avoided = (
+                self.tables.avoided_endpoints(self.loop.now()) if name in self.gate.counting_since else []
+            )
             try:
-                if met or heat or loads or shuns:
-                    link.send(m.Sums(met, heat, loads, shuns))
+                if outcomes or slice_ops or loads or avoided:
+                    link.send(m.Sums(outcomes, slice_ops, loads, avoided))
             except StreamBroken:
                 return
 
-    # ---- the store
+    # ---- store
 
     def _read_store(self, address: tuple[str, int]) -> Coroutine:
-        """Once, at the start: a proxy that reaches no pilot still knows the owners, for what is no write."""
-        redial = Redial(REDIAL_FIRST, REDIAL_MOST, self.chance)
+        """Fetches the store's tables once at the start, so that reads work before any pilot is reached."""
+        backoff = Redial(MIN_REDIAL_DELAY_US, MAX_REDIAL_DELAY_US, self.rng)
         while True:
-            asked = 0
+            min_wait = 0
             try:
                 link, _ = yield from connect(
-                    self.loop, address, Session(self.badge, challenge=self.challenge()), DIAL_TIMEOUT
+                    self.loop, address, Session(self.badge, challenge=self.challenge()), DIAL_TIMEOUT_US
                 )
                 link.send(m.ReadTables(1))
-                for message in (yield from link.receive(self.loop.now() + DIAL_TIMEOUT)):
+                for message in (yield from link.receive(self.loop.now() + DIAL_TIMEOUT_US)):
                     if isinstance(message, m.Tables):
                         self.tables.on_store(message.slices)
-                        self._in_force("")
+                        self._wake_waiters("")
                         link.close("done", "read")
                         return
             except (StreamBroken, ProtocolError, TimedOut) as error:
-                asked = getattr(error, "after", 0)
+                min_wait = getattr(error, "after", 0)
                 self.observe("store_unread", reason=str(error))
-            yield from self.loop.sleep(redial.wait(asked))
+            yield from self.loop.sleep(backoff.wait(min_wait))
 
 
 __all__ = ["Agent", "NoPick", "OpKind", "Pick", "Tables"]
--- a/cedarshift/agent/gate.py
+++ b/cedarshift/agent/gate.py
@@ -1,7 +1,7 @@
-"""What a proxy lets in, as its pilots tell it, and what it counts for them. Free of I/O; times are microseconds passed in.
+"""Admission control of a proxy: applies its pilots' overload policies and counts its load for them. No I/O.
 
-Where no pilot of the deployment asks for loads everything passes and nothing is counted. What a pilot told holds for a few seconds:
-a proxy that hears nothing more lets all in again, and the pilots' levels in the tables hold as ever.
+Without a pilot that asks for loads every op is admitted and nothing is counted. A policy expires after a few
+seconds, so a proxy that has lost its pilots admits everything again. All times are microseconds.
 """
 
 from __future__ import annotations
@@ -12,15 +12,15 @@
 from cedarshift.codec import messages as m
 from cedarshift.judge.overload import AGAIN, WAIT, shares
 
-TOLD_FOR = 3_000_000  # us that an answer holds; while anything is taken away it is told anew at each look of the pilot
-REPEATS_SAVED = 10.0  # repeats that fresh ops may save up, so that a quiet hour buys no storm
-QUICK_FOR = 3_000_000  # us that an endpoint's own acks tell how long another would take
-QUICK_LEAST = 3  # acks before that
-QUICK_WEIGHT = 0.2  # of a new ack
-LATE_PART = 0.8  # of what acks take now; an op with less time left would not be acked in time
+POLICY_TTL_US = 3_000_000
+MAX_SAVED_REPEATS = 10.0  # bounds the burst of repeats after a quiet period
+LATENCY_TTL_US = 3_000_000
+MIN_LATENCY_SAMPLES = 3  # acks before the latency estimate is used
+LATENCY_EWMA_WEIGHT = 0.2  # of the newest ack
+MIN_REMAINING_SHARE = 0.8  # an op is rejected as late with less time left than this share of the latency
 
-
-FIELDS = (
+# The counters of a Load, in order; "took" is the total latency of the acked ops.
+LOAD_COUNTERS = (
     "fresh",
     "repeats",
     "let_in",
@@ -28,165 +28,176 @@
     "aborted",
     "full",
     "took",
-)  # of a Load; "took": of all the acked
+)
+
 
+class Rejection(NamedTuple):
+    """Why an op was rejected and whether to retry it.
 
-class Turned(NamedTuple):
-    """An op that is rejected here. `again`: "no", "later" (after `wait` us) or "elsewhere" (another proxy may have it)."""
+    `again` is "no", "later" (after `wait` us) or "elsewhere" (at another proxy).
+    """
 
     reason: str
     again: str
     wait: int
 
 
-class Quick:
-    """How long acks of an endpoint take, for this proxy."""
+class AckLatency:
+    """Moving average of an endpoint's ack latency, in us."""
 
     def __init__(self) -> None:
         self.took = 0.0
         self.count = 0
         self.at = 0
 
-    def hear(self, now: int, took: int) -> None:
-        if now - self.at > QUICK_FOR:
+    def record(self, now: int, took: int) -> None:
+        if now - self.at > LATENCY_TTL_US:
             self.count = 0
-        self.took = took if not self.count else self.took + QUICK_WEIGHT * (took - self.took)
+        self.took = took if not self.count else self.took + LATENCY_EWMA_WEIGHT * (took - self.took)
         self.count += 1
         self.at = now
 
 
-class Held(NamedTuple):
-    """What a pilot told, when, and this proxy's part of it."""
+class ActivePolicy(NamedTuple):
+    """A pilot's policy as received."""
 
-    at: int
-    told: m.Told
-    fair: list[float]
-    own: dict[str, float]
+    at: int  # us, when it was received
+    policy: m.Told
+    fair: list[float]  # by op type, the part of its load that this proxy may send
+    own: dict[str, float]  # endpoint -> its own share, where that differs
 
 
 class ProxyGate:
-    """`chance()` spreads what rejected clients are asked to wait."""
-
-    def __init__(self, chance: Callable[[], float]) -> None:
-        self.chance = chance
-        self.counting: dict[str, int] = {}  # pilots that ask for loads -> since when the present ones count
-        self.told: dict[str, Held] = {}
-        self.tallies: dict[str, dict[int, list[int]]] = {}  # by pilot and op type, in the order of FIELDS
-        self.repeats = REPEATS_SAVED
+    """Decides which ops a proxy admits. `rng` returns random numbers in [0, 1)."""
+
+    def __init__(self, rng: Callable[[], float]) -> None:
+        self.rng = rng
+        self.counting_since: dict[str, int] = {}  # pilot that asks for loads -> start of the current counts
+        self.policies: dict[str, ActivePolicy] = {}
+        self.counters: dict[str, dict[int, list[int]]] = {}  # by pilot and op type, see LOAD_COUNTERS
+        self.repeats = MAX_SAVED_REPEATS
         self.admitted = Thinning()
-        self.quick: dict[str, Quick] = {}
+        self.ack_latencies: dict[str, AckLatency] = {}
 
     # ---- pilots
 
     def on_join(self, now: int, pilot: str, counts: bool) -> None:
-        self.counting.pop(pilot, None)
-        self.told.pop(pilot, None)
-        self.tallies.pop(pilot, None)
+        """Resets the state of a pilot; `counts` is whether it asks for loads."""
+        self.counting_since.pop(pilot, None)
+        self.policies.pop(pilot, None)
+        self.counters.pop(pilot, None)
         if counts:
-            self.counting[pilot] = now
+            self.counting_since[pilot] = now
 
-    def on_told(self, now: int, pilot: str, told: m.Told, fair: list[float]) -> None:
-        """A word whose order does not fit its mix is passed over: the former one holds for its time."""
-        if sorted(told.order) != list(range(len(told.mix))):
+    def on_policy(self, now: int, pilot: str, policy: m.Told, fair: list[float]) -> None:
+        """Replaces a pilot's policy. One whose order does not match its mix is ignored."""
+        if sorted(policy.order) != list(range(len(policy.mix))):
             return
-        self.told[pilot] = Held(now, told, fair, {own.endpoint: own.share for own in told.own})
-        if told.state == "calm":
+        self.policies[pilot] = ActivePolicy(
+            now, policy, fair, {own.endpoint: own.share for own in policy.own}
+        )
+        if policy.state == "calm":
             self.admitted = Thinning()
 
-    def answer(self, now: int, pilot: str) -> Optional[m.Told]:
-        """What the pilot told, as long as that holds and takes anything away."""
-        held = self.told.get(pilot)
+    def active_policy(self, now: int, pilot: str) -> Optional[m.Told]:
+        """Returns a pilot's policy if it has not expired and limits anything."""
+        active = self.policies.get(pilot)
         return (
-            held.told
-            if held is not None and now - held.at <= TOLD_FOR and held.told.state != "calm"
+            active.policy
+            if active is not None and now - active.at <= POLICY_TTL_US and active.policy.state != "calm"
             else None
         )
 
-    def answered(self, now: int, pilot: str) -> bool:
-        return self.answer(now, pilot) is not None
+    def has_active_policy(self, now: int, pilot: str) -> bool:
+        return self.active_policy(now, pilot) is not None
 
-    def loads(self, now: int, pilot: str) -> list[m.Load]:
-        """What is to be told, and is then begun anew."""
-        if pilot not in self.counting:
+    def take_loads(self, now: int, pilot: str) -> list[m.Load]:
+        """Returns the counts to report to a pilot and resets them."""
+        if pilot not in self.counting_since:
             return []
-        span, self.counting[pilot] = now - self.counting[pilot], now
-        found = []
-        for kind, tally in sorted(self.tallies.pop(pilot, {}).items()):
-            fresh, repeats, let_in, acked, aborted, full, took = tally
-            found.append(
-                m.Load(kind, fresh, repeats, let_in, acked, aborted, full, took // max(1, acked), span)
+        span, self.counting_since[pilot] = now - self.counting_since[pilot], now
+        loads = []
+        for op_type, counts in sorted(self.counters.pop(pilot, {}).items()):
+            fresh, repeats, admitted, acked, aborted, full, took = counts
+            loads.append(
+                m.Load(op_type, fresh, repeats, admitted, acked, aborted, full, took // max(1, acked), span)
             )
-        return found
+        return loads
 
     # ---- ops
 
-    def _tally(self, pilot: str, kind: int) -> Optional[list[int]]:
-        if pilot not in self.counting:
+    def _counters(self, pilot: str, op_type: int) -> Optional[list[int]]:
+        """Returns the counters of an op type, or None if the pilot does not ask for loads."""
+        if pilot not in self.counting_since:
             return None
-        return self.tallies.setdefault(pilot, {}).setdefault(kind, [0] * len(FIELDS))
+        return self.counters.setdefault(pilot, {}).setdefault(op_type, [0] * len(LOAD_COUNTERS))
 
-    def came(self, now: int, pilot: str, kind: int, fresh: bool) -> None:
-        """An op came, whatever becomes of it."""
-        counts = self._tally(pilot, kind)
+    def on_op_received(self, now: int, pilot: str, op_type: int, fresh: bool) -> None:
+        """Counts an incoming op. `fresh` is whether it is no repeat and so earns part of one."""
+        counts = self._counters(pilot, op_type)
         if counts is not None:
             counts[0 if fresh else 1] += 1
             if fresh:
-                told = self.answer(now, pilot)
-                self.repeats = min(REPEATS_SAVED, self.repeats + (told.again if told is not None else AGAIN))
+                policy = self.active_policy(now, pilot)
+                self.repeats = min(
+                    MAX_SAVED_REPEATS, self.repeats + (policy.again if policy is not None else AGAIN)
+                )
 
     def admit(
-        self, now: int, pilot: str, endpoint: str, kind: int, left: int, fresh: bool
-    ) -> Optional[Turned]:
-        """None: it may be sent. `left`: us of its op timeout. What is asked is spent."""
-        counts = self._tally(pilot, kind)
+        self, now: int, pilot: str, endpoint: str, op_type: int, left: int, fresh: bool
+    ) -> Optional[Rejection]:
+        """Returns None if an op may be sent, or why not. `left` is the rest of its op timeout (us)."""
+        counts = self._counters(pilot, op_type)
         if counts is None:
             return None
-        told = self.answer(now, pilot)
+        policy = self.active_policy(now, pilot)
         if self._too_late(now, endpoint, left):
-            return self._turn("late", "no", told)
-        if not fresh:  # its part of the fleet's was paid for by fresh ops, and is not shed again
+            return self._reject("late", "no", policy)
+        if not fresh:  # repeats are limited by their own credit instead of the policy
             if self.repeats < 1.0:
-                return self._turn("repeats", "no", told)
+                return self._reject("repeats", "no", policy)
             self.repeats -= 1.0
-        elif told is not None and not self._let_in(pilot, endpoint, kind, told):
-            return self._turn("shed", "later", told)
+        elif policy is not None and not self._passes_limit(pilot, endpoint, op_type, policy):
+            return self._reject("shed", "later", policy)
         counts[2] += 1
         return None
 
     def _too_late(self, now: int, endpoint: str, left: int) -> bool:
-        quick = self.quick.get(endpoint)
+        latency = self.ack_latencies.get(endpoint)
         return (
-            quick is not None
-            and quick.count >= QUICK_LEAST
-            and now - quick.at <= QUICK_FOR
-            and left < LATE_PART * quick.took
+            latency is not None
+            and latency.count >= MIN_LATENCY_SAMPLES
+            and now - latency.at <= LATENCY_TTL_US
+            and left < MIN_REMAINING_SHARE * latency.took
         )
 
-    def _let_in(self, pilot: str, endpoint: str, kind: int, told: m.Told) -> bool:
-        if kind >= len(told.mix):
+    def _passes_limit(self, pilot: str, endpoint: str, op_type: int, policy: m.Told) -> bool:
+        if op_type >= len(policy.mix):
             return True
-        held = self.told[pilot]
-        part = shares(held.own.get(endpoint, told.share), told.order, told.mix)[kind]
-        fair = held.fair
-        if kind < len(fair):
-            part = min(1.0, part * fair[kind])
-        if part >= 1.0:
+        active = self.policies[pilot]
+        share = shares(active.own.get(endpoint, policy.share), policy.order, policy.mix)[op_type]
+        fair = active.fair
+        if op_type < len(fair):
+            share = min(1.0, share * fair[op_type])
+        if share >= 1.0:
             return True
-        return self.admitted.passes((pilot, endpoint, kind), part, self.chance())
+        return self.admitted.passes((pilot, endpoint, op_type), share, self.rng())
 
-    def _turn(self, reason: str, again: str, told: Optional[m.Told]) -> Turned:
-        return Turned(reason, again, self.wait(told))
+    def _reject(self, reason: str, again: str, policy: Optional[m.Told]) -> Rejection:
+        return Rejection(reason, again, self.retry_delay(policy))
 
-    def wait(self, told: Optional[m.Told] = None) -> int:
-        """us for who is asked to come again; spread over the whole of it, so that those rejected together do not."""
-        return int((told.wait if told is not None else WAIT["calm"]) * (0.5 + self.chance()))
+    def retry_delay(self, policy: Optional[m.Told] = None) -> int:
+        """Returns a jittered delay (us) after which a rejected client may retry."""
+        return int((policy.wait if policy is not None else WAIT["calm"]) * (0.5 + self.rng()))
 
-    def ended(self, now: int, pilot: str, endpoint: str, kind: int, outcome: str, took: int) -> None:
-        """A try that was let in: "acked", "aborted" or "full" (the endpoint had no room)."""
-        counts = self._tally(pilot, kind)
+    def on_try_finished(
+        self, now: int, pilot: str, endpoint: str, op_type: int, outcome: str, took: int
+    ) -> None:
+        """Counts the outcome of an admitted try: "acked", "aborted" or "full" (no room at the endpoint)."""
+        counts = self._counters(pilot, op_type)
         if counts is None:
             return
-        counts[FIELDS.index(outcome)] += 1
+        counts[LOAD_COUNTERS.index(outcome)] += 1
         if outcome == "acked":
             counts[6] += took
-            self.quick.setdefault(endpoint, Quick()).hear(now, took)
+            self.ack_latencies.setdefault(endpoint, AckLatency()).record(now, took)
--- a/cedarshift/agent/tables.py
+++ b/cedarshift/agent/tables.py
@@ -1,8 +1,8 @@
-"""The tables that a proxy holds, and its picks. Free of I/O; times are microseconds passed in.
+"""The routing tables of a proxy and the choice of an endpoint for each op. No I/O; times are microseconds.
 
-Two rules make single ownership safe here. A write goes to a slice's owner only while the lease from the pilot in charge
-of that slice runs, counted from when the proxy *asked* for it. And a line under an older epoch than the one held is
-refused, whoever sends it and however late: a former pilot can't bring a former owner back.
+Two rules protect single ownership. A write is sent to a slice's owner only while the lease of the slice's
+pilot runs, counted from when the proxy requested it. A line with an older epoch than the one held is
+refused, so a former pilot can't restore a former owner.
 """
 
 from __future__ import annotations
@@ -14,59 +14,65 @@
 from cedarshift.codec import OutOfOrder
 from cedarshift.codec.messages import Charge, Held, Level, Line, Order, Snapshot
 
-ALL_TABLES = 65_535
-AVOID = 3_000_000  # us; how long an endpoint is avoided after a run of the proxy's own failures
-TRIALS_FOR = 3_000_000  # us that what a pilot told of trials holds; it is told anew each second
-LEAVE_FOR = 1_000_000  # us that a leave to try a shut endpoint holds
-SHUNNED_MOST = 32  # told in one message; more at a time are not single endpoints' matter
+ALL_TABLES = 65_535  # table number of levels that apply to every table
+AVOID_DURATION_US = 3_000_000  # how long an endpoint is avoided after consecutive failures
+TRIALS_TTL_US = 3_000_000  # pilots repeat the trials every second
+PROBE_PERMIT_TTL_US = 1_000_000
+MAX_AVOIDED_REPORTED = 32  # in one message
 
 
 class OpKind(NamedTuple):
-    """What the proxy must know of an op type."""
+    """The properties of an op type that matter to a proxy."""
 
     name: str
     writes: bool
 
 
 class Pick(NamedTuple):
+    """The endpoint chosen for an op."""
+
     endpoint: str
-    pilot: str  # who gets the sums of it
+    pilot: str  # receives the report on the outcome
     epoch: int
 
 
 class NoPick(NamedTuple):
-    """The op was not sent anywhere. `waits`: it may be held a little, since an owner may come soon."""
+    """No endpoint was chosen. `waits` is whether the op may wait briefly for an owner."""
 
     reason: str  # "no-owner", "closed", "level", "lease"
     waits: bool = False
 
 
 @dataclass
-class Holding:
+class HeldSlice:
     """A slice as this proxy knows it."""
 
     epoch: int = 0
-    pilot: str = ""  # in charge, as far as known; "" where only the store was read
+    pilot: str = ""  # assigned pilot; "" if the slice is known from the store only
     owner: str = ""
     levels: list[Level] = field(default_factory=list)
-    writes_until: Optional[int] = None  # set when it left its pilot's charge
+    writes_until: Optional[int] = None  # set when the slice is revoked from its pilot
 
 
 @dataclass
-class View:
-    """What one pilot has told."""
+class PilotView:
+    """The state received from one pilot."""
 
     joined: bool = False
     lease_until: int = 0
-    seq: int = 0
-    table: int = -1
-    lines: dict[str, float] = field(default_factory=dict)
+    seq: int = 0  # of the last order
+    table: int = -1  # installed table, in deployments without slices
+    lines: dict[str, float] = field(default_factory=dict)  # endpoint -> weight
     levels: list[Level] = field(default_factory=list)
-    credit: dict[str, float] = field(default_factory=dict)
+    credit: dict[str, float] = field(default_factory=dict)  # state of the weighted round robin
 
 
 class Tables:
-    """`lease` in us; `even` picks evenly by weight in place of by chance; `chance()` gives [0, 1)."""
+    """The tables that a proxy has received from its pilots and the store.
+
+    `lease` is in us. Endpoints are picked by weighted round robin if `round_robin` is set, else at random by
+    weight. After `outlier_after` consecutive failures an endpoint is avoided; 0 disables this.
+    """
 
     def __init__(
         self,
@@ -74,46 +80,48 @@
         op_types: list[OpKind],
         single_owner: bool,
         lease: int,
-        even: bool,
+        round_robin: bool,
         outlier_after: int = 0,
     ) -> None:
         self.slices = slices
         self.op_types = op_types
         self.single_owner = single_owner
         self.lease = lease
-        self.even = even
+        self.round_robin = round_robin
         self.outlier_after = outlier_after
-        self.held: dict[int, Holding] = {n: Holding() for n in range(slices)}
-        self.views: dict[str, View] = {}
+        self.held: dict[int, HeldSlice] = {n: HeldSlice() for n in range(slices)}
+        self.views: dict[str, PilotView] = {}
         self.admitted = Thinning()
-        self.failures: dict[str, int] = {}
-        self.avoided: dict[str, int] = {}
-        self.may_probe: Optional[Callable[[], bool]] = None  # asked before an avoided endpoint is tried again
+        self.consecutive_failures: dict[str, int] = {}
+        self.avoided_until: dict[str, int] = {}
+        self.may_probe: Optional[Callable[[], bool]] = None  # asked before an avoided endpoint is retried
         self.trials: dict[
             str, tuple[int, dict[str, float]]
-        ] = {}  # by pilot: when it was told, shares of endpoints on trial
-        self.leave: dict[str, int] = {}  # shut endpoints that may be tried once -> until when
-        self.answered: Optional[Callable[[int, str], bool]] = (
-            None  # whether a pilot's answer to overload holds
+        ] = {}  # pilot -> time received, share of each endpoint on trial
+        self.probe_permits: dict[str, int] = {}  # endpoint that may be probed once -> expiry
+        self.overload_active: Optional[Callable[[int, str], bool]] = (
+            None  # whether a pilot's overload policy is in force
         )
-        self.stale = 0  # lines refused for an older epoch
+        self.stale = 0  # rows refused for an older epoch or a former pilot
 
-    # ---- what pilots and the store tell
+    # ---- messages of pilots and the store
 
     def on_join(self, pilot: str) -> None:
-        view = self.views.setdefault(pilot, View())
+        view = self.views.setdefault(pilot, PilotView())
         view.joined, view.seq = True, 0
 
     def on_lost(self, pilot: str) -> None:
-        """The stream broke: what is held stays; the lease runs out by itself."""
+        """A pilot's stream has ended. Its tables are kept, and its lease expires by itself."""
         if pilot in self.views:
             self.views[pilot].joined = False
 
     def on_lease(self, pilot: str, asked_at: int) -> None:
+        """Extends a pilot's lease, counted from when it was requested."""
         view = self.views[pilot]
         view.lease_until = max(view.lease_until, asked_at + self.lease)
 
     def on_snapshot(self, now: int, pilot: str, snapshot: Snapshot) -> None:
+        """Replaces the tables of a pilot; slices it no longer names are revoked."""
         view = self.views[pilot]
         view.levels = list(snapshot.levels)
         view.table = snapshot.table
@@ -121,42 +129,44 @@
         named = {row.slice for row in snapshot.slices}
         for number, holding in self.held.items():
             if holding.pilot == pilot and number not in named:
-                self._leave(now, holding)
+                self._revoke(now, holding)
         for row in snapshot.slices:
-            self._take(row, pilot)
+            self._adopt_row(row, pilot)
 
     def on_charge(self, now: int, pilot: str, charge: Charge) -> None:
+        """Applies a change of the slices that are assigned to a pilot."""
         for number in charge.taken:
             holding = self.held.get(number)
             if holding is not None and holding.pilot == pilot:
-                self._leave(now, holding)
+                self._revoke(now, holding)
         for row in charge.given:
-            self._take(row, pilot)
+            self._adopt_row(row, pilot)
 
     def on_store(self, rows: list[Held]) -> None:
-        """What the store holds, for a proxy that reaches no pilot: good for what is no write."""
+        """Takes over the store's tables, which allow reads while no pilot is reachable."""
         for row in rows:
-            self._take(row, "")
+            self._adopt_row(row, "")
 
-    def _take(self, row: Held, pilot: str) -> None:
+    def _adopt_row(self, row: Held, pilot: str) -> None:
+        """Takes over a slice's row unless it is stale. Raises OutOfOrder if the slice does not exist."""
         holding = self.held.get(row.slice)
         if holding is None:
-            raise OutOfOrder(f"slice {row.slice}, there are {self.slices}")
+            raise OutOfOrder(f"slice {row.slice} does not exist, there are {self.slices}")
         if row.epoch < holding.epoch or (row.epoch == holding.epoch and not pilot):
-            self.stale += 1  # a former pilot's, or the store's of before
+            self.stale += 1
             return
         holding.epoch, holding.pilot, holding.owner = row.epoch, pilot, row.owner
         holding.levels, holding.writes_until = list(row.levels), None
 
-    def _leave(self, now: int, holding: Holding) -> None:
-        """Out of its pilot's charge: no lease is added to the one that runs."""
+    def _revoke(self, now: int, holding: HeldSlice) -> None:
+        """Ends a slice's writes with the lease that runs now, as its pilot no longer holds it."""
         holding.writes_until = min(self.views[holding.pilot].lease_until, now + self.lease)
 
     def on_order(self, pilot: str, order: Order) -> None:
-        """Puts one turn's lines and levels in force. Raises OutOfOrder on a gap: nothing of it is applied then."""
+        """Applies an order's lines and levels. Raises OutOfOrder on a gap, with nothing applied."""
         view = self.views[pilot]
         if order.seq != view.seq + 1:
-            raise OutOfOrder(f"order {order.seq} after {view.seq}")
+            raise OutOfOrder(f"order {order.seq} received after order {view.seq}")
         view.seq = order.seq
         for line in order.lines:
             if self.slices:
@@ -174,12 +184,13 @@
                     self._set_level(holding.levels, level)
 
     def _set_owner(self, pilot: str, line: Line) -> None:
+        """Applies a line of a slice. Raises OutOfOrder if its epoch was never assigned."""
         holding = self.held.get(line.table)
         if holding is None:
-            raise OutOfOrder(f"slice {line.table}, there are {self.slices}")
+            raise OutOfOrder(f"slice {line.table} does not exist, there are {self.slices}")
         if line.epoch > holding.epoch:
             raise OutOfOrder(
-                f"a line of slice {line.table} under epoch {line.epoch}, given under {holding.epoch}"
+                f"line of slice {line.table} with epoch {line.epoch}, assigned epoch is {holding.epoch}"
             )
         if line.epoch < holding.epoch or pilot != holding.pilot:
             self.stale += 1
@@ -189,7 +200,7 @@
             holding.owner = ""
 
     @staticmethod
-    def _set_line(view: View, line: Line) -> None:
+    def _set_line(view: PilotView, line: Line) -> None:
         if line.weight > 0:
             view.lines[line.endpoint] = line.weight
         else:
@@ -202,14 +213,17 @@
 
     # ---- picks
 
-    def pick(self, now: int, slice_id: int, op_type: int, chance: float) -> Union[Pick, NoPick]:
-        """Where an op goes. `slice_id` is passed over at sites without slices."""
+    def pick(self, now: int, slice_id: int, op_type: int, random_value: float) -> Union[Pick, NoPick]:
+        """Chooses the endpoint for an op. `slice_id` is ignored in deployments without slices.
+
+        `random_value` is in [0, 1).
+        """
         if not self.slices:
-            return self._pick_line(now, op_type, chance)
+            return self._pick_line(now, op_type, random_value)
         holding = self.held[slice_id]
         view = self.views.get(holding.pilot)
-        levels = holding.levels + (self._general(now, holding.pilot, view) if view else [])
-        if (refused := self._level(levels, slice_id, op_type)) is not None:
+        levels = holding.levels + (self._fleet_levels(now, holding.pilot, view) if view else [])
+        if (refused := self._check_level(levels, slice_id, op_type)) is not None:
             return refused
         if self.single_owner and self.op_types[op_type].writes:
             if view is None or now >= view.lease_until:
@@ -220,74 +234,94 @@
             return NoPick("no-owner", waits=True)
         return Pick(holding.owner, holding.pilot, holding.epoch)
 
-    def _pick_line(self, now: int, op_type: int, chance: float) -> Union[Pick, NoPick]:
+    def _pick_line(self, now: int, op_type: int, random_value: float) -> Union[Pick, NoPick]:
         joined = [name for name, view in self.views.items() if view.joined and view.lines]
         name = next(iter(joined or [name for name, view in self.views.items() if view.lines]), "")
         if not name:
             return NoPick("no-owner", waits=True)
         view = self.views[name]
-        if (refused := self._level(self._general(now, name, view), view.table, op_type)) is not None:
+        if (
+            refused := self._check_level(self._fleet_levels(now, name, view), view.table, op_type)
+        ) is not None:
             return refused
-        trials = self._on_trial(now, name)
-        if trials and not self.op_types[op_type].writes and (tried := self._leave_for(now, view)):
-            return Pick(tried, name, 0)
-        fit = {
-            end: w * trials.get(end, 1.0)
-            for end, w in view.lines.items()
-            if (trials[end] > 0 if end in trials else self.avoided.get(end, 0) <= now)
+        trials = self._current_trials(now, name)
+        if trials and not self.op_types[op_type].writes and (probed := self._take_probe_permit(now, view)):
+            return Pick(probed, name, 0)
+        usable = {
+            candidate: weight * trials.get(candidate, 1.0)
+            for candidate, weight in view.lines.items()
+            if (trials[candidate] > 0 if candidate in trials else self.avoided_until.get(candidate, 0) <= now)
         } or view.lines
-        endpoint = self._evenly(view, fit) if self.even else self._by_chance(fit, chance)
+        endpoint = (
+            self._weighted_round_robin(view, usable)
+            if self.round_robin
+            else self._weighted_random(usable, random_value)
+        )
         if (
-            endpoint in self.avoided
+            endpoint in self.avoided_until
             and endpoint not in trials
             and self.may_probe is not None
             and not self.may_probe()
         ):
-            sound = {end: w for end, w in view.lines.items() if end not in self.avoided}
-            if sound:  # without another one it is tried all the same: an op needs somewhere to go
-                endpoint = self._evenly(view, sound) if self.even else self._by_chance(sound, chance)
+            healthy = {
+                candidate: weight
+                for candidate, weight in view.lines.items()
+                if candidate not in self.avoided_until
+            }
+            if healthy:  # else the avoided endpoint is used, as there is no alternative
+                endpoint = (
+                    self._weighted_round_robin(view, healthy)
+                    if self.round_robin
+                    else self._weighted_random(healthy, random_value)
+                )
         return Pick(endpoint, name, 0)
 
-    def _general(self, now: int, pilot: str, view: View) -> list[Level]:
-        """The levels for all tables. While the fleet's answer to overload holds it stands in the place of their shares: both cut the
-        same ops, and one after the other they would cut twice. What is closed stays closed."""
-        if self.answered is None or not self.answered(now, pilot):
+    def _fleet_levels(self, now: int, pilot: str, view: PilotView) -> list[Level]:
+        """Returns the levels for all tables, or only the closing ones while an overload policy is active.
+
+        The policy limits the same ops as the levels' shares; both together would limit them twice.
+        """
+        if self.overload_active is None or not self.overload_active(now, pilot):
             return view.levels
         return [level for level in view.levels if level.share <= 0]
 
-    def told_by(self, slice_id: int) -> str:
-        """The pilot whose matter an op is, "" where none is known."""
+    def pilot_for(self, slice_id: int) -> str:
+        """Returns the pilot that an op is reported to, or "" if none is known."""
         if self.slices:
             return self.held[slice_id].pilot
         return next((name for name, view in self.views.items() if view.joined), "")
 
-    # ---- trials of the whole fleet, in the place of this proxy's own
+    # ---- fleet-wide trials of endpoints, which override this proxy's own outlier detection
 
-    def on_trials(self, now: int, pilot: str, told: dict[str, float]) -> None:
-        self.trials[pilot] = (now, told)
+    def on_trials(self, now: int, pilot: str, shares: dict[str, float]) -> None:
+        """Replaces a pilot's trials: endpoint -> share of its weight."""
+        self.trials[pilot] = (now, shares)
 
-    def on_leave(self, now: int, endpoint: str) -> None:
-        """One op may try a shut endpoint."""
-        self.leave[endpoint] = now + LEAVE_FOR
+    def on_probe_permit(self, now: int, endpoint: str) -> None:
+        """Allows one op to probe an endpoint that is on trial."""
+        self.probe_permits[endpoint] = now + PROBE_PERMIT_TTL_US
 
-    def shunned(self, now: int) -> list[str]:
-        """Endpoints that this proxy avoids for what they did to it."""
-        return sorted(end for end, until in self.avoided.items() if until > now)[:SHUNNED_MOST]
+    def avoided_endpoints(self, now: int) -> list[str]:
+        """Returns the endpoints that this proxy avoids after failures of its own."""
+        return sorted(endpoint for endpoint, until in self.avoided_until.items() if until > now)[
+            :MAX_AVOIDED_REPORTED
+        ]
 
-    def _on_trial(self, now: int, pilot: str) -> dict[str, float]:
-        at, told = self.trials.get(pilot, (0, {}))
-        return told if now - at <= TRIALS_FOR else {}
+    def _current_trials(self, now: int, pilot: str) -> dict[str, float]:
+        at, shares = self.trials.get(pilot, (0, {}))
+        return shares if now - at <= TRIALS_TTL_US else {}
 
-    def _leave_for(self, now: int, view: View) -> str:
-        for endpoint, until in list(self.leave.items()):
-            del self.leave[endpoint]
+    def _take_probe_permit(self, now: int, view: PilotView) -> str:
+        """Uses up a permit and returns its endpoint, or "" if there is none."""
+        for endpoint, until in list(self.probe_permits.items()):
+            del self.probe_permits[endpoint]
             if now < until and endpoint in view.lines:
                 return endpoint
         return ""
 
     @staticmethod
-    def _by_chance(lines: dict[str, float], chance: float) -> str:
-        left = chance * sum(lines.values())
+    def _weighted_random(lines: dict[str, float], random_value: float) -> str:
+        left = random_value * sum(lines.values())
         for endpoint, weight in lines.items():
             left -= weight
             if left < 0:
@@ -295,16 +329,16 @@
         return next(reversed(lines))
 
     @staticmethod
-    def _evenly(view: View, lines: dict[str, float]) -> str:
-        """Smooth weighted rotation: each gains its weight, the richest is picked and pays the sum."""
+    def _weighted_round_robin(view: PilotView, lines: dict[str, float]) -> str:
+        """Smooth weighted round robin: each gains its weight, the highest is picked and pays the total."""
         for endpoint, weight in lines.items():
             view.credit[endpoint] = view.credit.get(endpoint, 0.0) + weight
-        best = max(lines, key=lambda end: (view.credit[end], end))
+        best = max(lines, key=lambda candidate: (view.credit[candidate], candidate))
         view.credit[best] -= sum(lines.values())
         return best
 
-    def _level(self, levels: list[Level], table: int, op_type: int) -> Optional[NoPick]:
-        """Admits a share of an op type: the lower of the levels that stand."""
+    def _check_level(self, levels: list[Level], table: int, op_type: int) -> Optional[NoPick]:
+        """Returns None if an op passes the lowest level that applies to its type, else why not."""
         share = min((lv.share for lv in levels if not lv.mask or lv.mask >> op_type & 1), default=1.0)
         if share >= 1.0:
             return None
@@ -313,26 +347,27 @@
         return None if self.admitted.passes((table, op_type), share) else NoPick("level")
 
     def retries(self, slice_id: int, op_type: int) -> int:
-        """0: no further try; 1: one after proof that the first never ran; 2, 3: one, two after any failure."""
+        """Returns the retry level: 0 none; 1 one, if the first try provably never ran; 2 one; 3 two."""
         if self.slices:
             holding = self.held[slice_id]
             view = self.views.get(holding.pilot)
-            levels = (view.levels if view else []) + holding.levels  # the table's own comes last and decides
+            levels = (view.levels if view else []) + holding.levels  # the slice's own levels take precedence
         else:
             levels = next((view.levels for view in self.views.values() if view.joined), [])
         return next((lv.retries for lv in reversed(levels) if not lv.mask or lv.mask >> op_type & 1), 0)
 
     def on_outcome(self, now: int, endpoint: str, aborted: bool) -> None:
-        """Counts the proxy's own failures in a row; after some the endpoint is avoided where there is another."""
+        """Counts consecutive failures of an endpoint, which is avoided after `outlier_after` of them."""
         if not aborted:
-            self.failures.pop(endpoint, None)
-            if self.avoided.get(endpoint, now) < now:
-                del self.avoided[endpoint]  # its trial has gone well
+            self.consecutive_failures.pop(endpoint, None)
+            if self.avoided_until.get(endpoint, now) < now:
+                del self.avoided_until[endpoint]  # a probe succeeded
         elif self.outlier_after:
-            self.failures[endpoint] = self.failures.get(endpoint, 0) + 1
-            if self.failures[endpoint] >= self.outlier_after:
-                self.failures.pop(endpoint)
-                self.avoided[endpoint] = now + AVOID
+            self.consecutive_failures[endpoint] = self.consecutive_failures.get(endpoint, 0) + 1
+            if self.consecutive_failures[endpoint] >= self.outlier_after:
+                self.consecutive_failures.pop(endpoint)
+                self.avoided_until[endpoint] = now + AVOID_DURATION_US
 
     def without_owner(self) -> list[int]:
+        """Returns the slices that have no owner."""
         return [number for number, holding in self.held.items() if not holding.owner]
--- a/cedarshift/agent/thinning.py
+++ b/cedarshift/agent/thinning.py
@@ -1,20 +1,20 @@
-"""Lets a part of what comes pass, evenly: the golden sequence, so that a part holds over few ops and for each key by itself. No I/O."""
+"""Deterministic thinning: lets a given fraction of a sequence of ops pass, spread evenly over it. No I/O."""
 
 from __future__ import annotations
 
 from typing import Hashable
 
-GOLDEN = 0.6180339887  # its multiples fill the unit interval most evenly (Weyl; Knuth, volume 3, 6.4)
+GOLDEN_RATIO_CONJUGATE = 0.6180339887  # its multiples modulo 1 are a low-discrepancy sequence
 
 
 class Thinning:
-    """Where each key stands in the sequence."""
+    """Decides per key which ops pass, by an additive recurrence with the golden ratio."""
 
     def __init__(self) -> None:
-        self.at: dict[Hashable, float] = {}
+        self.positions: dict[Hashable, float] = {}
 
-    def passes(self, key: Hashable, part: float, first: float = 0.0) -> bool:
-        """Whether the next one may pass where `part` of 1 may. `first`: where a new key begins."""
-        at = (self.at.get(key, first) + GOLDEN) % 1.0
-        self.at[key] = at
-        return at < part
+    def passes(self, key: Hashable, fraction: float, start: float = 0.0) -> bool:
+        """Returns whether the next op of a key passes. A new key begins at position `start`, in [0, 1)."""
+        position = (self.positions.get(key, start) + GOLDEN_RATIO_CONJUGATE) % 1.0
+        self.positions[key] = position
+        return position < fraction
--- a/cedarshift/budgets/ledger.py
+++ b/cedarshift/budgets/ledger.py
@@ -13,7 +13,7 @@
 import msgspec
 
 from cedarshift.judge.budgets import Key, Row
-from cedarshift.store.ledger import Damaged, committed, durable
+from cedarshift.store.ledger import DamagedLedgerError, open_durable, transaction
 
 SCHEMA = """CREATE TABLE IF NOT EXISTS shares (budget TEXT, holder TEXT, life INTEGER, number INTEGER NOT NULL, amount INTEGER NOT NULL,
   span INTEGER NOT NULL, checksum INTEGER NOT NULL, PRIMARY KEY (budget, holder, life)) WITHOUT ROWID"""
@@ -45,20 +45,20 @@
 
 
 class ShareLedger:
-    """Raises Damaged, with the file's name and the way back, where it can't be read; sqlite3.Error where it can't be written."""
+    """Raises DamagedLedgerError, with the file's name and the way back, where it can't be read; sqlite3.Error where it can't be written."""
 
     def __init__(self, path: str) -> None:
         self.path = path
         self.db: Optional[sqlite3.Connection] = None
         try:
-            self.db = durable(path)
+            self.db = open_durable(path)
             self.db.execute(SCHEMA)
         except sqlite3.Error as error:
             self.close()
             raise self._damaged(str(error)) from None
 
-    def _damaged(self, what: str) -> Damaged:
-        return Damaged(
+    def _damaged(self, what: str) -> DamagedLedgerError:
+        return DamagedLedgerError(
             f"{self.path}: {what}. Way back: move the file away and wait, before the start, as long as the longest lease "
             "that the block budgets ever had; nothing else is lost, since pilots present what they hold"
         )
@@ -82,7 +82,7 @@
     def put(self, rows: Iterable[Row]) -> None:
         """One transaction, synced."""
         assert self.db is not None
-        with committed(self.db):
+        with transaction(self.db):
             self.db.executemany(
                 "INSERT OR REPLACE INTO shares VALUES (?, ?, ?, ?, ?, ?, ?)",
                 [(*row, _checksum(row)) for row in rows],
--- a/cedarshift/cli/daemons.py
+++ b/cedarshift/cli/daemons.py
@@ -20,8 +20,8 @@
 from cedarshift.loop.epoll import Signals, fresh_bytes, real_loop, wall_clock
 from cedarshift.overload.start import open_overload
 from cedarshift.pilot import PilotService
-from cedarshift.pilot.admin import admin_page
-from cedarshift.pilot.rights import bring_rights
+from cedarshift.pilot.admin import admin_handler
+from cedarshift.pilot.rights import attach_claims
 from cedarshift.roster.formats import Member
 from cedarshift.roster.register import RegisterTerms, Registration
 from cedarshift.store.ledger import Ledger
@@ -34,7 +34,7 @@
 
 
 def open_store(loop: Loop, deployment: Deployment) -> StoreService:
-    """Raises Damaged if the file can't be trusted, OSError if the address is taken."""
+    """Raises DamagedLedgerError if the file can't be trusted, OSError if the address is taken."""
     place = deployment.store
     if place is None:
         raise ValueError(f"{deployment.file} has no block store")
@@ -60,7 +60,7 @@
 
 
 def share_desk(loop: Loop, deployment: Deployment) -> Optional[ShareDesk]:
-    """None where the deployment has no budgets. Its file lies beside the store's. Raises Damaged."""
+    """None where the deployment has no budgets. Its file lies beside the store's. Raises DamagedLedgerError."""
     if deployment.budgets is None or deployment.store is None:
         return None
     return open_desk(
@@ -176,10 +176,10 @@
     service.budgets = open_budgets(
         loop, deployment.budgets, len(deployment.pilots), fresh_life(), report, lambda: held_for_dead(service)
     )
-    bring_rights(service)
+    attach_claims(service)
     service.overload = open_overload(loop, deployment, service, fresh_life(), report)
     if place.admin is not None:
-        loop.spawn(serve_http(loop, listen(loop, place.admin), admin_page(service)), "admin")
+        loop.spawn(serve_http(loop, listen(loop, place.admin), admin_handler(service)), "admin")
     report("pilot_serves", address=place.listen, proxies_most=deployment.proxies_most)
 
     def reload() -> None:
--- a/cedarshift/cli/main.py
+++ b/cedarshift/cli/main.py
@@ -63,7 +63,7 @@
 def pilot(context: click.Context, file: str, name: str) -> None:
     """Run the pilot NAME of a deployment FILE. SIGTERM stops it, SIGHUP reloads what may change."""
     from cedarshift.cli.daemons import run_pilot
-    from cedarshift.store.ledger import Damaged
+    from cedarshift.store.ledger import DamagedLedgerError
 
     deployment = _load(file)
     try:
@@ -71,7 +71,7 @@
         sys.exit(run_pilot(deployment, name, _report(context.obj, pilot=name)))
     except KeyError as error:
         raise click.ClickException(error.args[0]) from None
-    except (OSError, Damaged) as error:
+    except (OSError, DamagedLedgerError) as error:
         raise click.ClickException(str(error)) from None
 
 
@@ -94,11 +94,11 @@
 def serve(context: click.Context, file: str) -> None:
     """Serve the store of a deployment FILE to its pilots and proxies."""
     from cedarshift.cli.daemons import run_store
-    from cedarshift.store.ledger import Damaged
+    from cedarshift.store.ledger import DamagedLedgerError
 
     try:
         sys.exit(run_store(_load(file), _report(context.obj, store=True)))
-    except (OSError, ValueError, Damaged) as error:
+    except (OSError, ValueError, DamagedLedgerError) as error:
         raise click.ClickException(str(error)) from None
 
 
@@ -113,7 +113,7 @@
 @click.argument("target", type=click.Path())
 def backup(file: str, target: str) -> None:
     """Copy the store's file to TARGET, whole, while the store goes on."""
-    from cedarshift.store.ledger import Damaged, Ledger
+    from cedarshift.store.ledger import DamagedLedgerError, Ledger
 
     deployment = _load(file)
     try:
@@ -121,7 +121,7 @@
         rows = ledger.load()
         ledger.backup(target)
         ledger.close()
-    except (OSError, Damaged) as error:
+    except (OSError, DamagedLedgerError) as error:
         raise click.ClickException(str(error)) from None
     click.echo(f"{target}: {len(rows)} slices")
 
@@ -131,13 +131,13 @@
 @click.option("--from", "source", required=True, type=click.Path(exists=True), help="A backup.")
 def restore(file: str, source: str) -> None:
     """Put a backup in the place of a damaged store file. No owner is taken over: the pilots find them anew."""
-    from cedarshift.store.ledger import Damaged
+    from cedarshift.store.ledger import DamagedLedgerError
     from cedarshift.store.ledger import restore as put_back
 
     deployment = _load(file)
     try:
         count = put_back(_ledger_path(deployment), source, deployment.name, deployment.slices)
-    except (OSError, Damaged) as error:
+    except (OSError, DamagedLedgerError) as error:
         raise click.ClickException(str(error)) from None
     click.echo(f"{count} slices restored without owners; the file of before is kept beside it as .damaged")
 
--- a/cedarshift/overload/start.py
+++ b/cedarshift/overload/start.py
@@ -41,7 +41,7 @@
         service.membership,
         service.owner_of,
         report,
-        service.chance.random,
+        service.rng.random,
         None if deployment.slices else lambda: sorted(service.listed),
         lambda endpoint: endpoint in service.listed,
     )
--- a/cedarshift/pilot/__init__.py
+++ b/cedarshift/pilot/__init__.py
@@ -1,4 +1,4 @@
-"""The daemon: hosts one `brain.Pilot`, turns what happens into calls and its decisions into frames."""
+"""The pilot daemon: runs the decision module and publishes its decisions to the store and the proxies."""
 
 from cedarshift.pilot.service import PilotService
 
--- a/cedarshift/pilot/channel.py
+++ b/cedarshift/pilot/channel.py
@@ -1,7 +1,7 @@
-"""The paced channel of a pilot: messages leave one after the other, in order, at so many lines a second. No I/O.
+"""Rate-limited FIFO channel from a pilot to its proxies, paced in lines per second. No I/O.
 
-A message of a turn costs its head lines and its own. What waits is counted against the deployment's limit, and messages
-to one proxy against theirs, at run time: the module decides so that neither is exceeded, and here it is seen.
+The decision module keeps within the deployment's limits on queued lines and on messages per proxy; the
+channel checks both limits at run time and counts violations. All times are microseconds.
 """
 
 from __future__ import annotations
@@ -12,54 +12,57 @@
 Item = TypeVar("Item")
 
 
-class Waiting(NamedTuple):
-    """`since`: when it was ordered (us); `lines`: what it costs."""
+class QueuedMessage(NamedTuple):
+    """A message that waits for its turn on the channel."""
 
     proxy: int
-    since: int
-    lines: float
+    queued_at: int  # us
+    lines: float  # cost: the message's own lines and the per-message overhead
     item: Any
 
 
 class PacedChannel(Generic[Item]):
+    """FIFO queue whose messages become available at a fixed rate of lines per second."""
+
     def __init__(
         self,
         lines_per_s: float,
-        lines_waiting_most: float,
+        max_waiting_lines: float,
         lines_per_message: float,
-        messages_most: int,
-        messages_span: int,
+        max_messages: int,
+        message_window: int,
     ) -> None:
-        self.per_line = 1_000_000 / lines_per_s  # us
-        self.waiting_most = lines_waiting_most
-        self.head = lines_per_message
-        self.messages_most = messages_most
-        self.messages_span = messages_span
-        self.queue: deque[Waiting] = deque()
-        self.waiting = 0.0  # lines
-        self.peak = 0.0
-        self.free_at = 0.0  # when the channel has sent what left last
-        self.sent: dict[int, deque[int]] = {}
-        self.breaches = 0  # times that rule five was seen broken
+        self.us_per_line = 1_000_000 / lines_per_s  # us
+        self.max_waiting_lines = max_waiting_lines
+        self.header_lines = lines_per_message
+        self.max_messages = max_messages
+        self.message_window = message_window
+        self.queue: deque[QueuedMessage] = deque()
+        self.waiting = 0.0  # lines queued now
+        self.peak = 0.0  # most lines queued at a time
+        self.free_at = 0.0  # us, when the last message had passed the channel
+        self.sent: dict[int, deque[int]] = {}  # proxy -> send times (us) within the message window
+        self.breaches = 0  # violations of the limits on queued lines and on messages per proxy
         self.lines_sent = 0.0
 
     def put(self, now: int, proxy: int, rows: int, item: Item) -> None:
-        lines = self.head + rows
-        self.queue.append(Waiting(proxy, now, lines, item))
+        """Queues a message of `rows` lines for `proxy`."""
+        lines = self.header_lines + rows
+        self.queue.append(QueuedMessage(proxy, now, lines, item))
         self.waiting += lines
         self.peak = max(self.peak, self.waiting)
-        if self.waiting > self.waiting_most:
+        if self.waiting > self.max_waiting_lines:
             self.breaches += 1
 
     def due(self) -> Optional[int]:
-        """When the next message may leave (us); None where none waits."""
+        """Returns when the next message may be sent (us), or None if the queue is empty."""
         if not self.queue:
             return None
         first = self.queue[0]
-        return int(max(self.free_at, first.since) + first.lines * self.per_line)
+        return int(max(self.free_at, first.queued_at) + first.lines * self.us_per_line)
 
-    def take(self, now: int) -> Optional[Waiting]:
-        """The next message, once its lines have passed the channel at the stated pace."""
+    def take(self, now: int) -> Optional[QueuedMessage]:
+        """Removes and returns the next message if it is due, else returns None."""
         due = self.due()
         if due is None or due > now:
             return None
@@ -67,21 +70,21 @@
         self.free_at = due
         self.waiting -= first.lines
         self.lines_sent += first.lines
-        if self.messages_most:
-            self._count(first.proxy, due)
+        if self.max_messages:
+            self._check_message_rate(first.proxy, due)
         return first
 
-    def _count(self, proxy: int, at: int) -> None:
+    def _check_message_rate(self, proxy: int, at: int) -> None:
         times = self.sent.setdefault(proxy, deque())
         times.append(at)
-        while times[0] <= at - self.messages_span:
+        while times[0] <= at - self.message_window:
             times.popleft()
-        if len(times) > self.messages_most:
+        if len(times) > self.max_messages:
             self.breaches += 1
 
     def drop(self, proxy: int) -> None:
-        """A stream has broken: what waits for it is lost."""
-        kept = deque(w for w in self.queue if w.proxy != proxy)
-        self.waiting -= sum(w.lines for w in self.queue if w.proxy == proxy)
-        self.queue = kept
+        """Discards the messages queued for a proxy whose stream has ended."""
+        remaining = deque(message for message in self.queue if message.proxy != proxy)
+        self.waiting -= sum(message.lines for message in self.queue if message.proxy == proxy)
+        self.queue = remaining
         self.sent.pop(proxy, None)
--- a/cedarshift/pilot/learning.py
+++ b/cedarshift/pilot/learning.py
@@ -1,4 +1,4 @@
-"""The borrower's side: asks one lender at a time for chunks, and hands what is believed to the module's own inputs."""
+"""Client side of the facts exchange between pilots: fetches a peer's facts in chunks and applies them."""
 
 from __future__ import annotations
 
@@ -33,135 +33,146 @@
 if TYPE_CHECKING:
     from cedarshift.pilot.service import PilotService
 
-DIAL_TIMEOUT = 1_000_000  # us
-NEXT_LENDER = 300_000  # us before another lender is tried
-LOOK_AGAIN = 500_000  # us between two looks at whether a warning still stands
-PAYLOAD_MOST = 8 << 20  # bytes of a chunk when unpacked
-CHUNKS_MOST = 4_096  # chunks of one lending
+DIAL_TIMEOUT_US = 1_000_000
+NEXT_LENDER_DELAY_US = 300_000  # pause before another lender is tried
+WARNING_CHECK_INTERVAL_US = 500_000
+MAX_PAYLOAD_BYTES = 8 << 20  # of a decompressed chunk
+MAX_CHUNKS = 4_096  # in one transfer
 
 DECODER = msgspec.msgpack.Decoder(m.Chunk)
 
 
-class Rejected(Exception):
-    """A lender's answer that is not taken, and why."""
+class LearningError(Exception):
+    """A lender's answer is invalid, or the lender declines."""
 
 
-def unpack(facts: m.Facts) -> m.Chunk:
-    """Raises Rejected where the digest, the packing or the contents are wrong."""
+def unpack_chunk(facts: m.Facts) -> m.Chunk:
+    """Verifies, decompresses and decodes a chunk. Raises LearningError if it is invalid."""
     if hashlib.blake2b(facts.payload, digest_size=16).digest() != facts.digest:
-        raise Rejected(f"chunk {facts.chunk}: the digest does not match")
+        raise LearningError(f"chunk {facts.chunk}: digest mismatch")
     payload = facts.payload
     if facts.packed:
         try:
-            # The library heeds its own bound only where the frame does not state its size.
-            if zstandard.frame_content_size(payload) > PAYLOAD_MOST:
-                raise Rejected(f"chunk {facts.chunk}: over {PAYLOAD_MOST} bytes when unpacked")
-            payload = zstandard.ZstdDecompressor().decompress(payload, max_output_size=PAYLOAD_MOST)
+            # zstandard ignores max_output_size if the frame states its content size.
+            if zstandard.frame_content_size(payload) > MAX_PAYLOAD_BYTES:
+                raise LearningError(f"chunk {facts.chunk}: over {MAX_PAYLOAD_BYTES} bytes when decompressed")
+            payload = zstandard.ZstdDecompressor().decompress(payload, max_output_size=MAX_PAYLOAD_BYTES)
         except zstandard.ZstdError as error:
-            raise Rejected(f"chunk {facts.chunk}: {error}") from None
+            raise LearningError(f"chunk {facts.chunk}: {error}") from None
     try:
         chunk = DECODER.decode(payload)
     except msgspec.DecodeError as error:
-        raise Rejected(f"chunk {facts.chunk}: {error}") from None
-    if not 0 <= facts.chunk < facts.chunks <= CHUNKS_MOST:
-        raise Rejected(f"chunk {facts.chunk} of {facts.chunks}")
+        raise LearningError(f"chunk {facts.chunk}: {error}") from None
+    if not 0 <= facts.chunk < facts.chunks <= MAX_CHUNKS:
+        raise LearningError(f"chunk number {facts.chunk} of {facts.chunks}")
     return chunk
 
 
-def _heard(pair: tuple[int, Any]) -> int:
-    """Sums of two zones may have come at the same time; they have no order of their own."""
+def _heard_at(pair: tuple[int, Any]) -> int:
+    """Sort key: the time alone, since the reports themselves are not orderable."""
     return pair[0]
 
 
 class Learning:
-    """What was borrowed, and the task that borrows. `life` is this pilot's own; its facts coming back are refused."""
+    """Facts learnt from peers, and the task that fetches them.
 
-    def __init__(self, service: PilotService, terms: LearnTerms, life: str) -> None:
+    `incarnation` identifies this run of the pilot; facts that originate from it are refused.
+    """
+
+    def __init__(self, service: PilotService, terms: LearnTerms, incarnation: str) -> None:
         self.service = service
         self.loop = service.loop
         self.terms = terms
-        self.life = life
+        self.incarnation = incarnation
         self.trust = Trust()
         self.lenders: dict[str, Lender] = {}
-        self.endpoints: dict[str, m.EndpointFact] = {}  # the newest of each, for size and zone
-        self.heats: dict[int, list[tuple[int, m.LentHeat]]] = {}
-        self.sums: dict[str, list[tuple[int, m.LentSum]]] = {}
-        self.proxies: dict[str, tuple[int, m.ProxyFact, str]] = {}
-        self.levels: dict[str, tuple[int, float]] = {}
+        self.endpoints: dict[str, m.EndpointFact] = {}  # newest first-hand fact, for size and zone
+        self.slice_ops: dict[int, list[tuple[int, m.LentHeat]]] = {}  # slice -> (heard at, ops), oldest first
+        self.sums: dict[str, list[tuple[int, m.LentSum]]] = {}  # endpoint -> (heard at, sum), oldest first
+        self.proxies: dict[str, tuple[int, m.ProxyFact, str]] = {}  # proxy -> (asked at, fact, origin)
+        self.levels: dict[str, tuple[int, float]] = {}  # origin -> (asked at, level)
         self.resume: dict[str, tuple[str, int]] = {}  # lender -> (version, next chunk)
         self.counts = {"chunks_learnt": 0, "facts_learnt": 0, "facts_refused": 0, "lessons_refused": 0}
         self.starts: dict[
             str, tuple[str, int]
-        ] = {}  # endpoint -> (process, start), as the module was told them
-        self.warned = 0  # endpoints that lenders talk this pilot out of now
-        self.done_at: Optional[int] = None  # when a whole lending had come for the first time
-        self.begun = self.loop.now()
+        ] = {}  # endpoint -> (process, start), as first passed to the decision module
+        self.warned = 0  # endpoints under a borrowed warning now
+        self.done_at: Optional[int] = None  # when the first transfer was complete
+        self.started_at = self.loop.now()
         self.tasks = [
-            self.loop.spawn(self._learn(), "learning"),
-            self.loop.spawn(self._look(), "borrowed warnings"),
+            self.loop.spawn(self._fetch_loop(), "learning"),
+            self.loop.spawn(self._refresh_warnings(), "borrowed warnings"),
         ]
 
     def stop(self) -> None:
         for task in self.tasks:
             task.cancel()
 
-    # ---- asking
+    # ---- fetching
 
-    def _learn(self) -> Coroutine:
+    def _fetch_loop(self) -> Coroutine:
+        """Fetches from one lender after the other until the learning period is over."""
         names = list(self.terms.sources) or [
             p.name for p in self.service.deployment.pilots if p.name != self.service.name
         ]
         names = [name for name in names if name != self.service.name]
         at = 0
-        while names and self.loop.now() < self.begun + self.terms.span:
-            name = self._lender(names, at)
+        while names and self.loop.now() < self.started_at + self.terms.span:
+            name = self._next_lender(names, at)
             try:
-                yield from self._lesson(name)
+                yield from self._fetch_all(name)
                 yield from self.loop.sleep(self.terms.again)
                 continue
-            except (StreamBroken, ProtocolError, TimedOut, Rejected) as error:
+            except (StreamBroken, ProtocolError, TimedOut, LearningError) as error:
                 self.counts["lessons_refused"] += 1
                 self.service.report(
-                    "lesson_refused", lender=name, reason=str(error) or "it answers too slowly"
+                    "lesson_refused", lender=name, reason=str(error) or "the lender answers too slowly"
                 )
             at += 1
-            yield from self.loop.sleep(NEXT_LENDER)
+            yield from self.loop.sleep(NEXT_LENDER_DELAY_US)
 
-    def _lender(self, names: list[str], at: int) -> str:
-        """In turn; where there is a roll of the pilots, among those that live, the best heard first."""
+    def _next_lender(self, names: list[str], at: int) -> str:
+        """Picks lenders round robin, from the live ones if membership is known."""
         membership = self.service.membership
-        living = [name for name in membership.living() if name in names] if membership is not None else []
-        return (living or names)[at % len(living or names)]
+        live = [name for name in membership.living() if name in names] if membership is not None else []
+        return (live or names)[at % len(live or names)]
 
-    def _lesson(self, name: str) -> Coroutine:
-        """One lending from its first chunk, or from where it broke off, to its last."""
+    def _fetch_all(self, name: str) -> Coroutine:
+        """Fetches all chunks of one lender, resuming an interrupted transfer."""
         service = self.service
         badge = Badge(
-            service.deployment.name, "pilot", service.name, service.place.zone, service.deployment.secret
+            service.deployment.name,
+            "pilot",
+            service.name,
+            service.pilot_config.zone,
+            service.deployment.secret,
         )
         session = Session(badge, challenge=service.challenge())
         address = service.deployment.pilot(name).listen
-        link, _ = yield from connect(self.loop, address, session, DIAL_TIMEOUT)
+        link, _ = yield from connect(self.loop, address, session, DIAL_TIMEOUT_US)
         try:
             if link.peer.id != name:
-                raise Rejected(f"{link.peer.id} answers where {name} was expected")
-            yield from self._chunks(name, link)
+                raise LearningError(f"{link.peer.id} answers where {name} was expected")
+            yield from self._fetch_chunks(name, link)
         finally:
             link.close("done", "learnt")
 
-    def _chunks(self, name: str, link: Link) -> Coroutine:
+    def _fetch_chunks(self, name: str, link: Link) -> Coroutine:
+        """Requests and applies chunk after chunk. Raises LearningError on an unexpected version or number."""
         version, number = self.resume.get(name, ("", 0))
         while True:
             asked_at = self.loop.now()
             link.send(m.AskFacts(version, number))
-            facts = yield from self._answer(link, asked_at)
-            if facts.version != version:  # a new lending: the lender began anew, or has restarted
+            facts = yield from self._receive_chunk(link, asked_at)
+            if facts.version != version:  # the lender has restarted, or no longer keeps the transfer
                 if version and facts.chunk:
-                    raise Rejected(f"version {facts.version} at chunk {facts.chunk}, asked for {version}")
+                    raise LearningError(
+                        f"received version {facts.version} at chunk {facts.chunk}, requested {version}"
+                    )
                 version, number = facts.version, 0
             if facts.chunk != number:
-                raise Rejected(f"chunk {facts.chunk}, asked for {number}")
-            self._take(name, unpack(facts), asked_at)
+                raise LearningError(f"received chunk {facts.chunk}, requested {number}")
+            self._apply_chunk(name, unpack_chunk(facts), asked_at)
             number += 1
             self.resume[name] = (version, number)
             if number >= facts.chunks:
@@ -172,46 +183,48 @@
                         "learnt",
                         lender=name,
                         facts=self.counts["facts_learnt"],
-                        took_ms=(self.done_at - self.begun) // 1000,
+                        took_ms=(self.done_at - self.started_at) // 1000,
                     )
                 return
 
-    def _answer(self, link: Link, asked_at: int) -> Coroutine:
+    def _receive_chunk(self, link: Link, asked_at: int) -> Coroutine:
+        """Returns the lender's answer. Raises LearningError if it declines, TimedOut if it is too slow."""
         while True:
             for message in (yield from link.receive(asked_at + self.terms.answer_within)):
                 if isinstance(message, m.Facts):
                     return message
                 if isinstance(message, m.NoFacts):
                     yield from self.loop.sleep(min(message.again_after, self.terms.again))
-                    raise Rejected(f"the lender declines: {message.reason}")
+                    raise LearningError(f"the lender declines: {message.reason}")
 
-    # ---- taking in
+    # ---- applying chunks
 
-    def _take(self, name: str, chunk: m.Chunk, asked_at: int) -> None:
-        """All ages count from the asking: what passed since then is added, whoever took that long."""
-        if chunk.origin == self.life:
-            raise Rejected("the lender is this pilot itself")
-        listed = -(1 << 60) if chunk.list_age < 0 else heard_at(asked_at, chunk.list_age)
-        lender = self.lenders[chunk.origin] = Lender(chunk.origin, listed, chunk.in_charge)
+    def _apply_chunk(self, name: str, chunk: m.Chunk, asked_at: int) -> None:
+        """Merges a chunk's facts. Ages count from the request, so a slow answer makes no fact fresher."""
+        if chunk.origin == self.incarnation:
+            raise LearningError("the lender is this pilot itself")
+        list_confirmed_at = -(1 << 60) if chunk.list_age < 0 else heard_at(asked_at, chunk.list_age)
+        lender = self.lenders[chunk.origin] = Lender(chunk.origin, list_confirmed_at, chunk.in_charge)
         self.counts["chunks_learnt"] += 1
         self.levels[chunk.origin] = (asked_at, chunk.level)
         for fact in chunk.endpoints:
-            self._take_endpoint(fact, lender, asked_at)
-        for one in chunk.slices:
-            if one.origin != self.life:
+            self._apply_endpoint(fact, lender, asked_at)
+        for slice_fact in chunk.slices:
+            if slice_fact.origin != self.incarnation:
                 self.counts["facts_learnt"] += 1
-                self.heats[one.slice] = sorted(
-                    ((heard_at(asked_at, heat.age), heat) for heat in one.heats), key=_heard
+                self.slice_ops[slice_fact.slice] = sorted(
+                    ((heard_at(asked_at, heat.age), heat) for heat in slice_fact.heats), key=_heard_at
                 )
         for proxy in chunk.proxies:
             self.counts["facts_learnt"] += 1
             self.proxies[proxy.id] = (asked_at, proxy, chunk.origin)
         if chunk.endpoints:
-            self.service.tell_learnt()
+            self.service.apply_learnt_facts()
 
-    def _take_endpoint(self, fact: m.EndpointFact, lender: Lender, asked_at: int) -> None:
+    def _apply_endpoint(self, fact: m.EndpointFact, lender: Lender, asked_at: int) -> None:
+        """Merges one endpoint's fact; refuses this pilot's own facts and those passed on too often."""
         hops = fact.hops + 1
-        if fact.origin == self.life or hops > HOPS_MOST or fact.phase not in (ON, *BAD):
+        if fact.origin == self.incarnation or hops > HOPS_MOST or fact.phase not in (ON, *BAD):
             self.counts["facts_refused"] += 1
             return
         self.counts["facts_learnt"] += 1
@@ -230,94 +243,103 @@
         if fact.hops == 0:
             self.endpoints[name] = fact
             if fact.sums and name not in self.sums:
-                self.sums[name] = sorted(((heard_at(asked_at, s.age), s) for s in fact.sums), key=_heard)
+                self.sums[name] = sorted(((heard_at(asked_at, s.age), s) for s in fact.sums), key=_heard_at)
 
-    # ---- handing over
+    # ---- inputs for the decision module
 
-    def _look(self) -> Coroutine:
-        """Warnings fade and are lifted; a pilot whose own list does not come takes a borrowed one, after its patience."""
+    def _refresh_warnings(self) -> Coroutine:
+        """Updates borrowed warnings as they expire, and uses a borrowed list if no own one arrives."""
         while True:
-            yield from self.loop.sleep(LOOK_AGAIN)
-            if not self.service.listed and self.loop.now() >= self.begun + self.terms.patience:
-                self._offer_list()
+            yield from self.loop.sleep(WARNING_CHECK_INTERVAL_US)
+            if not self.service.listed and self.loop.now() >= self.started_at + self.terms.patience:
+                self._apply_borrowed_list()
             self.trust.forget_starts(self.loop.now() - self.service.deployment.rules.warm_within)
-            self.service.tell_learnt()
+            self.service.apply_learnt_facts()
 
-    def _offer_list(self) -> None:
-        """What was offered once stands, as an old list does, until it is warned of: that it fades is no bad news."""
-        now, told = self.loop.now(), self.service.told
+    def _apply_borrowed_list(self) -> None:
+        """Adds borrowed endpoints to the list. They stay until a warning arrives, even if facts expire."""
+        now, applied = self.loop.now(), self.service.applied_entries
         entries = []
         for name in sorted(self.trust.offered(now)):
             fact = self.endpoints.get(name)
-            if fact is not None and name not in told:
+            if fact is not None and name not in applied:
                 start = self.trust.starts.get((name, fact.start))
                 entries.append(
                     Entry(name, ON, fact.size, fact.zone, None if start is None else max(1, down(start)))
                 )
         warned = [
             entry._replace(phase="fading")
-            for name, entry in sorted(told.items())
+            for name, entry in sorted(applied.items())
             if entry.phase == ON and self.trust.warning(name, None, now) is not None
         ]
-        if len(warned) <= DOUBT_MOST * len(told):
+        if len(warned) <= DOUBT_MOST * len(applied):
             entries += warned
         if entries:
             self.service.report("borrowed_list", endpoints=len(entries))
             self.service.on_borrowed_list(entries)
 
     def overlay(self, own: dict[str, Own], entries: dict[str, Entry]) -> dict[str, Entry]:
-        """This pilot's entries with the warnings and the cold starts that its own list does not tell of."""
+        """Returns this pilot's entries with borrowed warnings and cold starts applied."""
         now, warm_within = self.loop.now(), self.service.deployment.rules.warm_within
         warned = self.trust.warnings(own, now)
         self.warned = len(warned)
-        seen = {}
+        result = {}
         for name, entry in entries.items():
-            if name in warned:  # left as a drain is: with a hand-over, within the grace
+            if name in warned:  # drained with a hand-over
                 entry = entry._replace(phase="fading")
             started = self.trust.started(name, own[name], now, warm_within)
             if started is not None:
-                entry = entry._replace(started=max(1, down(self._steady(name, own[name].start, started))))
-            seen[name] = entry
-        return seen
+                entry = entry._replace(
+                    started=max(1, down(self._first_reported_start(name, own[name].start, started)))
+                )
+            result[name] = entry
+        return result
 
-    def _steady(self, name: str, process: str, started: int) -> int:
-        """What was handed on for a process stands: to the module another time of starting is another process, of which it
-        knows nothing yet."""
+    def _first_reported_start(self, name: str, process: str, started: int) -> int:
+        """Returns the start time first passed on for a process.
+
+        The decision module takes a different start time for a new process and would discard its measurements.
+        """
         if self.starts.get(name, ("", 0))[0] != process:
             self.starts[name] = (process, started)
         return self.starts[name][1]
 
-    def sums_for(self, first_hand: set[str]) -> list[tuple[int, str, m.LentSum]]:
-        """Sums not handed on yet, oldest first, of endpoints of which nothing was heard first-hand."""
+    def take_sums(self, observed_endpoints: set[str]) -> list[tuple[int, str, m.LentSum]]:
+        """Removes and returns the unapplied sums of endpoints without first-hand reports, oldest first."""
         known = self.service.brain.endpoints
         ready = [name for name, sums in self.sums.items() if sums and name in known]
         found = [
-            (heard, name, one) for name in ready if name not in first_hand for heard, one in self.sums[name]
+            (heard, name, lent_sum)
+            for name in ready
+            if name not in observed_endpoints
+            for heard, lent_sum in self.sums[name]
         ]
         for name in ready:
             self.sums[name] = []
         return sorted(found, key=lambda row: row[:2])
 
-    def sick_now(self, running: list[str], first_hand: set[str]) -> dict[str, int]:
-        """Endpoint -> until when (us); none of it where it would be most of the fleet."""
+    def sick_endpoints(self, running: list[str], observed_endpoints: set[str]) -> dict[str, int]:
+        """Returns endpoint -> end of its sickness (us), or nothing if too many of them are sick."""
         now = self.loop.now()
         found = {
             name: until
             for name in running
-            if name not in first_hand and (until := self.trust.sick_until(name, now))
+            if name not in observed_endpoints and (until := self.trust.sick_until(name, now))
         }
         return found if len(found) <= DOUBT_MOST * len(running) else {}
 
-    def heats_for(self, number: int) -> list[tuple[int, m.LentHeat]]:
-        return self.heats.pop(number, [])
+    def take_slice_ops(self, number: int) -> list[tuple[int, m.LentHeat]]:
+        """Removes and returns the learnt ops of a slice as (heard at, ops), oldest first."""
+        return self.slice_ops.pop(number, [])
 
-    # ---- for people
+    # ---- status
 
-    def shown(self) -> dict[str, Any]:
+    def status(self) -> dict[str, Any]:
+        """Returns the learnt facts and their sources for `/facts`."""
         now, trust = self.loop.now(), self.trust
         rows = []
-        for kept, weigh in ((trust.good, trust.good_weight), (trust.bad, trust.bad_weight)):
-            for (name, source), word in sorted(kept.items()):
+        for reports, weight_of in ((trust.good, trust.good_weight), (trust.bad, trust.bad_weight)):
+            for (name, source), word in sorted(reports.items()):
                 rows.append(
                     {
                         "endpoint": name,
@@ -328,7 +350,7 @@
                         "source": source,
                         "rev": word.rev,
                         "age_s": (now - word.heard) / 1e6,
-                        "weight": round(weigh(word, now), 3),
+                        "weight": round(weight_of(word, now), 3),
                     }
                 )
         return {
@@ -338,18 +360,23 @@
                 for (name, process), at in sorted(trust.starts.items())
             ],
             "sick": [
-                {"endpoint": name, "left_s": (i.until - now) / 1e6, "origin": i.origin, "hops": i.hops}
-                for name, i in sorted(trust.ill.items())
-                if i.until > now
+                {
+                    "endpoint": name,
+                    "left_s": (sickness.until - now) / 1e6,
+                    "origin": sickness.origin,
+                    "hops": sickness.hops,
+                }
+                for name, sickness in sorted(trust.ill.items())
+                if sickness.until > now
             ],
             "lenders": [
                 {
-                    "origin": one.life,
-                    "list_age_s": (now - one.list_heard) / 1e6,
-                    "in_charge": one.in_charge,
-                    "soundness": one.soundness(now),
+                    "origin": lender.life,
+                    "list_age_s": (now - lender.list_heard) / 1e6,
+                    "in_charge": lender.in_charge,
+                    "soundness": lender.soundness(now),
                 }
-                for _, one in sorted(self.lenders.items())
+                for _, lender in sorted(self.lenders.items())
             ],
             "proxies": [
                 {
@@ -369,4 +396,4 @@
         }
 
 
-__all__ = ["Learning", "Rejected", "unpack"]
+__all__ = ["Learning", "LearningError", "unpack_chunk"]
--- a/cedarshift/pilot/lending.py
+++ b/cedarshift/pilot/lending.py
@@ -1,4 +1,7 @@
-"""The lender's side: what this pilot knows, cut into chunks, each built when it is asked for, within a share of its time."""
+"""Server side of the facts exchange between pilots: serves what this pilot knows in chunks.
+
+Each chunk is built on request, within a configured share of the pilot's time.
+"""
 
 from __future__ import annotations
 
@@ -12,134 +15,142 @@
 from cedarshift.codec import messages as m
 from cedarshift.link import Link
 from cedarshift.loop.core import Coroutine
-from cedarshift.pilot.intake import SliceHeat, ZoneMet
-from cedarshift.pilot.terms import UNIT
+from cedarshift.pilot.intake import SliceOps, ZoneOutcomes
+from cedarshift.pilot.terms import TICK_US
 
 if TYPE_CHECKING:
     from cedarshift.pilot.service import PilotService
 
-ENDPOINTS_A_CHUNK = 100  # a few ms to build and some 30 kB; an order waits no longer than for one chunk
-SLICES_A_CHUNK = 400
-PROXIES_A_CHUNK = 400
-SUMS_LENT = 24  # newest sums of an endpoint: half of what the module keeps, some periods from a few zones
-HEATS_LENT = 4  # newest of a slice
-KEPT = 30_000_000  # us for which a lending that broke off may go on where it stopped
-BUSY = 1_000_000  # us after its last question in which a borrower has the lender for itself
+ENDPOINTS_PER_CHUNK = 100  # orders wait while a chunk is built
+SLICES_PER_CHUNK = 400
+PROXIES_PER_CHUNK = 400
+MAX_SUMS_PER_ENDPOINT = 24  # newest ones
+MAX_SUMS_PER_SLICE = 4  # newest ones
+PLAN_TTL_US = 30_000_000  # an interrupted transfer can be resumed for this long
+BORROWER_TIMEOUT_US = 1_000_000  # a borrower without requests for this long gives way to another one
 
 ENCODER = msgspec.msgpack.Encoder()
 
 
-class Plan:
-    """What one lending covers: names frozen at its start, facts read chunk by chunk as they are then."""
+class LendingPlan:
+    """The keys of one transfer, split into chunks. Keys are fixed at its start, facts are read per chunk."""
 
     def __init__(self, version: str, endpoints: list[str], slices: list[int], proxies: list[int]) -> None:
         self.version = version
         parts: list[tuple[str, list[Any]]] = [
-            ("endpoints", endpoints[n : n + ENDPOINTS_A_CHUNK])
-            for n in range(0, len(endpoints), ENDPOINTS_A_CHUNK)
+            ("endpoints", endpoints[n : n + ENDPOINTS_PER_CHUNK])
+            for n in range(0, len(endpoints), ENDPOINTS_PER_CHUNK)
+        ]
+        parts += [
+            ("slices", slices[n : n + SLICES_PER_CHUNK]) for n in range(0, len(slices), SLICES_PER_CHUNK)
         ]
-        parts += [("slices", slices[n : n + SLICES_A_CHUNK]) for n in range(0, len(slices), SLICES_A_CHUNK)]
         parts += [
-            ("proxies", proxies[n : n + PROXIES_A_CHUNK]) for n in range(0, len(proxies), PROXIES_A_CHUNK)
+            ("proxies", proxies[n : n + PROXIES_PER_CHUNK]) for n in range(0, len(proxies), PROXIES_PER_CHUNK)
         ]
         self.parts = parts or [("endpoints", [])]
-        self.used = 0
+        self.last_used_at = 0
 
 
 class Lending:
-    """`life` names this life of the pilot: a restart has another memory, and another name for it."""
+    """Serves facts to one borrower at a time. `incarnation` identifies this run of the pilot."""
 
-    def __init__(self, service: PilotService, life: str) -> None:
+    def __init__(self, service: PilotService, incarnation: str) -> None:
         self.service = service
         self.loop = service.loop
-        self.life = life
-        self.sums: dict[str, deque[tuple[int, ZoneMet]]] = {}
-        self.heats: dict[int, deque[tuple[int, str, SliceHeat]]] = {}
-        self.plans: dict[str, Plan] = {}
-        self.drawn = 0
+        self.incarnation = incarnation
+        self.sums: dict[str, deque[tuple[int, ZoneOutcomes]]] = {}
+        self.slice_ops: dict[int, deque[tuple[int, str, SliceOps]]] = {}
+        self.plans: dict[str, LendingPlan] = {}  # by version
+        self.plan_count = 0
         self.borrower: Optional[Link] = None
-        self.asked_at = -BUSY
-        self.free_at = 0
+        self.asked_at = -BORROWER_TIMEOUT_US
+        self.free_at = 0  # us, when the next chunk may be built
         self.counts = {"chunks_lent": 0, "facts_lent": 0, "bytes_lent": 0, "lendings_declined": 0}
 
-    def heard_sum(self, at: int, met: ZoneMet) -> None:
-        self.sums.setdefault(met.endpoint, deque(maxlen=SUMS_LENT)).append((at, met))
+    def record_outcomes(self, at: int, met: ZoneOutcomes) -> None:
+        """Keeps a first-hand report on an endpoint for borrowers."""
+        self.sums.setdefault(met.endpoint, deque(maxlen=MAX_SUMS_PER_ENDPOINT)).append((at, met))
 
-    def heard_heat(self, at: int, op_type: str, heat: SliceHeat) -> None:
-        self.heats.setdefault(heat.slice, deque(maxlen=HEATS_LENT)).append((at, op_type, heat))
+    def record_slice_ops(self, at: int, op_type: str, heat: SliceOps) -> None:
+        """Keeps a first-hand report on a slice for borrowers."""
+        self.slice_ops.setdefault(heat.slice, deque(maxlen=MAX_SUMS_PER_SLICE)).append((at, op_type, heat))
 
     def serve(self, link: Link, first: list[m.Message]) -> Coroutine:
-        """One borrower's session."""
+        """Handles one borrower's connection until it ends."""
         got = first
         try:
             while True:
                 for message in got:
                     if isinstance(message, m.AskFacts):
-                        yield from self._answer(link, message)
-                got = yield from link.receive(self.loop.now() + KEPT)
+                        yield from self._handle_request(link, message)
+                got = yield from link.receive(self.loop.now() + PLAN_TTL_US)
         finally:
             if self.borrower is link:
                 self.borrower = None
 
-    def _answer(self, link: Link, ask: m.AskFacts) -> Coroutine:
+    def _handle_request(self, link: Link, ask: m.AskFacts) -> Coroutine:
+        """Sends the requested chunk, delayed to keep within the configured share of time, or declines."""
         now = self.loop.now()
-        if self.borrower not in (None, link) and now - self.asked_at < BUSY:
+        if self.borrower not in (None, link) and now - self.asked_at < BORROWER_TIMEOUT_US:
             self.counts["lendings_declined"] += 1
-            link.send(m.NoFacts("another pilot is learning from this one", BUSY))
+            link.send(m.NoFacts("another pilot is learning from this one", BORROWER_TIMEOUT_US))
             return
         self.borrower, self.asked_at = link, now
-        if now < self.free_at:  # its share of this pilot's time is used up: the borrower waits, no order does
+        if now < self.free_at:
             yield from self.loop.sleep(self.free_at - now)
-        begun = self.loop.now()
-        plan = self._plan(ask.version)
+        started_at = self.loop.now()
+        plan = self._get_plan(ask.version)
         if ask.chunk >= len(plan.parts):
             link.send(m.NoFacts(f"chunk {ask.chunk} of {len(plan.parts)}"))
             return
-        link.send(self._chunk(plan, ask.chunk if plan.version == ask.version else 0))
+        link.send(self._build_chunk(plan, ask.chunk if plan.version == ask.version else 0))
         learn = self.service.deployment.learn
         assert learn is not None
         now = self.loop.now()
-        self.free_at = now + int((now - begun) * (1 / learn.lend_share - 1))
+        self.free_at = now + int((now - started_at) * (1 / learn.lend_share - 1))
 
-    def _plan(self, version: str) -> Plan:
-        """The one asked for, if it is still kept; else a new one."""
+    def _get_plan(self, version: str) -> LendingPlan:
+        """Returns the plan of the requested version, or a new one if that has expired."""
         now = self.loop.now()
-        self.plans = {name: plan for name, plan in self.plans.items() if now - plan.used < KEPT}
+        self.plans = {
+            name: plan for name, plan in self.plans.items() if now - plan.last_used_at < PLAN_TTL_US
+        }
         plan = self.plans.get(version)
         if plan is None:
-            self.drawn += 1
+            self.plan_count += 1
             service = self.service
-            names = sorted({*service.listed, *service.trust_names()})
-            plan = Plan(
-                f"{self.life}/{self.drawn}",
+            names = sorted({*service.listed, *service.borrowed_endpoints()})
+            plan = LendingPlan(
+                f"{self.incarnation}/{self.plan_count}",
                 names,
-                sorted({*service.slices, *self.heats}),
+                sorted({*service.slices, *self.slice_ops}),
                 sorted(service.proxies),
             )
             self.plans[plan.version] = plan
-        plan.used = now
+        plan.last_used_at = now
         return plan
 
-    def _chunk(self, plan: Plan, number: int) -> m.Facts:
-        kind, names = plan.parts[number]
+    def _build_chunk(self, plan: LendingPlan, number: int) -> m.Facts:
+        """Encodes one chunk of a plan with the facts as they are now."""
+        kind, keys = plan.parts[number]
         service, now = self.service, self.loop.now()
         confirmed = service.source.confirmed
         chunk = m.Chunk(
-            self.life,
+            self.incarnation,
             -1 if confirmed is None else now - confirmed,
             len(service.proxies),
             service.in_charge(),
             service.brain.level,
         )
         if kind == "endpoints":
-            chunk.endpoints = [fact for name in names for fact in self._endpoint(name, now)]
+            chunk.endpoints = [fact for name in keys for fact in self._endpoint_facts(name, now)]
         elif kind == "slices":
-            chunk.slices = [self._slice(n, now) for n in names]
+            chunk.slices = [self._slice_fact(slice_id, now) for slice_id in keys]
         else:
             chunk.proxies = [
                 m.ProxyFact(s.name, s.zone, service.proxy_rate(s))
-                for n in names
-                if (s := service.proxies.get(n)) is not None
+                for proxy in keys
+                if (s := service.proxies.get(proxy)) is not None
             ]
         payload = ENCODER.encode(chunk)
         learn = service.deployment.learn
@@ -152,8 +163,8 @@
         digest = hashlib.blake2b(payload, digest_size=16).digest()
         return m.Facts(plan.version, number, len(plan.parts), digest, payload, packed)
 
-    def _endpoint(self, name: str, now: int) -> list[m.EndpointFact]:
-        """What this pilot's own list says, and what it has borrowed itself, with its hops."""
+    def _endpoint_facts(self, name: str, now: int) -> list[m.EndpointFact]:
+        """Returns what this pilot has borrowed about an endpoint, and last what its own list says."""
         service = self.service
         facts = [
             m.EndpointFact(
@@ -172,19 +183,20 @@
                 word.origin,
                 word.hops,
             )
-            for source, word in service.borrowed_words(name)
+            for source, word in service.borrowed_reports(name)
         ]
         entry, known = service.listed.get(name), service.brain.endpoints.get(name)
         confirmed = service.source.confirmed
         if entry is None or known is None or confirmed is None:
             return facts
         start, started = service.source.starts.known.get(name, ("", None))
-        told = now - known.told_at * UNIT if entry.phase != "on" and known.told_at else -1
+        leave_age = now - known.told_at * TICK_US if entry.phase != "on" and known.told_at else -1
         sums = [
-            m.LentSum(now - at, s.tries, s.aborted, s.took, s.span, s.zone)
-            for at, s in self.sums.get(name, ())
+            m.LentSum(now - at, met.tries, met.aborted, met.took, met.span, met.zone)
+            for at, met in self.sums.get(name, ())
         ]
-        sick = known.sick_until if known.sick_until > service.warned.get(name, 0) else 0
+        # A sickness that was borrowed is not lent as this pilot's own.
+        sick = known.sick_until if known.sick_until > service.borrowed_sick_until.get(name, 0) else 0
         facts.append(
             m.EndpointFact(
                 name,
@@ -193,21 +205,21 @@
                 entry.size,
                 entry.zone,
                 now - confirmed,
-                told,
-                now - started * UNIT if started is not None else -1,
-                max(0, sick * UNIT - now),
+                leave_age,
+                now - started * TICK_US if started is not None else -1,
+                max(0, sick * TICK_US - now),
                 sums,
                 service.source.name,
                 service.source.rev,
-                self.life,
+                self.incarnation,
                 0,
             )
         )
         return facts
 
-    def _slice(self, number: int, now: int) -> m.SliceFact:
+    def _slice_fact(self, number: int, now: int) -> m.SliceFact:
         heats = [
-            m.LentHeat(now - at, op_type, h.ops, h.unanswered, h.span)
-            for at, op_type, h in self.heats.get(number, ())
+            m.LentHeat(now - at, op_type, heat.ops, heat.unanswered, heat.span)
+            for at, op_type, heat in self.slice_ops.get(number, ())
         ]
-        return m.SliceFact(number, heats, self.life, 0)
+        return m.SliceFact(number, heats, self.incarnation, 0)
--- a/cedarshift/pilot/rights.py
+++ b/cedarshift/pilot/rights.py
@@ -1,4 +1,4 @@
-"""What the rights of a fleet are about, at one pilot: its cold endpoints, its moves under way, who of the pilots lives."""
+"""Connects a pilot's budgets for cold starts and moves to its decision module and membership."""
 
 from __future__ import annotations
 
@@ -7,35 +7,35 @@
 from cedarshift.pilot.service import PilotService
 
 
-def bring_rights(service: PilotService) -> None:
-    """Hands the module's rights to the pilot's budgets, where the deployment has any."""
+def attach_claims(service: PilotService) -> None:
+    """Lets the pilot's budgets, if any, claim cold endpoints and moves for its decision module."""
     if service.budgets is None:
         return
     brain, plan = service.brain, service.deployment.budgets
     assert plan is not None
 
-    def cold() -> list[str]:
-        now = service._now()
+    def cold_endpoints() -> list[str]:
+        now = service._now_ticks()
         return [
             e.name
             for e in brain.endpoints.values()
             if e.phase == "on" and e.started and brain._warmth(e, now) < 1.0
         ]
 
-    def moves() -> int:
+    def moves_in_progress() -> int:
         return sum(s.target is not None for s in brain.slices.values())
 
-    def living() -> list[str]:
+    def live_pilots() -> list[str]:
         if service.membership is None:
-            return [place.name for place in service.deployment.pilots]
+            return [pilot.name for pilot in service.deployment.pilots]
         roll = service.membership.member.roll
         return [name for name in roll.names if roll.states[name] not in (DEAD, LEFT)]
 
     fleet = Fleet(
-        cold,
-        moves,
+        cold_endpoints,
+        moves_in_progress,
         lambda: bool(service.slices),
-        living,
-        lambda rights: brain.on_rights(service._now(), rights),
+        live_pilots,
+        lambda rights: brain.on_rights(service._now_ticks(), rights),
     )
     service.budgets.bring_rights(service.name, plan.clock_drift, plan.claim_cold, fleet)
--- a/cedarshift/pilot/service.py
+++ b/cedarshift/pilot/service.py
@@ -1,8 +1,8 @@
-"""One pilot at work. Inputs go straight to the module; its decisions go to the store, then to the channel, as frames.
+"""The pilot service: passes inputs to the decision module and publishes its decisions to the proxies.
 
-The order of things is what keeps single ownership: a turn is committed by the store before any proxy hears of it, and a
-proxy that joins gets what is committed in the same stream before any later order. So an ack of a mark stands for all
-that the store held when the mark was ordered.
+Single ownership depends on the order of steps: the store commits a batch of decisions before any proxy
+receives it, and a joining proxy receives a snapshot of the committed state before any later order. An ack
+of a mark therefore covers everything the store held when the mark was ordered.
 """
 
 from __future__ import annotations
@@ -30,21 +30,22 @@
 from cedarshift.loop.core import Coroutine, Waker
 from cedarshift.overload.pilot import PilotOverload
 from cedarshift.pilot.channel import PacedChannel
-from cedarshift.pilot.intake import Intake, SliceHeat, ZoneMet
+from cedarshift.pilot.intake import Intake, SliceOps, ZoneOutcomes
 from cedarshift.pilot.learning import Learning
 from cedarshift.pilot.lending import Lending
 from cedarshift.pilot.store_client import StoreClient
-from cedarshift.pilot.terms import UNIT, down, terms, up
+from cedarshift.pilot.terms import TICK_US, down, terms, up
 from cedarshift.roster import EphemeralSource, EphemeralTerms, FileSource, ServiceSource
 from cedarshift.roster.sources import SavedList
 
-MESSAGES_A_SECOND = 400  # from one proxy: beats, acks and sums come at a few dozen at most
-MARKS_KEPT = 256  # marks sent on a session that may still be acked
-JOURNAL_KEPT = 200  # latest decisions, for `cedarshift tables`
-JOINS_AT_ONCE = 4  # parts of a second's joinings that may come together
+MAX_MESSAGES_PER_S = 400  # from one proxy
+MAX_PENDING_MARKS = 256  # unacked marks remembered per proxy
+JOURNAL_SIZE = 200  # latest decisions, for `cedarshift tables`
+JOIN_BURSTS_PER_S = 4  # a burst of joins is one second's joins divided by this
 
 
 def ephemeral_terms(nodes: NodeRoster) -> EphemeralTerms:
+    """Converts the deployment's block on ephemeral nodes to the settings of their source."""
     return EphemeralTerms(
         nodes.servers,
         nodes.path,
@@ -59,35 +60,35 @@
 
 
 class ProxySession:
-    """One joined proxy. `number` is its number for the module, the same whenever the same id joins."""
+    """One joined proxy. `number` identifies the proxy to the decision module and is stable across rejoins."""
 
     def __init__(self, number: int, name: str, link: Link, zone: str) -> None:
         self.number = number
         self.name = name
         self.link = link
         self.zone = zone
-        self.seq = 0
-        self.table = -1  # at sites without slices
-        self.marks: deque[int] = deque(maxlen=MARKS_KEPT)
-        self.ordered: dict[int, int] = {}  # mark -> when it was ordered (us)
+        self.seq = 0  # of the last order sent
+        self.table = -1  # installed table, in deployments without slices
+        self.marks: deque[int] = deque(maxlen=MAX_PENDING_MARKS)  # sent and not acked yet
+        self.ordered_at: dict[int, int] = {}  # mark -> time of the decision (us)
 
 
-class Turn:
-    """What the module decided between two pulls, on its way to the proxies."""
+class DecisionBatch:
+    """Decisions of the module that are committed and sent to the proxies together."""
 
-    def __init__(self, at: int) -> None:
-        self.at = at
+    def __init__(self, decided_at: int) -> None:
+        self.decided_at = decided_at  # us
         self.lines: list[m.Line] = []
         self.levels: list[m.Level] = []
         self.mark: Optional[int] = None
-        self.installs: dict[int, int] = {}  # proxy -> table, at sites without slices
+        self.installs: dict[int, int] = {}  # proxy -> table, in deployments without slices
 
-    def rows(self) -> int:
+    def row_count(self) -> int:
         return len(self.lines) + len(self.levels)
 
 
 class PilotService:
-    """`seed` starts the module's chance. `challenge()` gives fresh bytes for each handshake."""
+    """Runs one pilot. `seed` seeds its random numbers, `challenge()` returns random bytes for a handshake."""
 
     def __init__(
         self,
@@ -102,14 +103,14 @@
         self.loop = loop
         self.listener = listener
         self.deployment = deployment
-        self.place = deployment.pilot(name)
+        self.pilot_config = deployment.pilot(name)
         self.name = name
         self.report = report
         self.challenge = challenge
         number = [p.name for p in deployment.pilots].index(name)
         self.brain = Pilot(terms(deployment, number, seed))
-        self.chance = random.Random(seed)
-        self.badge = Badge(deployment.name, "pilot", name, self.place.zone, deployment.secret)
+        self.rng = random.Random(seed)
+        self.badge = Badge(deployment.name, "pilot", name, self.pilot_config.zone, deployment.secret)
         channel = deployment.channel
         self.channel: PacedChannel = PacedChannel(
             channel.lines_per_s,
@@ -119,17 +120,17 @@
             channel.messages_span,
         )
         self.intake = Intake(deployment.intake_per_s, deployment.proxy.report_every, loop.now())
-        self.numbers: dict[str, int] = {}
+        self.numbers: dict[str, int] = {}  # proxy id -> number
         self.proxies: dict[int, ProxySession] = {}
-        self.slices: dict[int, m.Held] = {}  # in charge, as the store holds them
-        self.tables: dict[int, dict[str, float]] = {}  # at sites without slices
-        self.levels: list[m.Level] = []  # those that stand for all tables
-        self.listed: dict[str, Entry] = {}
+        self.slices: dict[int, m.Held] = {}  # assigned to this pilot, as committed by the store
+        self.tables: dict[int, dict[str, float]] = {}  # table -> endpoint -> weight, without slices
+        self.levels: list[m.Level] = []  # levels that apply to all tables
+        self.listed: dict[str, Entry] = {}  # the endpoint list as its source reports it
         self.list_rev = 0
         self.snapshot_frame: Optional[bytes] = None
-        self.sessions = 0
+        self.session_count = 0
         self.pulling = False
-        self.filled: Optional[Waker] = None
+        self.channel_waker: Optional[Waker] = None
         self.counts = {
             "turns": 0,
             "lines": 0,
@@ -140,35 +141,38 @@
             "refused": 0,
         }
         self.in_force_us: deque[int] = deque(maxlen=10_000)
-        self.journal: deque[tuple[int, tuple]] = deque(maxlen=JOURNAL_KEPT)
+        self.journal: deque[tuple[int, tuple]] = deque(maxlen=JOURNAL_SIZE)
         self.store: Optional[StoreClient] = None
-        self.told: dict[str, Entry] = {}  # the entries as the module has them, borrowed warnings included
-        self.warned: dict[str, int] = {}  # until when peers found endpoints sick (0.1 ms)
-        self.first_hand: set[str] = set()  # endpoints of which this pilot has had sums of its own
-        self.rates: dict[int, float] = {}  # ops a second of a proxy, by its newest sums
-        life = f"{name}#{seed:016x}"
-        self.membership: Optional[Membership] = (
-            None  # handed to it by whoever starts it, where the deployment has one
+        # The entries as passed to the decision module, with borrowed warnings applied.
+        self.applied_entries: dict[str, Entry] = {}
+        self.borrowed_sick_until: dict[str, int] = {}  # end of sicknesses reported by peers, in ticks
+        self.observed_endpoints: set[str] = set()  # endpoints with first-hand reports
+        self.proxy_op_rates: dict[int, float] = {}  # ops per second of each proxy, from its newest report
+        incarnation = f"{name}#{seed:016x}"
+        # Set by the caller if the deployment configures them.
+        self.membership: Optional[Membership] = None
+        self.budgets: Optional[PilotBudgets] = None
+        self.overload: Optional[PilotOverload] = None
+        self.join_limiter = Gate(
+            deployment.proxy.joins_per_s,
+            max(1.0, deployment.proxy.joins_per_s / JOIN_BURSTS_PER_S),
+            loop.now(),
         )
-        self.budgets: Optional[PilotBudgets] = None  # the same
-        self.overload: Optional[PilotOverload] = None  # the same
-        self.gate = Gate(
-            deployment.proxy.joins_per_s, max(1.0, deployment.proxy.joins_per_s / JOINS_AT_ONCE), loop.now()
-        )
-        self.lapses_at: dict[str, int] = {}  # proxies that have left -> until when their leases may run
-        self.lending: Optional[Lending] = Lending(self, life) if deployment.learn else None
+        self.lease_expires_at: dict[str, int] = {}  # departed proxy -> latest end of its lease (us)
+        self.lending: Optional[Lending] = Lending(self, incarnation) if deployment.learn else None
         self.learning: Optional[Learning] = None
         self.source = self._source(deployment)
         if deployment.learn is not None:
-            self.learning = Learning(self, deployment.learn, life)
+            self.learning = Learning(self, deployment.learn, incarnation)
         self.tasks = [
             loop.spawn(self._pump(), "channel"),
-            loop.spawn(self._hand_on(), "intake"),
-            loop.spawn(serve(loop, listener, self._session, self._talk, report), "accept"),
+            loop.spawn(self._drain_intake(), "intake"),
+            loop.spawn(serve(loop, listener, self._new_session, self._handle_connection, report), "accept"),
         ]
-        self._wake_up(0, 0)
+        self._schedule_alarm(0, 0)
 
     def _source(self, deployment: Deployment) -> Union[FileSource, ServiceSource, EphemeralSource]:
+        """Creates the configured source of the endpoint list."""
         listed = deployment.listed
         if listed.nodes is not None:
             pools = any(op.own_zone for op in deployment.op_types)
@@ -176,7 +180,7 @@
                 self.loop,
                 ephemeral_terms(listed.nodes),
                 pools,
-                self.chance.random,
+                self.rng.random,
                 SavedList(deployment.beside(listed.saved)),
                 self.on_list,
                 self.report,
@@ -191,7 +195,7 @@
                 saved,
                 self.on_list,
                 self.report,
-                self.chance.random,
+                self.rng.random,
                 self._may_call,
             )
         return FileSource(
@@ -199,13 +203,13 @@
         )
 
     def _may_call(self) -> Coroutine:
-        """Waits for a call to the list, where a budget limits them."""
+        """Waits until the budget for calls to the list service allows one."""
         if self.budgets is not None:
             yield from self.budgets.spend("list_calls")
 
     def reload(self, deployment: Deployment) -> None:
-        """Takes over what may change while running; a message that is being sent ends first, as this is one step."""
-        self.intake.per_s = deployment.intake_per_s
+        """Applies the settings that may change at run time."""
+        self.intake.lines_per_s = deployment.intake_per_s
         if deployment.listed != self.deployment.listed:
             self.source.stop()
             self.deployment = deployment
@@ -213,7 +217,7 @@
         self.deployment = deployment
 
     def stop(self) -> None:
-        """Proxies are told that the slices leave, then the store: another pilot may have them at once."""
+        """Releases the slices, after which the store may assign them to another pilot at once."""
         if self.store is not None:
             self.store.stop()
         for session in list(self.proxies.values()):
@@ -227,28 +231,30 @@
         self.source.stop()
         self.listener.close()
 
-    # ---- the list and the store tell
+    # ---- endpoint list
 
     def on_list(self, kind: str, entries: list[Entry]) -> None:
+        """Handles a list from the source; `kind` is "replace", "restored", "update" or "unavailable"."""
         if kind in ("replace", "restored"):
             self.listed = {}
         self.listed.update({e.endpoint: e for e in entries})
-        seen = self._overlaid()
+        effective = self._overlaid_entries()
         if kind in ("replace", "restored"):
-            self.told = {}
-        self.told.update({e.endpoint: seen[e.endpoint] for e in entries})
-        self.brain.on_list(self._now(), kind, [seen[e.endpoint] for e in entries])
+            self.applied_entries = {}
+        self.applied_entries.update({e.endpoint: effective[e.endpoint] for e in entries})
+        self.brain.on_list(self._now_ticks(), kind, [effective[e.endpoint] for e in entries])
         if kind != "unavailable":
             self.list_rev += 1
             self.report("list", kind=kind, endpoints=len(self.listed))
             if self.budgets is not None:
                 self.budgets.on_list()
             self._open_store()
-        self._pull()
+        self._pull_decisions()
 
-    # ---- what was borrowed from a peer; nothing here does anything where no block `learn` stands
+    # ---- facts learnt from peers, if the deployment has a block `learn`
 
-    def _overlaid(self) -> dict[str, Entry]:
+    def _overlaid_entries(self) -> dict[str, Entry]:
+        """Returns the listed entries with borrowed warnings and start times applied."""
         if self.learning is None:
             return self.listed
         starts, confirmed = self.source.starts.known, self.source.confirmed or 0
@@ -265,102 +271,113 @@
         }
         return self.learning.overlay(own, self.listed)
 
-    def tell_learnt(self) -> None:
-        """Warnings that came or went, sums, sickness: to the module, by the inputs that it has for such news."""
+    def apply_learnt_facts(self) -> None:
+        """Passes changed warnings, borrowed sums and sickness to the decision module."""
         assert self.learning is not None
-        seen = self._overlaid()
-        changed = [entry for name, entry in sorted(seen.items()) if self.told.get(name) != entry]
-        now = self._now()
+        effective = self._overlaid_entries()
+        changed = [
+            entry for name, entry in sorted(effective.items()) if self.applied_entries.get(name) != entry
+        ]
+        now = self._now_ticks()
         if changed:
-            self.told.update({entry.endpoint: entry for entry in changed})
+            self.applied_entries.update({entry.endpoint: entry for entry in changed})
             self.brain.on_list(now, "update", changed)
-        for heard, name, one in self.learning.sums_for(self.first_hand):
+        for heard, name, lent_sum in self.learning.take_sums(self.observed_endpoints):
             self.brain.on_met(
                 down(heard),
                 name,
-                one.zone,
-                one.tries,
-                min(one.aborted, one.tries),
-                up(one.took),
-                up(one.span),
+                lent_sum.zone,
+                lent_sum.tries,
+                min(lent_sum.aborted, lent_sum.tries),
+                up(lent_sum.took),
+                up(lent_sum.span),
             )
-        running = [name for name, entry in seen.items() if entry.phase == "on"]
-        for name, until in sorted(self.learning.sick_now(running, self.first_hand).items()):
-            self.warned[name] = up(until)
+        running = [name for name, entry in effective.items() if entry.phase == "on"]
+        for name, until in sorted(self.learning.sick_endpoints(running, self.observed_endpoints).items()):
+            self.borrowed_sick_until[name] = up(until)
             self.brain.on_warned(now, name, up(until))
-        self._pull()
+        self._pull_decisions()
 
     def on_borrowed_list(self, entries: list[Entry]) -> None:
-        """This pilot's own list does not come: what a sound peer knows of it is better than no charge at all."""
-        self.brain.on_list(self._now(), "update" if self.told else "restored", entries)
-        self.told.update({e.endpoint: e for e in entries})
+        """Uses a peer's list while this pilot's own source delivers none."""
+        self.brain.on_list(self._now_ticks(), "update" if self.applied_entries else "restored", entries)
+        self.applied_entries.update({e.endpoint: e for e in entries})
         self._open_store()
 
-    def trust_names(self) -> set[str]:
+    def borrowed_endpoints(self) -> set[str]:
+        """Returns the endpoints that peers have reported on."""
         return set(self.learning.trust.sources) if self.learning is not None else set()
 
-    def borrowed_words(self, name: str) -> list[tuple[str, Word]]:
-        """What was borrowed of an endpoint's phase, by source."""
+    def borrowed_reports(self, name: str) -> list[tuple[str, Word]]:
+        """Returns the borrowed reports on an endpoint's phase as (source, report)."""
         if self.learning is None:
             return []
         trust = self.learning.trust
         return [
             (source, word)
             for source in sorted(trust.sources.get(name, ()))
-            for kept in (trust.good, trust.bad)
-            if (word := kept.get((name, source))) is not None
+            for reports in (trust.good, trust.bad)
+            if (word := reports.get((name, source))) is not None
         ]
 
     def proxy_rate(self, session: ProxySession) -> float:
-        return round(self.rates.get(session.number, 0.0), 2)
+        """Returns the ops per second of a proxy."""
+        return round(self.proxy_op_rates.get(session.number, 0.0), 2)
 
-    # ---- the store
+    # ---- store
 
     def _open_store(self) -> None:
-        """Only with a list at hand: an owner that is in no list counts as gone, so the list has to come first."""
-        place = self.deployment.store
-        if self.store is None and place is not None and (self.deployment.slices or self.budgets is not None):
+        """Opens the store session once a list is known, since owners that are not listed count as gone."""
+        store_config = self.deployment.store
+        if (
+            self.store is None
+            and store_config is not None
+            and (self.deployment.slices or self.budgets is not None)
+        ):
             number = [p.name for p in self.deployment.pilots].index(self.name)
             self.store = StoreClient(
                 self.loop,
-                place.listen,
+                store_config.listen,
                 self.badge,
                 number,
                 self,
                 self.report,
                 self.challenge,
                 self.budgets,
-                chance=self.chance.random,
+                rng=self.rng.random,
             )
 
-    def on_store_given(self, rows: list[m.Held]) -> None:
-        now = self._now()
+    def on_slices_assigned(self, rows: list[m.Held]) -> None:
+        """The store has assigned slices to this pilot."""
+        now = self._now_ticks()
         for row in rows:
             self.slices[row.slice] = row
             self.brain.on_given(now, row.slice, True)
             if row.owner:
                 self.brain.on_held(now, row.slice, row.owner)
-            for heard, heat in self.learning.heats_for(row.slice) if self.learning is not None else ():
+            for heard, heat in self.learning.take_slice_ops(row.slice) if self.learning is not None else ():
                 self.brain.on_heat(
                     down(heard), row.slice, heat.op_type, heat.ops, heat.unanswered, up(heat.span)
                 )
         self.report("given", slices=len(rows))
-        self._tell_all(m.Charge(given=rows))
-        self._pull()
+        self._broadcast(m.Charge(given=rows))
+        self._pull_decisions()
 
-    def on_store_taken(self, slices: list[int]) -> None:
-        now = self._now()
+    def on_slices_revoked(self, slices: list[int]) -> None:
+        """The store takes slices back from this pilot."""
+        now = self._now_ticks()
         for number in slices:
             self.slices.pop(number, None)
             self.brain.on_given(now, number, False)
         self.report("taken", slices=len(slices))
-        self._tell_all(m.Charge(taken=slices))
+        self._broadcast(m.Charge(taken=slices))
 
-    def on_store_lost(self) -> None:
-        self.on_store_taken(sorted(self.slices))
+    def on_store_session_lost(self) -> None:
+        """The store session has ended, and with it the assignment of all slices."""
+        self.on_slices_revoked(sorted(self.slices))
 
-    def _tell_all(self, message: m.Message) -> None:
-        """Outside the channel: a giving is not a turn, and the store's read costs the channel nothing."""
+    def _broadcast(self, message: m.Message) -> None:
+        """Sends a change of assignment to all proxies, bypassing the paced channel."""
         self.snapshot_frame = None
         frame = encode(message)
         for session in list(self.proxies.values()):
@@ -369,31 +386,31 @@
     def _send(self, session: ProxySession, frame: bytes) -> None:
         try:
             session.link.send_frame(frame)
-        except (
-            StreamBroken
-        ) as error:  # a proxy that reads too slowly ends its own session, which is heard there
+        except StreamBroken as error:  # the proxy's own task handles the end of its session
             self.report("proxy_stalled", proxy=session.name, reason=str(error))
 
     # ---- proxies
 
-    def _session(self) -> Session:
-        return Session(self.badge, self._admit, self.challenge(), MESSAGES_A_SECOND)
+    def _new_session(self) -> Session:
+        """Creates the protocol session of an incoming connection."""
+        return Session(self.badge, self._admit, self.challenge(), MAX_MESSAGES_PER_S)
 
     def _admit(self, hello: m.Hello) -> m.Welcome:
+        """Accepts a peer. Raises Refused or, if it may retry later, Busy."""
         if hello.role == "pilot":
             if self.lending is None:
-                raise Refused("this deployment's pilots share nothing: it has no block learn")
+                raise Refused("the facts exchange is disabled: the deployment has no block learn")
             if hello.id == self.name:
-                raise Refused("a pilot does not learn from itself")
-            self.sessions += 1
-            return m.Welcome(self.sessions)
+                raise Refused("a pilot can't fetch facts from itself")
+            self.session_count += 1
+            return m.Welcome(self.session_count)
         if hello.id not in self.numbers and len(self.numbers) >= self.deployment.proxies_most:
             raise Refused(f"{len(self.numbers)} proxies are known, {self.deployment.proxies_most} at most")
-        self._may_join(hello.id)
-        self.sessions += 1
+        self._check_join_rate(hello.id)
+        self.session_count += 1
         proxy = self.deployment.proxy
         return m.Welcome(
-            self.sessions,
+            self.session_count,
             proxy.lease,
             proxy.lease // BEATS_A_LEASE,
             proxy.report_every,
@@ -402,27 +419,30 @@
             loads=self.overload is not None,
         )
 
-    def _may_join(self, name: str) -> None:
-        """Each joining costs a snapshot; many at once would hold up the beats of those that are joined, and their leases would lapse.
-        Whoever has a lease that may still run comes before newcomers."""
+    def _check_join_rate(self, name: str) -> None:
+        """Raises Busy if too many proxies join at once, preferring those whose lease may still run.
+
+        Each join costs a snapshot; too many at once would delay heartbeats until leases expire.
+        """
         now = self.loop.now()
-        after = self.gate.ask(now, known=now < self.lapses_at.get(name, 0))
+        after = self.join_limiter.ask(now, known=now < self.lease_expires_at.get(name, 0))
         if after:
-            raise Busy(f"{self.gate.sent_away} were sent away so far", after)
+            raise Busy(f"too many joins at once, {self.join_limiter.sent_away} deferred so far", after)
 
-    def _talk(self, link: Link, first: list[m.Message]) -> Coroutine:
+    def _handle_connection(self, link: Link, first: list[m.Message]) -> Coroutine:
+        """Handles an accepted connection of a proxy or of another pilot until it ends."""
         if link.peer.role == "pilot":
             assert self.lending is not None
             yield from self.lending.serve(link, first)
             return
         session = self._join(link)
-        got = first
+        messages = first
         try:
             while True:
-                for message in got:
-                    self._hear(session, message)
-                self._pull()
-                got = yield from link.receive(self.loop.now() + self.deployment.proxy.silence)
+                for message in messages:
+                    self._handle_message(session, message)
+                self._pull_decisions()
+                messages = yield from link.receive(self.loop.now() + self.deployment.proxy.silence)
         except OutOfOrder as error:
             link.close(error.code, str(error))
             raise
@@ -430,6 +450,7 @@
             self._leave(session)
 
     def _join(self, link: Link) -> ProxySession:
+        """Registers a proxy, replacing its former session, and sends the snapshot."""
         assert link.session.peer is not None
         peer = link.session.peer
         number = self.numbers.setdefault(peer.id, len(self.numbers))
@@ -439,142 +460,151 @@
             self._leave(former)
         session = self.proxies[number] = ProxySession(number, peer.id, link, peer.zone)
         self.counts["joins"] += 1
-        self.lapses_at.pop(peer.id, None)
+        self.lease_expires_at.pop(peer.id, None)
         link.send_frame(self._snapshot())
-        self.brain.on_join(self._now(), number, peer.zone)
+        self.brain.on_join(self._now_ticks(), number, peer.zone)
         return session
 
     def _leave(self, session: ProxySession) -> None:
+        """Unregisters a proxy's session unless a newer one has replaced it."""
         if self.proxies.get(session.number) is session:
             del self.proxies[session.number]
-            self.lapses_at[session.name] = self.loop.now() + self.deployment.proxy.lease
+            self.lease_expires_at[session.name] = self.loop.now() + self.deployment.proxy.lease
             if self.overload is not None:
                 self.overload.on_left(session.name)
             self.channel.drop(session.number)
-            self.brain.on_leave(self._now(), session.number)
-            self._pull()
+            self.brain.on_leave(self._now_ticks(), session.number)
+            self._pull_decisions()
 
     def _snapshot(self) -> bytes:
-        """What is committed, encoded once for all that join until it changes."""
+        """Returns the encoded committed state, cached until it changes."""
         if self.snapshot_frame is None:
             rows = [row for _, row in sorted(self.slices.items())]
             self.snapshot_frame = encode(m.Snapshot(rows, levels=self.levels))
         return self.snapshot_frame
 
-    def _hear(self, session: ProxySession, message: m.Message) -> None:
+    def _handle_message(self, session: ProxySession, message: m.Message) -> None:
         if isinstance(message, m.Beat):
             answer = m.BeatOk(message.n, self.in_charge())
             if message.ask and self.budgets is not None:
                 answer.ask = message.ask
                 answer.era, answer.shares = self.budgets.on_beat(session.name, message)
             if self.overload is not None:
-                told, answer.fair = self.overload.for_beat(session.name)
-                answer.told = told  # type: ignore[assignment]
+                policy, answer.fair = self.overload.for_beat(session.name)
+                answer.told = policy  # type: ignore[assignment]
                 answer.trials, answer.probe = self.overload.trials_for_beat(session.name)
             session.link.send(answer)
         elif isinstance(message, m.Ack):
-            self._hear_ack(session, message)
+            self._handle_ack(session, message)
         elif isinstance(message, m.Sums):
             now = self.loop.now()
             if self.overload is not None:
                 self.overload.on_sums(session.name, message)
             for met in message.met:
-                self.intake.add_met(now, session.zone, met)
-                self.first_hand.add(met.endpoint)
+                self.intake.add_outcomes(now, session.zone, met)
+                self.observed_endpoints.add(met.endpoint)
             span = max((heat.span for heat in message.heat), default=0)
-            self.rates[session.number] = sum(heat.ops for heat in message.heat) * 1e6 / span if span else 0.0
+            self.proxy_op_rates[session.number] = (
+                sum(heat.ops for heat in message.heat) * 1e6 / span if span else 0.0
+            )
             for heat in message.heat:
                 if heat.slice in self.slices and heat.op_type < len(self.deployment.op_types):
-                    self.intake.add_heat(now, heat)
+                    self.intake.add_slice_ops(now, heat)
 
     def owner_of(self, number: int) -> str:
-        """The endpoint that owns a slice in this pilot's charge, "" for none."""
+        """Returns the endpoint that owns a slice assigned to this pilot, or "" if there is none."""
         row = self.slices.get(number)
         return row.owner if row is not None else ""
 
     def in_charge(self) -> bool:
+        """Returns whether this pilot's assignment of slices is still valid."""
         return not self.deployment.slices or (self.store is not None and self.store.in_charge())
 
-    def _hear_ack(self, session: ProxySession, ack: m.Ack) -> None:
+    def _handle_ack(self, session: ProxySession, ack: m.Ack) -> None:
+        """Passes an ack to the decision module. Raises OutOfOrder if its mark is not pending."""
         if ack.mark not in session.marks:
-            raise OutOfOrder(f"an ack of mark {ack.mark}, which was not sent on this session or was acked")
-        while session.marks:  # acks come in order: those before it are in force too
+            raise OutOfOrder(f"ack of mark {ack.mark}, which is not pending on this session")
+        while session.marks:  # an ack covers all earlier marks
             passed = session.marks.popleft()
-            ordered = session.ordered.pop(passed, None)
+            ordered_at = session.ordered_at.pop(passed, None)
             if passed == ack.mark:
                 break
         self.counts["acks"] += 1
-        took = max(0, self.loop.now() - (ordered or self.loop.now()) - ack.held)
+        took = max(0, self.loop.now() - (ordered_at or self.loop.now()) - ack.held)
         self.in_force_us.append(took)
-        # Rounded up: the settle time may start late, never early.
-        self.brain.on_ack(self._now(), session.number, ack.mark, up(took))
+        # Rounded up, so that the settle time never starts early.
+        self.brain.on_ack(self._now_ticks(), session.number, ack.mark, up(took))
 
-    def _hand_on(self) -> Coroutine:
-        """Sums to the module, a period's worth at a time."""
+    def _drain_intake(self) -> Coroutine:
+        """Periodically passes aggregated proxy reports to the decision module."""
         while True:
             yield from self.loop.sleep(self.deployment.proxy.report_every // 2)
-            self._take_sums(*self.intake.take(self.loop.now()))
-            self._pull()
-
-    def _take_sums(self, mets: list[ZoneMet], heats: list[SliceHeat]) -> None:
-        """First-hand sums: to the module, and kept beside it for who may learn from this pilot. What this pilot has
-        borrowed itself is in the module too, and must not be lent as its own."""
-        now, at = self._now(), self.loop.now()
-        for met in mets:
+            self._apply_sums(*self.intake.take(self.loop.now()))
+            self._pull_decisions()
+
+    def _apply_sums(self, outcomes: list[ZoneOutcomes], slice_ops: list[SliceOps]) -> None:
+        """Passes first-hand reports to the decision module and records them for lending.
+
+        They are recorded separately because the module also holds borrowed reports, which must not be lent.
+        """
+        now, at = self._now_ticks(), self.loop.now()
+        for met in outcomes:
             self.brain.on_met(now, met.endpoint, met.zone, met.tries, met.aborted, up(met.took), up(met.span))
             self.source.on_sums(met.endpoint, met.tries, met.aborted)
             if self.lending is not None:
-                self.lending.heard_sum(at, met)
-        for heat in heats:
+                self.lending.record_outcomes(at, met)
+        for heat in slice_ops:
             name = self.deployment.op_types[heat.op_type].name
             self.brain.on_heat(now, heat.slice, name, heat.ops, heat.unanswered, up(heat.span))
             if self.lending is not None:
-                self.lending.heard_heat(at, name, heat)
+                self.lending.record_slice_ops(at, name, heat)
 
-    # ---- the module's decisions
+    # ---- decisions
 
-    def _now(self) -> int:
+    def _now_ticks(self) -> int:
+        """Returns the current time in the decision module's unit."""
         return down(self.loop.now())
 
-    def _wake_up(self, after: int, nonce: int) -> None:
-        self.loop.at(self.loop.now() + after * UNIT, self._alarm, nonce)
+    def _schedule_alarm(self, after: int, nonce: int) -> None:
+        self.loop.at(self.loop.now() + after * TICK_US, self._on_alarm, nonce)
 
-    def _alarm(self, nonce: int) -> None:
-        self.brain.on_alarm(self._now(), nonce)
-        self._pull()
+    def _on_alarm(self, nonce: int) -> None:
+        self.brain.on_alarm(self._now_ticks(), nonce)
+        self._pull_decisions()
 
-    def _pull(self) -> None:
-        """Pulls decisions until there is none; what came between makes one turn."""
+    def _pull_decisions(self) -> None:
+        """Takes all pending decisions from the module and submits them as one batch."""
         if self.pulling:
             return
         self.pulling = True
         if self.budgets is not None:
             self.budgets.settle()
-        turn = Turn(self.loop.now())
+        batch = DecisionBatch(self.loop.now())
         try:
-            for decision in pulled(self.brain, self._now()):
-                self._take(turn, decision)
+            for decision in pulled(self.brain, self._now_ticks()):
+                self._apply_decision(batch, decision)
         finally:
             self.pulling = False
-        if turn.rows() or turn.mark is not None or turn.installs:
-            self._order(turn)
+        if batch.row_count() or batch.mark is not None or batch.installs:
+            self._submit_batch(batch)
 
-    def _take(self, turn: Turn, decision: tuple) -> None:
+    def _apply_decision(self, batch: DecisionBatch, decision: tuple) -> None:
+        """Carries out one decision at once or adds it to the batch. Raises ValueError if it is unknown."""
         verb = decision[0]
         if verb == "wake":
-            self._wake_up(decision[1], decision[2])
+            self._schedule_alarm(decision[1], decision[2])
             return
-        self.journal.append((turn.at, decision))
+        self.journal.append((batch.decided_at, decision))
         if verb == "line":
-            turn.lines.append(m.Line(decision[1], decision[2], float(decision[3]), self._epoch(decision[1])))
+            batch.lines.append(m.Line(decision[1], decision[2], float(decision[3]), self._epoch(decision[1])))
         elif verb == "level":
-            turn.levels.append(
+            batch.levels.append(
                 m.Level(decision[1], decision[2], float(decision[3]), decision[4], self._epoch(decision[1]))
             )
         elif verb == "mark":
-            turn.mark = decision[1]
+            batch.mark = decision[1]
         elif verb == "install":
-            turn.installs[decision[1]] = decision[3]
+            batch.installs[decision[1]] = decision[3]
         elif verb == "ask_list":
             self.source.ask()
         elif verb == "note":
@@ -586,26 +616,27 @@
         row = self.slices.get(table)
         return row.epoch if row is not None else 0
 
-    def _order(self, turn: Turn) -> None:
+    def _submit_batch(self, batch: DecisionBatch) -> None:
+        """Commits a batch at the store, after which it is sent; without slices it is sent directly."""
         self.counts["turns"] += 1
-        self.counts["lines"] += turn.rows()
+        self.counts["lines"] += batch.row_count()
         if not self.deployment.slices:
-            self._lay(turn)
+            self._apply_to_tables(batch)
             return
         assert self.store is not None
-        writes = self._writes(turn)
-        # A turn without writes passes through the store too: sent at once it would overtake an earlier one that waits
-        # for its commit, and the ack of its mark would stand for lines that no proxy has.
-        if not self.store.commit(writes, lambda denied: self._committed(turn, writes, denied)):
-            self.report("turn_dropped", lines=turn.rows(), reason="no store to commit it")
-
-    def _writes(self, turn: Turn) -> list[m.Write]:
-        """The turn as changes of the store's rows, one a slice."""
+        writes = self._writes(batch)
+        # A batch without writes goes through the store too. Sent directly, it could overtake one that awaits
+        # its commit, and the ack of its mark would cover lines that no proxy has received.
+        if not self.store.commit(writes, lambda denied: self._committed(batch, writes, denied)):
+            self.report("turn_dropped", lines=batch.row_count(), reason="no store session")
+
+    def _writes(self, batch: DecisionBatch) -> list[m.Write]:
+        """Converts a batch to writes of the store's rows, one per slice."""
         owners: dict[int, str] = {}
         levels: dict[int, list[m.Level]] = {}
-        for line in turn.lines:
+        for line in batch.lines:
             owners[line.table] = line.endpoint if line.weight > 0 else ""
-        for level in turn.levels:
+        for level in batch.levels:
             row = self.slices.get(level.table)
             if row is not None:
                 kept = levels.get(level.table, row.levels)
@@ -615,8 +646,8 @@
             for number in sorted({*owners, *levels})
         ]
 
-    def _committed(self, turn: Turn, writes: list[m.Write], denied: list[m.Denied]) -> None:
-        """Durable: the rows are taken over and the proxies are told. What was refused reaches nobody."""
+    def _committed(self, batch: DecisionBatch, writes: list[m.Write], denied: list[m.Denied]) -> None:
+        """Applies a committed batch and sends it to the proxies, without the slices the store refused."""
         refused = {d.slice for d in denied}
         for d in denied:
             self.counts["denied"] += 1
@@ -624,7 +655,7 @@
         for write in writes:
             row = self.slices.get(write.slice)
             if write.slice in refused or row is None or row.epoch != write.epoch:
-                refused.add(write.slice)  # it left this pilot's charge while the order was on its way
+                refused.add(write.slice)  # reassigned while the commit was in flight
                 continue
             self.slices[write.slice] = m.Held(
                 row.slice,
@@ -633,51 +664,62 @@
                 row.owner if write.owner is None else write.owner,
                 row.levels if write.levels is None else write.levels,
             )
-        turn.lines = [line for line in turn.lines if line.table not in refused]
-        turn.levels = [level for level in turn.levels if level.table not in refused]
-        self._send_turn(turn)
-
-    def _send_turn(self, turn: Turn) -> None:
-        self._keep_levels(turn)
-        packed = (pack_rows(turn.lines), pack_rows(turn.levels), turn.mark, turn.at)
-        self._enqueue(self.proxies, turn, packed)
-
-    def _keep_levels(self, turn: Turn) -> None:
-        """Levels for all tables travel with every later snapshot."""
-        for level in turn.levels:
+        batch.lines = [line for line in batch.lines if line.table not in refused]
+        batch.levels = [level for level in batch.levels if level.table not in refused]
+        self._send_batch(batch)
+
+    def _send_batch(self, batch: DecisionBatch) -> None:
+        self._update_fleet_levels(batch)
+        packed = (pack_rows(batch.lines), pack_rows(batch.levels), batch.mark, batch.decided_at)
+        self._enqueue(self.proxies, batch, packed)
+
+    def _update_fleet_levels(self, batch: DecisionBatch) -> None:
+        """Keeps the levels that apply to all tables for later snapshots."""
+        for level in batch.levels:
             if level.table == ALL_TABLES:
                 self.levels = [lv for lv in self.levels if lv.mask != level.mask] + [level]
         self.snapshot_frame = None
 
-    def _enqueue(self, numbers: Iterable[int], turn: Turn, packed: tuple) -> None:
+    def _enqueue(self, numbers: Iterable[int], batch: DecisionBatch, packed: tuple) -> None:
+        """Queues a packed batch for the given proxies."""
         now = self.loop.now()
         for number in sorted(numbers):
-            self.channel.put(now, number, turn.rows(), packed)
-        if self.filled is not None:
-            self.filled.wake()
+            self.channel.put(now, number, batch.row_count(), packed)
+        if self.channel_waker is not None:
+            self.channel_waker.wake()
 
-    def _lay(self, turn: Turn) -> None:
-        """Sites without slices: lines change the tables; a proxy hears of its own table, and whole when put on it."""
-        for line in turn.lines:
+    def _apply_to_tables(self, batch: DecisionBatch) -> None:
+        """Publishes a batch in a deployment without slices.
+
+        A proxy receives changes of its own table, or the whole table when it is assigned to it.
+        """
+        for line in batch.lines:
             rows = self.tables.setdefault(line.table, {})
             if line.weight > 0:
                 rows[line.endpoint] = line.weight
             else:
                 rows.pop(line.endpoint, None)
-        self._keep_levels(turn)
+        self._update_fleet_levels(batch)
         by_table: dict[int, list[int]] = {}
         for number, session in self.proxies.items():
-            if session.table >= 0 and number not in turn.installs:
+            if session.table >= 0 and number not in batch.installs:
                 by_table.setdefault(session.table, []).append(number)
         for table, numbers in sorted(by_table.items()):
-            part = Turn(turn.at)
-            part.lines = [line for line in turn.lines if line.table == table]
-            part.levels, part.mark = turn.levels, turn.mark
-            if part.rows() or part.mark is not None:
+            table_batch = DecisionBatch(batch.decided_at)
+            table_batch.lines = [line for line in batch.lines if line.table == table]
+            table_batch.levels, table_batch.mark = batch.levels, batch.mark
+            if table_batch.row_count() or table_batch.mark is not None:
                 self._enqueue(
-                    numbers, part, (pack_rows(part.lines), pack_rows(part.levels), part.mark, part.at)
+                    numbers,
+                    table_batch,
+                    (
+                        pack_rows(table_batch.lines),
+                        pack_rows(table_batch.levels),
+                        table_batch.mark,
+                        table_batch.decided_at,
+                    ),
                 )
-        for number, table in turn.installs.items():
+        for number, table in batch.installs.items():
             joined = self.proxies.get(number)
             if joined is not None:
                 joined.table = table
@@ -686,18 +728,18 @@
                 ]
                 self._send(joined, encode(m.Snapshot(table=table, lines=lines, levels=self.levels)))
 
-    # ---- the channel
+    # ---- channel
 
     def _pump(self) -> Coroutine:
-        """Messages leave at the channel's pace; a proxy that reads slowly holds up its own stream alone."""
+        """Sends queued messages at the channel's rate."""
         while True:
             due = self.channel.due()
             if due is None:
-                self.filled = self.loop.waker()
+                self.channel_waker = self.loop.waker()
                 try:
                     yield
                 finally:
-                    self.filled = None
+                    self.channel_waker = None
             elif due > self.loop.now():
                 yield from self.loop.sleep(due - self.loop.now())
             else:
@@ -706,6 +748,7 @@
                     self._deliver(waiting.proxy, waiting.item)
 
     def _deliver(self, number: int, item: Any) -> None:
+        """Sends a packed batch to a proxy as an order, if it is still joined."""
         session = self.proxies.get(number)
         if session is None:
             return
@@ -713,14 +756,17 @@
         session.seq += 1
         if mark is not None:
             session.marks.append(mark)
-            session.ordered[mark] = at
+            session.ordered_at[mark] = at
         self.counts["messages"] += 1
         self._send(session, encode_order(session.seq, self.loop.now() - at, lines, levels, mark))
 
-    # ---- for people
+    # ---- status
+
+    def _endpoint_status(self, entry: Entry) -> dict[str, Any]:
+        """Returns an endpoint as the decision module sees it.
 
-    def _picture(self, entry: Entry) -> dict[str, Any]:
-        """An endpoint as the module has it: `part` is its fair part by size and speed, `warmth` the share it can do."""
+        `part` is its fair share by size and speed, `warmth` the fraction of its capacity it has reached.
+        """
         known = self.brain.endpoints[entry.endpoint]
         return {
             "endpoint": entry.endpoint,
@@ -728,26 +774,26 @@
             "size": entry.size,
             "zone": entry.zone,
             "part": known.part,
-            "warmth": self.brain._warmth(known, self._now()),
-            "sick_s": max(0, known.sick_until - self._now()) / 10_000,
+            "warmth": self.brain._warmth(known, self._now_ticks()),
+            "sick_s": max(0, known.sick_until - self._now_ticks()) / 10_000,
         }
 
     def members(self) -> dict[str, Any]:
-        """What its source of the list shows, and what stands in the list, for `cedarshift members`."""
+        """Returns the state of the list's source and the listed endpoints for `cedarshift members`."""
         listed = [
             {
                 "endpoint": e.endpoint,
                 "phase": e.phase,
                 "size": e.size,
                 "zone": e.zone,
-                "start_s": None if not e.started else (self._now() - e.started) / 10_000,
+                "start_s": None if not e.started else (self._now_ticks() - e.started) / 10_000,
             }
             for _, e in sorted(self.listed.items())
         ]
         return {"pilot": self.name, **self.source.shown(), "listed": listed}
 
-    def shown(self) -> dict[str, Any]:
-        """What the pilot holds, for `cedarshift tables`."""
+    def status(self) -> dict[str, Any]:
+        """Returns the pilot's tables, proxies and latest decisions for `cedarshift tables`."""
         return {
             "pilot": self.name,
             "deployment": self.deployment.name,
@@ -757,7 +803,9 @@
                 for _, s in sorted(self.proxies.items())
             ],
             "endpoints": [
-                self._picture(e) for n, e in sorted(self.told.items()) if n in self.brain.endpoints
+                self._endpoint_status(e)
+                for n, e in sorted(self.applied_entries.items())
+                if n in self.brain.endpoints
             ],
             "slices": [
                 {
@@ -774,7 +822,7 @@
             "channel": {
                 "waiting": self.channel.waiting,
                 "peak": self.channel.peak,
-                "most": self.channel.waiting_most,
+                "most": self.channel.max_waiting_lines,
                 "breaches": self.channel.breaches,
             },
             "counts": dict(self.counts),
--- a/cedarshift/pilot/store_client.py
+++ b/cedarshift/pilot/store_client.py
@@ -1,7 +1,7 @@
-"""The pilot's session at the store: opened, renewed, lost; commits in order.
+"""The pilot's session at the store: opening, renewal, loss and ordered commits.
 
-The session counts as standing until `lease` after the *asking* of the newest renewal that was answered; the store
-counts from when it heard, which is later. So the pilot stops first.
+The pilot counts its lease from when it sent the newest answered renewal, the store from when it received
+it. So the pilot always stops before the store considers the session expired.
 """
 
 from __future__ import annotations
@@ -15,29 +15,27 @@
 from cedarshift.loop import Loop, StreamBroken, TimedOut
 from cedarshift.loop.core import Coroutine
 
-DIAL_TIMEOUT = 1_000_000  # us
-REDIAL_FIRST = 100_000  # us before the first try anew; the store is one process, nearby
-REDIAL_MOST = 2_000_000  # us; a store that is gone for long is not dialled by all pilots ten times a second
-DIAL_LOOK = 20_000  # us between two looks for leave to dial
-IN_LEASE = 8  # parts of a lease that a wait covers at most while the charge stands
-DRIFT_PARTS = (
-    500  # a lease is shorter here by one of so many parts: the store's clock may run faster, by 0.2% at most
-)
-RENEWALS = 4  # renewals in a lease, so that three may be lost
+DIAL_TIMEOUT_US = 1_000_000
+MIN_REDIAL_DELAY_US = 100_000
+MAX_REDIAL_DELAY_US = 2_000_000
+DIAL_PERMIT_POLL_US = 20_000
+LEASE_JITTER_DIVISOR = 8  # while the lease runs, redials are spread over this fraction of it
+CLOCK_DRIFT_DIVISOR = 500  # the lease is shortened by 1/500, as the store's clock may run up to 0.2% faster
+RENEWALS_PER_LEASE = 4
 
-Then = Callable[[list[m.Denied]], None]
+CommitCallback = Callable[[list[m.Denied]], None]
 
 
-class Charged(Protocol):
-    """Who is told."""
+class StoreObserver(Protocol):
+    """Receives the changes of this pilot's slice assignment."""
 
-    def on_store_given(self, rows: list[m.Held]) -> None: ...
-    def on_store_taken(self, slices: list[int]) -> None: ...
-    def on_store_lost(self) -> None: ...
+    def on_slices_assigned(self, rows: list[m.Held]) -> None: ...
+    def on_slices_revoked(self, slices: list[int]) -> None: ...
+    def on_store_session_lost(self) -> None: ...
 
 
-class Spends(Protocol):
-    """Who asks the store for shares, on the pilot's session, and says when a dial may be made."""
+class StoreBudgets(Protocol):
+    """The budgets that use the pilot's store session and limit how often the store is dialled."""
 
     def on_store_link(self, link: Optional[Link]) -> None: ...
     def on_shares(self, message: m.Shares) -> None: ...
@@ -46,170 +44,182 @@
 
 
 class StoreClient:
+    """Keeps a pilot's session at the store open. `rng` returns random numbers in [0, 1)."""
+
     def __init__(
         self,
         loop: Loop,
         address: tuple[str, int],
         badge: Badge,
-        place: int,
-        told: Charged,
+        pilot_index: int,
+        observer: StoreObserver,
         report: Callable[..., None],
         challenge: Callable[[], bytes] = lambda: b"",
-        budgets: Optional[Spends] = None,
+        budgets: Optional[StoreBudgets] = None,
         *,
-        chance: Callable[[], float],
+        rng: Callable[[], float],
     ) -> None:
         self.loop = loop
         self.challenge = challenge
         self.address = address
         self.badge = badge
-        self.place = place
-        self.told = told
+        self.pilot_index = pilot_index
+        self.observer = observer
         self.report = report
         self.link: Optional[Link] = None
-        self.valid_until = 0
-        self.lease = 0
-        self.asked: dict[int, int] = {}
-        self.drawn = 0
-        self.waiting: dict[int, Then] = {}
+        self.valid_until = 0  # us, when the session's lease expires
+        self.lease = 0  # us
+        self.renewals: dict[int, int] = {}  # unanswered renewal -> when it was sent (us)
+        self.last_number = 0
+        self.pending_commits: dict[int, CommitCallback] = {}
         self.budgets = budgets
-        self.chance = chance
-        self.redial = Redial(REDIAL_FIRST, REDIAL_MOST, chance)
-        self.lapsed = True  # the slices were given up, or none was ever had
-        self.task = loop.spawn(self._follow(), "store session")
+        self.rng = rng
+        self.backoff = Redial(MIN_REDIAL_DELAY_US, MAX_REDIAL_DELAY_US, rng)
+        self.lapsed = True  # no slices are assigned
+        self.task = loop.spawn(self._session_loop(), "store session")
 
     def in_charge(self) -> bool:
-        """Whether nobody else can have been given this pilot's slices yet."""
+        """Returns whether the lease runs, so that no other pilot can have this pilot's slices."""
         return self.loop.now() < self.valid_until
 
-    def commit(self, writes: list[m.Write], then: Then) -> bool:
-        """Sends writes; `then(denied)` follows in order. False where there is no store now: it is not sent."""
+    def commit(self, writes: list[m.Write], then: CommitCallback) -> bool:
+        """Sends writes and returns True, or returns False if there is no valid session.
+
+        `then(denied)` is called once the store has answered, in the order of the commits.
+        """
         if self.link is not None and not self.in_charge():
-            # Renewals may wait to be read, as after a stop; they must not revive a charge of which the module has had a turn dropped.
+            # Answers to renewals may still be unread, e.g. after the process was suspended. They must not
+            # revive the session: this batch is dropped, so the slices have to be assigned anew.
             self.link.close("lapsed", "the charge ended before its renewal was read")
-            self._lapse()
+            self._check_lapsed()
         if self.link is None or not self.in_charge():
             return False
-        self.drawn += 1
-        self.waiting[self.drawn] = then
-        self.link.send(m.Commit(self.drawn, writes))
+        self.last_number += 1
+        self.pending_commits[self.last_number] = then
+        self.link.send(m.Commit(self.last_number, writes))
         return True
 
     def stop(self) -> None:
-        """Gives the slices back; the proxies must have been told before."""
+        """Releases the slices and ends the session. The proxies must have been informed before."""
         self.task.cancel()
-        self._give_up()
+        self._release_slices()
         if self.link is not None:
             self.link.send(m.Leave())
             self.link.close("stopping", "the pilot stops")
 
-    # ---- the session
+    # ---- session
 
-    def _follow(self) -> Coroutine:
+    def _session_loop(self) -> Coroutine:
+        """Dials the store, runs the session and redials after it has ended."""
         while True:
-            yield from self._may_dial()
-            asked = 0
+            yield from self._await_dial_permit()
+            min_wait = 0
             try:
                 link, first = yield from connect(
-                    self.loop, self.address, Session(self.badge, challenge=self.challenge()), DIAL_TIMEOUT
+                    self.loop, self.address, Session(self.badge, challenge=self.challenge()), DIAL_TIMEOUT_US
                 )
-                yield from self._talk(link, first)
+                yield from self._run_session(link, first)
             except (StreamBroken, ProtocolError, TimedOut) as error:
-                asked = getattr(error, "after", 0)
+                min_wait = getattr(error, "after", 0)
                 self.report("store_lost", reason=str(error) or "silence")
-            yield from self._rest(asked)
+            yield from self._wait_before_redial(min_wait)
 
-    def _may_dial(self) -> Coroutine:
-        """Waits for leave to dial, where a budget limits that; the charge ends meanwhile when it must."""
+    def _await_dial_permit(self) -> Coroutine:
+        """Waits until the budget allows a dial, releasing the slices if their lease expires meanwhile."""
         if self.budgets is not None:
             self.budgets.wish("store_dials")
             while not self.budgets.take("store_dials"):
-                yield from self.loop.sleep(DIAL_LOOK)
-                self._lapse()
-
-    def _rest(self, asked: int) -> Coroutine:
-        """Between two connections, `asked` us at least: the charge ends when the session must have. While it stands waits stay short: a
-        store that comes back in time must not be missed, and each pilot dials it so for a lease at most."""
-        wait = self.redial.wait(asked)
-        if not self.lapsed and not asked:
-            wait = min(wait, REDIAL_FIRST + int(self.chance() * self.lease / IN_LEASE))
+                yield from self.loop.sleep(DIAL_PERMIT_POLL_US)
+                self._check_lapsed()
+
+    def _wait_before_redial(self, min_wait: int) -> Coroutine:
+        """Waits at least `min_wait` us, releasing the slices if their lease expires meanwhile.
+
+        While the lease runs the wait stays short, so that a store that returns in time is found.
+        """
+        wait = self.backoff.wait(min_wait)
+        if not self.lapsed and not min_wait:
+            wait = min(wait, MIN_REDIAL_DELAY_US + int(self.rng() * self.lease / LEASE_JITTER_DIVISOR))
         until = self.loop.now() + wait
         if not self.lapsed and self.valid_until <= until:
             yield from self.loop.sleep(self.valid_until - self.loop.now())
-            self._lapse()
+            self._check_lapsed()
         yield from self.loop.sleep(until - self.loop.now())
 
-    def _lapse(self) -> None:
+    def _check_lapsed(self) -> None:
+        """Releases the slices if the lease has expired."""
         if not self.lapsed and not self.in_charge():
             self.report("charge_lapsed")
-            self._give_up()
+            self._release_slices()
 
-    def _give_up(self) -> None:
+    def _release_slices(self) -> None:
         if not self.lapsed:
             self.lapsed = True
-            self.told.on_store_lost()
+            self.observer.on_store_session_lost()
 
-    def _talk(self, link: Link, first: list[m.Message]) -> Coroutine:
-        asked_at = self.loop.now()
-        link.send(m.Open(self.place))
+    def _run_session(self, link: Link, first: list[m.Message]) -> Coroutine:
+        """Opens a session on a connection and handles its messages until it ends."""
+        opened_at = self.loop.now()
+        link.send(m.Open(self.pilot_index))
         renewer = None  # set once this connection's session is open
-        got = first
+        messages = first
         try:
             while True:
-                for message in got:
+                for message in messages:
                     if isinstance(message, m.Opened):
-                        self.link, self.lease = link, message.lease - message.lease // DRIFT_PARTS
-                        self.redial.well()
-                        self._give_up()  # what is still held is given anew, with what the store knows of it
-                        self.valid_until = asked_at + self.lease
-                        renewer = self.loop.spawn(self._renew(link), "store renew")
+                        self.link, self.lease = link, message.lease - message.lease // CLOCK_DRIFT_DIVISOR
+                        self.backoff.well()
+                        self._release_slices()  # the store assigns them anew with their committed state
+                        self.valid_until = opened_at + self.lease
+                        renewer = self.loop.spawn(self._renew_loop(link), "store renew")
                         if self.budgets is not None:
                             self.budgets.on_store_link(link)
                     else:
-                        self._take(message)
-                # Not the end of a former session: on a new connection that would time out before the answer.
-                limit = self.valid_until if renewer is not None else asked_at + DIAL_TIMEOUT
-                got = yield from link.receive(limit)
+                        self._handle_message(message)
+                # Before the answer, valid_until still belongs to the former session.
+                deadline = self.valid_until if renewer is not None else opened_at + DIAL_TIMEOUT_US
+                messages = yield from link.receive(deadline)
         finally:
             if renewer is not None:
                 renewer.cancel()
             self.link = None
             if self.budgets is not None:
                 self.budgets.on_store_link(None)
-            self.waiting.clear()  # what became of them is told by the giving that follows
+            self.pending_commits.clear()  # the next assignment shows which of them were committed
             link.close("leaving", "this connection is given up")
-            self._lapse()
+            self._check_lapsed()
 
-    def _take(self, message: m.Message) -> None:
+    def _handle_message(self, message: m.Message) -> None:
         if isinstance(message, m.Renewed):
-            asked = self.asked.pop(message.n, None)
-            if asked is not None:
-                self.valid_until = max(self.valid_until, asked + self.lease)
+            sent_at = self.renewals.pop(message.n, None)
+            if sent_at is not None:
+                self.valid_until = max(self.valid_until, sent_at + self.lease)
         elif isinstance(message, m.Give):
             self.lapsed = False
-            self.told.on_store_given(message.slices)
+            self.observer.on_slices_assigned(message.slices)
         elif isinstance(message, m.Take):
-            self.told.on_store_taken(message.slices)
+            self.observer.on_slices_revoked(message.slices)
             if self.link is not None:
                 self.link.send(m.Released(message.number))
         elif isinstance(message, m.Shares):
             if self.budgets is not None:
                 self.budgets.on_shares(message)
         elif isinstance(message, m.Committed):
-            then = self.waiting.pop(message.number, None)
+            then = self.pending_commits.pop(message.number, None)
             if then is not None:
                 then(message.denied)
 
-    def _renew(self, link: Link) -> Coroutine:
-        self.asked.clear()
-        every = self.lease // RENEWALS
-        wait = int(every * self.chance())  # those that opened together after a restart do not renew together
+    def _renew_loop(self, link: Link) -> Coroutine:
+        """Renews the lease periodically, starting after a random part of the period to spread the pilots."""
+        self.renewals.clear()
+        interval = self.lease // RENEWALS_PER_LEASE
+        wait = int(interval * self.rng())
         while not link.closed:
             yield from self.loop.sleep(wait)
-            wait = every
-            self.drawn += 1
-            self.asked[self.drawn] = self.loop.now()
+            wait = interval
+            self.last_number += 1
+            self.renewals[self.last_number] = self.loop.now()
             try:
-                link.send(m.Renew(self.drawn))
+                link.send(m.Renew(self.last_number))
             except StreamBroken:
                 return
--- a/cedarshift/pilot/terms.py
+++ b/cedarshift/pilot/terms.py
@@ -1,4 +1,4 @@
-"""A deployment's figures as the module's terms, in its units."""
+"""Converts a deployment's settings to the parameters of the decision module, in its time unit."""
 
 from __future__ import annotations
 
@@ -6,19 +6,24 @@
 from cedarshift.deployment import Deployment
 from cedarshift.interface import OpType, Terms
 
-UNIT = 100  # us in a tenth of a millisecond, the module's unit
+TICK_US = 100  # the decision module counts time in tenths of a millisecond
 
 
 def up(span: int) -> int:
-    return units.up(span, UNIT)
+    """Converts us to ticks, rounded up."""
+    return units.up(span, TICK_US)
 
 
 def down(span: int) -> int:
-    return units.down(span, UNIT)
+    """Converts us to ticks, rounded down."""
+    return units.down(span, TICK_US)
 
 
 def terms(deployment: Deployment, place: int, seed: int) -> Terms:
-    """`place`: the pilot's place among the deployment's pilots, from 0."""
+    """Returns the module's parameters for the pilot at index `place` of the deployment's pilots.
+
+    Durations that must not be undershot are rounded up, deadlines are rounded down.
+    """
     d, proxy, channel, rules = deployment, deployment.proxy, deployment.channel, deployment.rules
     ops = tuple(
         OpType(op.name, up(op.target_latency), up(op.op_timeout), op.writes, op.own_zone) for op in d.op_types
--- a/cedarshift/rehearsal/virtual.py
+++ b/cedarshift/rehearsal/virtual.py
@@ -26,8 +26,8 @@
 from cedarshift.loop.world import Host, World
 from cedarshift.overload.start import open_overload
 from cedarshift.pilot import PilotService
-from cedarshift.pilot.admin import admin_page
-from cedarshift.pilot.rights import bring_rights
+from cedarshift.pilot.admin import admin_handler
+from cedarshift.pilot.rights import attach_claims
 from cedarshift.rehearsal.fleet import HOST, Folk
 from cedarshift.store.ledger import MemoryLedger
 from cedarshift.store.service import StoreService
@@ -151,10 +151,10 @@
         service.budgets = open_budgets(
             loop, deployment.budgets, len(deployment.pilots), self._life(name), loop.report
         )
-        bring_rights(service)
+        attach_claims(service)
         service.overload = open_overload(loop, deployment, service, self._life(name), loop.report)
         if place.admin is not None:
-            loop.spawn(serve_http(loop, listen(loop, place.admin), admin_page(service)), "admin")
+            loop.spawn(serve_http(loop, listen(loop, place.admin), admin_handler(service)), "admin")
         return service
 
     def _membership(self, loop: Loop, deployment: Deployment, name: str, seed: int) -> Optional[Membership]:
--- a/cedarshift/sim/actors.py
+++ b/cedarshift/sim/actors.py
@@ -147,20 +147,20 @@
     def _op(self, number: int, kind: int) -> Coroutine:
         came, timeout = self.loop.now(), OP_TYPES[kind][2]
         self.drawn += 1
-        op = f"{self.name}-{self.agent.shares.life}-{self.drawn}"
-        self.agent.came(number, kind)
+        op = f"{self.name}-{self.agent.shares.incarnation}-{self.drawn}"
+        self.agent.on_op_received(number, kind)
         pick = yield from self.agent.pick_within(number, kind, self.buffer_for)
         if isinstance(pick, NoPick):
             self.outcomes["rejected"] += 1
             return
         begun = self.loop.now()
         self.recorder.note("send", op, number, OP_TYPES[kind][0], pick.endpoint, pick.pilot, pick.epoch)
-        self.agent.sent(pick)
+        self.agent.on_try_started(pick)
         acked = yield from self._carried(op, pick, number, kind, came + timeout)
-        self.agent.tried(pick, not acked, self.loop.now() - begun, kind)
+        self.agent.on_try_finished(pick, not acked, self.loop.now() - begun, kind)
         self.outcomes["acked" if acked else "aborted"] += 1
         if not acked:
-            self.agent.unanswered(number, kind)
+            self.agent.on_op_unanswered(number, kind)
 
     def _carried(self, op: str, pick: Pick, number: int, kind: int, until: int) -> Coroutine:
         waker: Waker = self.loop.waker()
--- a/cedarshift/sim/disk.py
+++ b/cedarshift/sim/disk.py
@@ -15,7 +15,7 @@
 import msgspec
 
 from cedarshift.judge.charge import Row
-from cedarshift.store.ledger import LEVELS, Damaged
+from cedarshift.store.ledger import LEVELS_DECODER, DamagedLedgerError
 
 
 class Disk:
@@ -68,17 +68,17 @@
         self.commits = 0
         self.life = 0
 
-    def begin(self) -> int:
+    def record_start(self) -> int:
         self.life += 1
         self._write([(-1, self.life, 0, "", "", b"")])
         return self.life
 
     def load(self) -> list[Row]:
-        """Raises Damaged where the disk can't be read, or a block other than the last is torn."""
+        """Raises DamagedLedgerError where the disk can't be read, or a block other than the last is torn."""
         try:
             blocks = self.disk.read()
         except sqlite3.Error as error:
-            raise Damaged(f"simulated disk: {error}. Nothing of it is served") from None
+            raise DamagedLedgerError(f"simulated disk: {error}. Nothing of it is served") from None
         rows = {n: Row(n) for n in range(self.slices)}
         for at, block in enumerate(blocks):
             body = block[4:]
@@ -86,12 +86,12 @@
                 if at == len(blocks) - 1:
                     self.disk.synced.pop()
                     break
-                raise Damaged(f"simulated disk: transaction {at} does not match its check sum")
+                raise DamagedLedgerError(f"simulated disk: transaction {at} does not match its check sum")
             for number, epoch, version, pilot, owner, levels in msgspec.msgpack.decode(body):
                 if number < 0:
                     self.life = epoch
                     continue
-                rows[number] = Row(number, epoch, version, pilot, owner, LEVELS.decode(levels))
+                rows[number] = Row(number, epoch, version, pilot, owner, LEVELS_DECODER.decode(levels))
         return list(rows.values())
 
     def put(self, rows: Iterable[Row]) -> None:
--- a/cedarshift/sim/oracles.py
+++ b/cedarshift/sim/oracles.py
@@ -90,7 +90,7 @@
         if self.stage.disk.short or self.stage.disk.lies:
             return
         now, clock = self.stage.world.clock.time, proxy.loop.now()
-        if clock < proxy.agent.frozen_until:
+        if clock < proxy.agent.applying_until:
             return
         for number in proxy.tables.held:
             pick = proxy.tables.pick(clock, number, WRITES, 0.5)
@@ -117,7 +117,7 @@
             if (row.epoch, row.version) > self.acked.get(number, (0, 0)):
                 self.acked[number] = (row.epoch, row.version)
         self._alone(name, pilot)
-        if pilot.channel.waiting > pilot.channel.waiting_most:  # type: ignore[attr-defined]
+        if pilot.channel.waiting > pilot.channel.max_waiting_lines:  # type: ignore[attr-defined]
             self._break("channel", f"{pilot.channel.waiting:.0f} lines wait at {name}")  # type: ignore[attr-defined]
 
     def _alone(self, name: str, pilot: Any) -> None:
@@ -138,7 +138,7 @@
         """What a pilot was told is committed stands in the store, unless its disk has lied."""
         if self.stage.disk.short or self.stage.disk.lies:
             return
-        for number, row in store.charge.rows.items():  # type: ignore[attr-defined]
+        for number, row in store.assignment.rows.items():  # type: ignore[attr-defined]
             if (row.epoch, row.version) < self.acked.get(number, (0, 0)):
                 self._break(
                     "lost-write",
--- a/cedarshift/sim/planted.py
+++ b/cedarshift/sim/planted.py
@@ -95,7 +95,7 @@
 
 
 def _ack_first() -> Patches:
-    take = Agent._take
+    take = Agent._handle_message
 
     def late(self: Any, name: str, link: Any, message: Any, beats: Any, cost: int) -> Coroutine:
         if (
@@ -106,7 +106,7 @@
             message = m.Order(message.seq, message.waited, message.lines, message.levels)
         yield from take(self, name, link, message, beats, cost)
 
-    return [(Agent, "_take", late)]
+    return [(Agent, "_handle_message", late)]
 
 
 def _lease_when_answered() -> Patches:
@@ -133,11 +133,11 @@
         holding.epoch, holding.pilot, holding.owner = row.epoch, pilot, row.owner
         holding.levels, holding.writes_until = list(row.levels), None
 
-    return [(Tables, "_take", take)]
+    return [(Tables, "_adopt_row", take)]
 
 
 def _lease_goes_on() -> Patches:
-    return [(Tables, "_leave", lambda self, now, holding: None)]
+    return [(Tables, "_revoke", lambda self, now, holding: None)]
 
 
 def _lines_are_passed_over() -> Patches:
@@ -147,11 +147,11 @@
         if line.weight > 0 or line.table % 2:
             set_owner(self, pilot, line)
 
-    return [(Tables, "_set_owner", some), (Tables, "_level", lambda self, levels, table, op_type: None)]
+    return [(Tables, "_set_owner", some), (Tables, "_check_level", lambda self, levels, table, op_type: None)]
 
 
 def _helpers_stay() -> Patches:
-    beat = Agent._beat
+    beat = Agent._heartbeat_loop
 
     def on_and_on(self: Any, every: int) -> Coroutine:
         while True:
@@ -161,7 +161,7 @@
         self.loop.spawn(on_and_on(self, every), f"agent {name} beat again")
         yield from beat(self, name, link, sent, every)
 
-    return [(Agent, "_beat", beats)]
+    return [(Agent, "_heartbeat_loop", beats)]
 
 
 # ---- the store
@@ -275,7 +275,7 @@
 def _always_in_charge() -> Patches:
     return [
         (StoreClient, "in_charge", lambda self: not self.lapsed),
-        (StoreClient, "_lapse", lambda self: None),
+        (StoreClient, "_check_lapsed", lambda self: None),
     ]
 
 
@@ -285,9 +285,9 @@
     def commit(self: Any, writes: Any, then: Any) -> bool:
         if self.link is None or not self.in_charge():
             return False
-        self.drawn += 1
-        self.waiting[self.drawn] = then
-        self.link.send(m.Commit(self.drawn, writes))
+        self.last_number += 1
+        self.pending_commits[self.last_number] = then
+        self.link.send(m.Commit(self.last_number, writes))
         return True
 
     return [(StoreClient, "commit", commit)]
@@ -295,18 +295,18 @@
 
 def _no_drift_taken_off() -> Patches:
     """As it was until run 718 found it."""
-    return [(store_client, "DRIFT_PARTS", 1 << 40)]
+    return [(store_client, "CLOCK_DRIFT_DIVISOR", 1 << 40)]
 
 
 def _sent_before_committed() -> Patches:
-    order = PilotService._order
+    order = PilotService._submit_batch
 
     def sent(self: Any, turn: Any) -> None:
         if self.deployment.slices:
-            self._send_turn(turn)
+            self._send_batch(turn)
         order(self, turn)
 
-    return [(PilotService, "_order", sent)]
+    return [(PilotService, "_submit_batch", sent)]
 
 
 def _denied_goes_out() -> Patches:
@@ -317,20 +317,20 @@
 
     return [
         (PilotService, "_committed", all_of_it),
-        (PilotService, "on_store_taken", lambda self, slices: None),
+        (PilotService, "on_slices_revoked", lambda self, slices: None),
     ]
 
 
 def _empty_turns_overtake() -> Patches:
-    order = PilotService._order
+    order = PilotService._submit_batch
 
     def ordered(self: Any, turn: Any) -> None:
         if self.deployment.slices and not self._writes(turn):
-            self._send_turn(turn)
+            self._send_batch(turn)
         else:
             order(self, turn)
 
-    return [(PilotService, "_order", ordered)]
+    return [(PilotService, "_submit_batch", ordered)]
 
 
 def _acks_date_back() -> Patches:
@@ -344,9 +344,9 @@
     def taken(self: Any, slices: list[int]) -> None:
         for number in slices:
             self.slices.pop(number, None)
-            self.brain.on_given(self._now(), number, False)
+            self.brain.on_given(self._now_ticks(), number, False)
 
-    return [(PilotService, "on_store_taken", taken)]
+    return [(PilotService, "on_slices_revoked", taken)]
 
 
 def _gone_is_kept() -> Patches:
--- a/cedarshift/sim/stage.py
+++ b/cedarshift/sim/stage.py
@@ -29,7 +29,7 @@
 from cedarshift.sim.disk import Disk, SimLedger
 from cedarshift.sim.scenario import SECOND, Fault, Scenario
 from cedarshift.standins.lists import ListPlan, ListService
-from cedarshift.store.ledger import Damaged
+from cedarshift.store.ledger import DamagedLedgerError
 from cedarshift.store.service import StoreService
 
 # The deployment: unit, then the reason for the size. All spans are short, so that many hand-overs fit a run.
@@ -201,8 +201,8 @@
                 BACK_AFTER,
                 lambda: chance.randbytes(16),
             )
-            self._see_owners(self.services["store"].charge)
-        except (Damaged, sqlite3.Error) as error:  # refused by name: nothing of it is served
+            self._see_owners(self.services["store"].assignment)
+        except (DamagedLedgerError, sqlite3.Error) as error:  # refused by name: nothing of it is served
             self.note(self.world.clock.time, "store", "damaged", {"error": str(error)})
             host.end()
 
