--- a/cedarshift/standins/proxy.py
+++ b/cedarshift/standins/proxy.py
@@ -14,7 +14,7 @@
 import msgspec
 
 from cedarshift.agent import Agent, NoPick, Pick, Tables
-from cedarshift.agent.gate import Turned
+from cedarshift.agent.gate import Rejection
 from cedarshift.agent.tables import ALL_TABLES, OpKind
 from cedarshift.codec import Badge
 from cedarshift.codec import messages as m
@@ -192,13 +192,13 @@
         number = slice_of(head.get("x-key", ""), self.plan.slices) if self.plan.slices else -1
         until = came + min(timeout, int(head.get("x-left-us", timeout)))
         fresh = head.get("x-try", "0") == "0"
-        self.agent.came(number, kind, fresh)
+        self.agent.on_op_received(number, kind, fresh)
         if not self._lets_in(kind, came):
-            return self._turned(head, number, Turned("kind", "later", 2 * AGAIN_AFTER))
+            return self._turned(head, number, Rejection("kind", "later", 2 * AGAIN_AFTER))
         pick = yield from self.agent.pick_within(number, kind, self.plan.buffer_us)
         if isinstance(pick, NoPick):
             again = "elsewhere" if pick.reason == "lease" else "later"
-            return self._turned(head, number, Turned(pick.reason, again, self._wait()))
+            return self._turned(head, number, Rejection(pick.reason, again, self._wait()))
         turned = self.agent.admit(pick, kind, until - self.loop.now(), fresh)
         if turned is not None:
             return self._turned(head, number, turned)
@@ -210,7 +210,7 @@
             self.plan.slices
             and answer.status != 200
             and answer.headers == NEVER_RAN
-            and "retries" in self.agent.shares.names
+            and "retries" in self.agent.shares.budget_by_use
         ):
             return (yield from self._once_more(head, number, kind, writes, until, answer))
         if (
@@ -224,11 +224,11 @@
             if isinstance(again, Pick) and again.endpoint != pick.endpoint:
                 answer = yield from self._send(head, again, number, writes, until)
         if answer.status not in (200, 503):
-            self.agent.unanswered(number, kind)
+            self.agent.on_op_unanswered(number, kind)
         elif answer.status == 200 and self.throttle is not None:
             self.throttle.acked(self.loop.now())
-        if answer.headers == NEVER_RAN and self.agent.gate.counting:
-            wait = self.agent.gate.wait(self.agent.gate.answer(self.loop.now(), pick.pilot))
+        if answer.headers == NEVER_RAN and self.agent.gate.counting_since:
+            wait = self.agent.gate.retry_delay(self.agent.gate.active_policy(self.loop.now(), pick.pilot))
             return answer._replace(headers=_again("later", wait))
         return answer
 
@@ -239,12 +239,12 @@
         return kind >= len(self.plan.let_in) or self.chance.random() < self.plan.let_in[kind]
 
     def _wait(self) -> int:
-        return self.agent.gate.wait() if self.agent.gate.counting else 2 * AGAIN_AFTER
+        return self.agent.gate.retry_delay() if self.agent.gate.counting_since else 2 * AGAIN_AFTER
 
-    def _turned(self, head: dict[str, str], number: int, turned: Turned) -> Answer:
+    def _turned(self, head: dict[str, str], number: int, turned: Rejection) -> Answer:
         """Rejected here; the client is told whether, when and where to come again."""
         self.recorder.note("turned", head.get("x-op", ""), number, turned.reason)
-        if not self.agent.gate.counting:
+        if not self.agent.gate.counting_since:
             return Answer(503, turned.reason.encode(), NEVER_RAN)
         return Answer(503, turned.reason.encode(), _again(turned.again, turned.wait))
 
@@ -260,12 +260,12 @@
         if isinstance(pick, Pick):
             answer = yield from self._send(head, pick, number, writes, until)
         if answer.status not in (200, 503):
-            self.agent.unanswered(number, kind)
+            self.agent.on_op_unanswered(number, kind)
         return answer
 
     def _send(self, head: dict[str, str], pick: Pick, number: int, writes: bool, until: int) -> Coroutine:
         begun = self.loop.now()
-        self.agent.sent(pick)
+        self.agent.on_try_started(pick)
         self.recorder.note(
             "send", head.get("x-op", ""), number, head["x-type"], pick.endpoint, pick.pilot, pick.epoch
         )
@@ -296,7 +296,7 @@
         except StreamBroken:
             pass
         full = answer.status == 503 and answer.headers == NEVER_RAN
-        self.agent.tried(
+        self.agent.on_try_finished(
             pick, answer.status != 200, self.loop.now() - begun, self.types[head["x-type"]][0], full
         )
         return answer
--- a/cedarshift/standins/spender.py
+++ b/cedarshift/standins/spender.py
@@ -66,7 +66,7 @@
         while True:
             yield from self.loop.sleep(STEP)
             for use, rate in self.wishes.items():
-                if use not in self.agent.shares.names:
+                if use not in self.agent.shares.budget_by_use:
                     continue  # nobody has told of budgets yet
                 owed[use] = min(2.0, owed.get(use, 0.0)) + rate * STEP / 1e6
                 while owed[use] >= 1:
--- a/cedarshift/store/__init__.py
+++ b/cedarshift/store/__init__.py
@@ -1,1 +1,1 @@
-"""Keeps the tables durably, and carries out who is in charge of which slice."""
+"""The store: keeps the tables durably and assigns slices to pilots."""
--- a/cedarshift/store/ledger.py
+++ b/cedarshift/store/ledger.py
@@ -1,7 +1,7 @@
-"""The durable side of the store: SQLite in WAL mode, every commit synced, every row with a check sum of its own.
+"""Durable storage of the store: SQLite in WAL mode, with synced commits and a checksum per row.
 
-`MemoryLedger` has the same calls and no disk. A file that is damaged, or belongs to another deployment, is refused with
-its name and a way back; nothing of it is served.
+`MemoryLedger` has the same interface without a disk. A file that is damaged or belongs to another deployment
+is refused as a whole.
 """
 
 from __future__ import annotations
@@ -17,9 +17,9 @@
 from cedarshift.codec.messages import Level
 from cedarshift.judge.charge import EPOCHS_A_LIFE, Row
 
-FORMAT = 1
-AHEAD_LIVES = 1_000  # lives of the store that a backup may be behind: a start a day for three years
-LEVELS = msgspec.msgpack.Decoder(list[Level])
+FORMAT_VERSION = 1
+RESTORE_START_OFFSET = 1_000  # starts of the store that a backup may be behind
+LEVELS_DECODER = msgspec.msgpack.Decoder(list[Level])
 
 SCHEMA = """
 CREATE TABLE IF NOT EXISTS about (name TEXT PRIMARY KEY, value TEXT NOT NULL) WITHOUT ROWID;
@@ -28,8 +28,8 @@
 """
 
 
-class Damaged(Exception):
-    """The file can't be trusted. The text names the file, what is wrong and the way back."""
+class DamagedLedgerError(Exception):
+    """The ledger file is damaged or unusable. The message names the file, the fault and how to recover."""
 
 
 def _checksum(row: Row, levels: bytes) -> int:
@@ -38,15 +38,18 @@
     )
 
 
-def durable(path: str) -> sqlite3.Connection:
-    """A database in WAL mode, synced at each commit, looked over. Raises sqlite3.Error where it can't be opened or is damaged."""
+def open_durable(path: str) -> sqlite3.Connection:
+    """Opens and checks a database in WAL mode with synced commits.
+
+    Raises sqlite3.Error if it can't be opened or is damaged.
+    """
     db = sqlite3.connect(path, isolation_level=None)
     try:
         db.execute("PRAGMA journal_mode=WAL")
         db.execute("PRAGMA synchronous=FULL")
-        found = [row[0] for row in db.execute("PRAGMA quick_check(3)")]
-        if found != ["ok"]:
-            raise sqlite3.DatabaseError("; ".join(found))
+        problems = [row[0] for row in db.execute("PRAGMA quick_check(3)")]
+        if problems != ["ok"]:
+            raise sqlite3.DatabaseError("; ".join(problems))
     except BaseException:
         db.close()
         raise
@@ -54,30 +57,32 @@
 
 
 @contextmanager
-def committed(db: sqlite3.Connection) -> Iterator[None]:
-    """One transaction: all of it, or none. A commit that the disk refuses is rolled back as well: left open, the transaction
-    would refuse every later one, also once the disk takes writes again."""
+def transaction(db: sqlite3.Connection) -> Iterator[None]:
+    """Runs the block in one transaction and rolls it back on any error.
+
+    A failed COMMIT is rolled back too: an open transaction would make every later one fail.
+    """
     db.execute("BEGIN IMMEDIATE")
     try:
         yield
         db.execute("COMMIT")
     except BaseException:
-        if db.in_transaction:  # some errors have rolled it back already
+        if db.in_transaction:  # some errors roll back by themselves
             db.execute("ROLLBACK")
         raise
 
 
 class MemoryLedger:
-    """Keeps nothing beyond the process; for tests and for runs in which the disk is not the subject."""
+    """Keeps the rows in memory, for tests and simulations."""
 
     def __init__(self, slices: int) -> None:
         self.rows = {n: Row(n) for n in range(slices)}
         self.commits = 0
-        self.life = 0
+        self.starts = 0
 
-    def begin(self) -> int:
-        self.life += 1
-        return self.life
+    def record_start(self) -> int:
+        self.starts += 1
+        return self.starts
 
     def load(self) -> list[Row]:
         return [
@@ -94,7 +99,10 @@
 
 
 class Ledger:
-    """A store's file. `put` returns once the rows would outlive a kill or a loss of power."""
+    """A store's file. `put` returns once the rows would survive a crash or a loss of power.
+
+    Raises DamagedLedgerError if the file can't be used.
+    """
 
     def __init__(self, path: str, deployment: str, slices: int) -> None:
         self.path = path
@@ -102,85 +110,87 @@
         self.commits = 0
         self.db: Optional[sqlite3.Connection] = None
         try:
-            self.db = durable(path)
-            self._agree(deployment)
+            self.db = open_durable(path)
+            self._check_header(deployment)
         except sqlite3.Error as error:
             self.close()
             raise self._damaged(str(error)) from None
-        except Damaged:
+        except DamagedLedgerError:
             self.close()
             raise
 
-    def _damaged(self, what: str) -> Damaged:
-        return Damaged(
-            f"{self.path}: {what}. Nothing of it is served. Way back: stop every pilot of the deployment, "
-            f"then `cedarshift store restore DEPLOYMENT-FILE --from BACKUP`, or move the file away to start "
-            f"empty; either way each slice waits out a lease and the settle time before it has an owner"
+    def _damaged(self, what: str) -> DamagedLedgerError:
+        return DamagedLedgerError(
+            f"{self.path}: {what}. The file is not used. To recover, stop every pilot of the deployment, "
+            f"then run `cedarshift store restore DEPLOYMENT-FILE --from BACKUP`, or move the file away to "
+            f"start empty; either way each slice has no owner until a lease and the settle time have passed"
         )
 
-    def _agree(self, deployment: str) -> None:
-        """Guards against the file of another deployment, or of another number of slices."""
+    def _check_header(self, deployment: str) -> None:
+        """Initialises a new file. Raises DamagedLedgerError if it was made for other settings."""
         assert self.db is not None
-        wanted = {"format": str(FORMAT), "deployment": deployment, "slices": str(self.slices)}
+        expected = {"format": str(FORMAT_VERSION), "deployment": deployment, "slices": str(self.slices)}
         self.db.execute("BEGIN IMMEDIATE")
         try:
             for statement in SCHEMA.split(";"):
                 self.db.execute(statement)
-            kept = dict(self.db.execute("SELECT name, value FROM about"))
-            if not kept:
-                self.db.executemany("INSERT INTO about VALUES (?, ?)", sorted(wanted.items()))
+            stored = dict(self.db.execute("SELECT name, value FROM about"))
+            if not stored:
+                self.db.executemany("INSERT INTO about VALUES (?, ?)", sorted(expected.items()))
                 self._write([Row(n) for n in range(self.slices)])
-                kept = wanted
+                stored = expected
         finally:
             self.db.execute("COMMIT")
-        for name, value in wanted.items():
-            if kept.get(name) != value:
-                raise Damaged(
-                    f"{self.path}: made for {name} {kept.get(name)!r}, the deployment says {value!r}"
+        for name, value in expected.items():
+            if stored.get(name) != value:
+                raise DamagedLedgerError(
+                    f"{self.path}: made for {name} {stored.get(name)!r}, the deployment says {value!r}"
                 )
 
-    def life(self) -> int:
-        """Of how many starts the file knows."""
+    def start_count(self) -> int:
+        """Returns how many starts of the store the file has recorded."""
         assert self.db is not None
-        found = self.db.execute("SELECT value FROM about WHERE name = 'life'").fetchone()
-        return int(found[0]) if found else 0
+        row = self.db.execute("SELECT value FROM about WHERE name = 'life'").fetchone()
+        return int(row[0]) if row else 0
+
+    def record_start(self, ahead: int = 0) -> int:
+        """Durably records a start, `ahead` numbers beyond the next, and returns its number, from 1.
 
-    def begin(self, ahead: int = 0) -> int:
-        """Counts a start, durably; the number of this life, from 1. A file of before lives were counted begins here. Raises Damaged where
-        the disk will not take it."""
+        Raises DamagedLedgerError if it can't be written.
+        """
         assert self.db is not None
         try:
-            life = self.life() + 1 + ahead
-            with committed(self.db):
-                self.db.execute("INSERT OR REPLACE INTO about VALUES ('life', ?)", (str(life),))
+            start = self.start_count() + 1 + ahead
+            with transaction(self.db):
+                self.db.execute("INSERT OR REPLACE INTO about VALUES ('life', ?)", (str(start),))
         except (sqlite3.Error, ValueError) as error:
             raise self._damaged(str(error)) from None
-        return life
+        return start
 
     def load(self) -> list[Row]:
-        """All rows. Raises Damaged if one is missing or its check sum is wrong."""
+        """Returns all rows. Raises DamagedLedgerError if one is missing or its checksum is wrong."""
         assert self.db is not None
         rows = []
         try:
-            got = self.db.execute(
+            records = self.db.execute(
                 "SELECT slice, epoch, version, pilot, owner, levels, checksum FROM slices ORDER BY slice"
             ).fetchall()
         except sqlite3.Error as error:
             raise self._damaged(str(error)) from None
-        for number, epoch, version, pilot, owner, levels, checksum in got:
+        for number, epoch, version, pilot, owner, levels, checksum in records:
             row = Row(number, epoch, version, pilot, owner)
             if not isinstance(levels, bytes) or _checksum(row, levels) != checksum:
-                raise self._damaged(f"the row of slice {number} does not match its check sum")
-            row.levels = LEVELS.decode(levels)
+                raise self._damaged(f"checksum mismatch in the row of slice {number}")
+            row.levels = LEVELS_DECODER.decode(levels)
             rows.append(row)
         if [row.slice for row in rows] != list(range(self.slices)):
-            raise self._damaged(f"{len(rows)} slices, {self.slices} wanted")
+            raise self._damaged(f"{len(rows)} slices, {self.slices} expected")
         return rows
 
     def put(self, rows: Iterable[Row]) -> None:
-        """One transaction, synced. Raises sqlite3.Error if the disk will not take it; then none of it is kept."""
+        """Writes rows in one synced transaction. Raises sqlite3.Error, with nothing written, if it fails."""
         assert self.db is not None
-        with committed(self.db):
+        with transaction(self.db):
             self._write(rows)
         self.commits += 1
 
@@ -196,13 +206,13 @@
         )
 
     def backup(self, target: str) -> None:
-        """A copy that is whole, while the store goes on."""
+        """Writes a consistent copy of the file to `target` while the store runs."""
         assert self.db is not None
-        other = sqlite3.connect(target + ".part")
+        copy = sqlite3.connect(target + ".part")
         try:
-            self.db.backup(other)
+            self.db.backup(copy)
         finally:
-            other.close()
+            copy.close()
         os.replace(target + ".part", target)
 
     def close(self) -> None:
@@ -212,16 +222,16 @@
 
 
 def restore(
-    path: str, backup: str, deployment: str, slices: int, ahead: int = AHEAD_LIVES * EPOCHS_A_LIFE
+    path: str, backup: str, deployment: str, slices: int, ahead: int = RESTORE_START_OFFSET * EPOCHS_A_LIFE
 ) -> int:
-    """Puts a backup in the place of a damaged file, which is kept beside it. Returns the number of slices.
+    """Replaces a damaged file, kept as `.damaged`, by a backup. Returns the number of slices.
 
-    A backup is old: an owner that it names may have been followed by another, so every line is emptied, and epochs start
-    far ahead of any that a proxy may have seen. The pilots then wait out a lease and the settle time for each slice.
+    The owners in a backup may be outdated, so all are cleared, and epochs are raised beyond any that a proxy
+    may have seen. The pilots then wait out a lease and the settle time for each slice.
     """
     source = Ledger(backup, deployment, slices)
     try:
-        rows, life = source.load(), source.life()
+        rows, starts = source.load(), source.start_count()
     finally:
         source.close()
     for suffix in ("", "-wal", "-shm"):
@@ -229,7 +239,7 @@
             os.replace(path + suffix, path + ".damaged" + suffix)
     target = Ledger(path, deployment, slices)
     try:
-        target.begin(life + AHEAD_LIVES)
+        target.record_start(starts + RESTORE_START_OFFSET)
         target.put(Row(row.slice, row.epoch + ahead, row.version + 1) for row in rows)
     finally:
         target.close()
--- a/cedarshift/store/service.py
+++ b/cedarshift/store/service.py
@@ -1,4 +1,4 @@
-"""Serves the store on a listener: sessions of pilots, commits in groups, reads of proxies."""
+"""The store's server: pilot sessions, group commits and table reads."""
 
 from __future__ import annotations
 
@@ -14,19 +14,17 @@
 from cedarshift.loop.core import Coroutine, Waker
 from cedarshift.store.ledger import Ledger, MemoryLedger
 
-MESSAGES_A_SECOND = 2_000  # from one peer; a pilot sends a commit a turn and renews a few times a second
-READERS_A_SECOND = (
-    500.0  # proxies that join to read all tables; pilots, whose leases run, are never held up by them
-)
-READERS_AT_ONCE = 100.0
+MAX_MESSAGES_PER_S = 2_000  # from one peer
+MAX_READERS_PER_S = 500.0  # proxies that read all tables, limited so that pilots are not delayed
+READER_BURST = 100.0
 
 
-def held(row: Row) -> m.Held:
+def to_held_row(row: Row) -> m.Held:
     return m.Held(row.slice, row.epoch, row.version, row.owner, row.levels)
 
 
-class Desk(Protocol):
-    """Who gives shares of the budgets: hears in one pass of the loop, carries out at its end."""
+class BudgetAllocator(Protocol):
+    """Allocates shares of the budgets: collects requests with `hear`, answers them in `carry_out`."""
 
     def hear(self, peer: Link, name: str, message: m.Message) -> None: ...
     def carry_out(self) -> None: ...
@@ -35,7 +33,10 @@
 
 
 class StoreService:
-    """One store. Every answer to a pilot follows the commit that it tells of."""
+    """Serves one store. Answers to a pilot are sent only after the commit they report.
+
+    `lease`, `takeover` and `back_after` are in us.
+    """
 
     def __init__(
         self,
@@ -48,27 +49,31 @@
         takeover: int,
         back_after: int,
         challenge: Callable[[], bytes] = lambda: b"",
-        desk: Optional[Desk] = None,
+        allocator: Optional[BudgetAllocator] = None,
     ) -> None:
         self.loop = loop
-        self.desk = desk  # of the budgets, where the deployment has any
+        self.allocator = allocator  # None without budgets
         self.listener = listener
         self.ledger = ledger
         self.badge = badge
-        self.charge = Charge(ledger.load(), pilots, lease, takeover, back_after, loop.now(), ledger.begin())
+        self.assignment = Charge(
+            ledger.load(), pilots, lease, takeover, back_after, loop.now(), ledger.record_start()
+        )
         self.challenge = challenge
-        self.peers: dict[str, Link] = {}  # the pilots' newest connections
-        self.numbers: dict[str, int] = {}  # and their sessions
-        self.waiting: list[tuple[Link, str, m.Commit]] = []
-        self.takes: dict[tuple[str, int], list[int]] = {}
-        self.drawn = 0
-        self.changed: Optional[Waker] = None
+        self.peers: dict[str, Link] = {}  # pilot -> newest connection
+        self.session_numbers: dict[str, int] = {}  # pilot -> session
+        self.waiting: list[tuple[Link, str, m.Commit]] = []  # commits not processed yet
+        self.pending_revocations: dict[tuple[str, int], list[int]] = {}  # (pilot, number) -> slices
+        self.last_number = 0
+        self.work_waker: Optional[Waker] = None
         self.denied = 0
-        self.gate = Gate(READERS_A_SECOND, READERS_AT_ONCE, loop.now())
-        self.rows_read: Any = None  # all rows as they were last packed, until one changes
+        self.reader_limiter = Gate(MAX_READERS_PER_S, READER_BURST, loop.now())
+        self.packed_rows: Any = None  # cache of all rows, packed
         self.tasks = [
-            loop.spawn(self._watch(), "store-watch"),
-            loop.spawn(serve(loop, listener, self._session, self._talk, loop.report), "store-accept"),
+            loop.spawn(self._process_loop(), "store-watch"),
+            loop.spawn(
+                serve(loop, listener, self._new_session, self._handle_connection, loop.report), "store-accept"
+            ),
         ]
 
     def stop(self) -> None:
@@ -78,133 +83,142 @@
         for peer in list(self.peers.values()):
             peer.close("stopping", "the store stops")
         self.ledger.close()
-        if self.desk is not None:
-            self.desk.close()
+        if self.allocator is not None:
+            self.allocator.close()
 
     # ---- sessions
 
-    def _session(self) -> Session:
-        return Session(self.badge, self._admit, self.challenge(), MESSAGES_A_SECOND)
+    def _new_session(self) -> Session:
+        return Session(self.badge, self._admit, self.challenge(), MAX_MESSAGES_PER_S)
 
     def _admit(self, hello: m.Hello) -> m.Welcome:
-        if hello.role == "pilot" and hello.id not in self.charge.gone_since:
-            raise Refused(f"pilot {hello.id!r} is none of {', '.join(self.charge.pilots)}")
-        if hello.role == "proxy" and (after := self.gate.ask(self.loop.now())):
-            raise Busy(f"{self.gate.sent_away} were sent away so far", after)
-        self.drawn += 1
-        return m.Welcome(self.drawn, self.charge.lease)
-
-    def _talk(self, peer: Link, first: list[m.Message]) -> Coroutine:
-        """One connection until it ends. A pilot's session outlives it until its lease has run out."""
+        """Accepts a peer. Raises Refused or, if it may retry later, Busy."""
+        if hello.role == "pilot" and hello.id not in self.assignment.gone_since:
+            raise Refused(f"unknown pilot {hello.id!r}, configured are {', '.join(self.assignment.pilots)}")
+        if hello.role == "proxy" and (after := self.reader_limiter.ask(self.loop.now())):
+            raise Busy(f"too many readers at once, {self.reader_limiter.sent_away} deferred so far", after)
+        self.last_number += 1
+        return m.Welcome(self.last_number, self.assignment.lease)
+
+    def _handle_connection(self, peer: Link, first: list[m.Message]) -> Coroutine:
+        """Handles one connection until it ends. A pilot's session outlives it until its lease expires."""
         name = peer.peer.id
-        got = first
+        messages = first
         try:
             while True:
-                for message in got:
+                for message in messages:
                     if isinstance(message, m.ReadTables):
-                        peer.send(m.Tables(message.number, self._rows()))
+                        peer.send(m.Tables(message.number, self._read_rows()))
                     elif isinstance(message, m.ReadBudgets):
                         peer.send(
-                            m.BudgetsHeld(message.number, self.desk.shown() if self.desk is not None else b"")
+                            m.BudgetsHeld(
+                                message.number, self.allocator.shown() if self.allocator is not None else b""
+                            )
                         )
                     else:
-                        self._hear(peer, name, message)
-                got = yield from peer.receive()
+                        self._handle_message(peer, name, message)
+                messages = yield from peer.receive()
         finally:
             if self.peers.get(name) is peer:
                 del self.peers[name]
 
-    def _rows(self) -> Any:
-        """All rows, packed once for all that read them until one changes: after a restart every proxy reads."""
-        if self.rows_read is None:
-            self.rows_read = pack_rows([held(row) for _, row in sorted(self.charge.rows.items())])
-        return self.rows_read
+    def _read_rows(self) -> Any:
+        """Returns all rows packed, cached until one changes, since after a restart every proxy reads them."""
+        if self.packed_rows is None:
+            self.packed_rows = pack_rows(
+                [to_held_row(row) for _, row in sorted(self.assignment.rows.items())]
+            )
+        return self.packed_rows
 
-    def _hear(self, peer: Link, name: str, message: m.Message) -> None:
+    def _handle_message(self, peer: Link, name: str, message: m.Message) -> None:
         now = self.loop.now()
         if isinstance(message, m.Open):
             former = self.peers.get(name)
             self.peers[name] = peer
             if former is not None and former is not peer:
                 former.close("replaced", f"a newer connection of pilot {name}")
-            self.numbers[name] = self.charge.open(now, name)
-            peer.send(m.Opened(self.numbers[name], self.charge.lease))
+            self.session_numbers[name] = self.assignment.open(now, name)
+            peer.send(m.Opened(self.session_numbers[name], self.assignment.lease))
             self._wake()
         elif self.peers.get(name) is not peer:
             peer.close("no-session", f"{type(message).__name__} before Open")
         elif isinstance(message, m.Renew):
-            if self.charge.renew(now, name, self.numbers[name]):
+            if self.assignment.renew(now, name, self.session_numbers[name]):
                 peer.send(m.Renewed(message.n))
             else:
                 peer.close("session-ended", "the session's lease had run out")
         elif isinstance(message, m.Released):
-            self.charge.released(name, self.takes.pop((name, message.number), ()))
+            self.assignment.released(name, self.pending_revocations.pop((name, message.number), ()))
             self._wake()
         elif isinstance(message, m.Leave):
-            self.charge.close(now, name, self.numbers[name])
+            self.assignment.close(now, name, self.session_numbers[name])
             self._wake()
         elif isinstance(message, m.Commit):
             self.waiting.append((peer, name, message))
             self._wake()
         elif isinstance(message, (m.AskShares, m.LeaveShares)):
-            if self.desk is not None:
-                self.desk.hear(peer, name, message)
+            if self.allocator is not None:
+                self.allocator.hear(peer, name, message)
                 self._wake()
             elif isinstance(message, m.AskShares):
                 peer.send(m.Shares(message.number, 0))
 
-    # ---- what is durable comes first
+    # ---- commits and assignments
 
     def _wake(self) -> None:
-        if self.changed is not None:
-            self.changed.wake()
+        if self.work_waker is not None:
+            self.work_waker.wake()
 
-    def _watch(self) -> Coroutine:
-        """Carries out commits and givings, all that came in one pass of the loop in one transaction."""
+    def _process_loop(self) -> Coroutine:
+        """Processes commits and assignment changes, those of one pass of the loop in one transaction."""
         while True:
-            self._commit()
-            self._give()
-            if self.desk is not None:
-                self.desk.carry_out()
+            self._process_commits()
+            self._apply_assignments()
+            if self.allocator is not None:
+                self.allocator.carry_out()
             if self.waiting:
                 continue
-            self.changed = self.loop.waker()
+            self.work_waker = self.loop.waker()
             try:
-                yield from self.loop.park(self.charge.due(self.loop.now()))
+                yield from self.loop.park(self.assignment.due(self.loop.now()))
             except TimedOut:
                 pass
             finally:
-                self.changed = None
+                self.work_waker = None
 
-    def _commit(self) -> None:
+    def _process_commits(self) -> None:
+        """Writes all waiting commits in one transaction, then answers them."""
         waiting, self.waiting = self.waiting, []
         now, rows, answers = self.loop.now(), {}, []
         for peer, name, commit in waiting:
             denied = []
             for write in commit.writes:
-                reason = self.charge.refusal(now, name, self.numbers.get(name, -1), write.slice, write.epoch)
+                reason = self.assignment.refusal(
+                    now, name, self.session_numbers.get(name, -1), write.slice, write.epoch
+                )
                 if reason or self.peers.get(name) is not peer:
                     denied.append(m.Denied(write.slice, write.epoch, reason or "from a former connection"))
                 else:
-                    rows[write.slice] = self.charge.write(write.slice, write.owner, write.levels)
+                    rows[write.slice] = self.assignment.write(write.slice, write.owner, write.levels)
             self.denied += len(denied)
             answers.append((peer, m.Committed(commit.number, denied)))
         if rows:
-            self.rows_read = None
+            self.packed_rows = None
             self.ledger.put(rows.values())
         for peer, answer in answers:
             peer.send(answer)
 
-    def _give(self) -> None:
-        step = self.charge.step(self.loop.now())
+    def _apply_assignments(self) -> None:
+        """Writes due changes of assignment, then informs the pilots."""
+        step = self.assignment.step(self.loop.now())
         if step.changed:
-            self.rows_read = None
+            self.packed_rows = None
             self.ledger.put(step.changed)
         for name, rows in step.given.items():
             if name in self.peers:
-                self.peers[name].send(m.Give([held(row) for row in rows]))
+                self.peers[name].send(m.Give([to_held_row(row) for row in rows]))
         for name, slices in step.taken.items():
             if name in self.peers:
-                self.drawn += 1
-                self.takes[name, self.drawn] = slices
-                self.peers[name].send(m.Take(slices, self.drawn))
+                self.last_number += 1
+                self.pending_revocations[name, self.last_number] = slices
+                self.peers[name].send(m.Take(slices, self.last_number))
--- a/tests/platform_parts.py
+++ b/tests/platform_parts.py
@@ -266,7 +266,7 @@
         return self.loop.run(self.loop.spawn(coroutine, "test"))
 
     def heard(self, event):
-        return [fields for name, fields in self.loop.heard if name == event]
+        return [fields for name, fields in self.loop.events if name == event]
 
     def order(self, *decisions):
         """Has the module decide these, beside whatever it decides itself."""
--- a/tests/program.py
+++ b/tests/program.py
@@ -1,4 +1,4 @@
-"""Builds what the program's tests need: a loop on a virtual clock, a deployment, and its parts in one process."""
+"""Test fixtures: a loop on a virtual clock and a deployment's store, pilots and proxies in one process."""
 
 import random
 
@@ -14,7 +14,7 @@
 
 SECOND = 1_000_000
 
-FILE = """
+DEPLOYMENT_TEMPLATE = """
 deployment "trial" {{
   slices = {slices}
   zones = ["z"]
@@ -49,16 +49,18 @@
 
 
 def virtual_loop(delay=200):
+    """A loop on a virtual clock and an in-memory network; `events` holds what was reported on it."""
     clock = VirtualClock()
-    heard = []
+    events = []
     loop = Loop(
-        clock, MemoryNetwork(clock, lambda: delay), lambda event, **fields: heard.append((event, fields))
+        clock, MemoryNetwork(clock, lambda: delay), lambda event, **fields: events.append((event, fields))
     )
-    loop.heard = heard
+    loop.events = events
     return loop
 
 
 def write_list(folder, endpoints, name="list.json"):
+    """Writes the endpoint list, a sequence of (endpoint, phase, start), atomically."""
     rows = ", ".join('{"endpoint": "%s", "phase": "%s", "start": "%s", "zone": "z"}' % e for e in endpoints)
     part = folder / (name + ".part")
     part.write_text('{"endpoints": [%s]}' % rows)
@@ -66,10 +68,13 @@
 
 
 def deployment(folder, pilots=2, slices=8, lines_per_s=6000, proxy="", endpoints="abcd", learn=""):
-    doors = "\n".join(f'pilot "p{i}" {{ listen = "127.0.0.1:{7100 + i}" }}' for i in range(pilots))
+    """Writes a deployment file and its endpoint list, and loads it."""
+    pilot_blocks = "\n".join(f'pilot "p{i}" {{ listen = "127.0.0.1:{7100 + i}" }}' for i in range(pilots))
     path = folder / "trial.hcl"
     path.write_text(
-        FILE.format(slices=slices, pilots=doors, lines_per_s=lines_per_s, proxy=proxy, learn=learn)
+        DEPLOYMENT_TEMPLATE.format(
+            slices=slices, pilots=pilot_blocks, lines_per_s=lines_per_s, proxy=proxy, learn=learn
+        )
     )
     write_list(folder, [(e, "on", "1") for e in endpoints])
     return load(str(path))
@@ -82,33 +87,33 @@
         self.loop, self.deployment = loop, deployment
         self.ledger = ledger or MemoryLedger(deployment.slices)
         self.store, self.pilots, self.agents = self.new_store(), {}, {}
-        for place in deployment.pilots:
-            self.new_pilot(place.name)
+        for pilot in deployment.pilots:
+            self.new_pilot(pilot.name)
         for n in range(proxies):
             self.new_agent(f"x{n}")
 
     def new_store(self):
-        d, place = self.deployment, self.deployment.store
+        d, store = self.deployment, self.deployment.store
         return StoreService(
             self.loop,
-            listen(self.loop, place.listen),
+            listen(self.loop, store.listen),
             self.ledger,
             Badge(d.name, "store", "store", "", d.secret),
             [p.name for p in d.pilots],
-            place.session_lease,
-            place.takeover,
-            place.back_after,
+            store.session_lease,
+            store.takeover,
+            store.back_after,
         )
 
     def new_pilot(self, name, seed=7, deployment=None):
-        door = listen(self.loop, self.deployment.pilot(name).listen)
+        listener = listen(self.loop, self.deployment.pilot(name).listen)
         self.pilots[name] = PilotService(
-            self.loop, door, deployment or self.deployment, name, seed, self.loop.report
+            self.loop, listener, deployment or self.deployment, name, seed, self.loop.report
         )
         return self.pilots[name]
 
     def new_agent(self, name):
-        d, chance = self.deployment, random.Random(name)
+        d, rng = self.deployment, random.Random(name)
         tables = Tables(
             d.slices, [OpKind(op.name, op.writes) for op in d.op_types], d.single_owner, d.proxy.lease, True
         )
@@ -118,7 +123,7 @@
             {p.name: p.listen for p in d.pilots},
             d.store.listen,
             tables,
-            chance.random,
+            rng.random,
         )
         return self.agents[name]
 
@@ -126,11 +131,12 @@
         self.loop.run(self.loop.spawn(self.loop.sleep(int(seconds * SECOND)), "wait"))
 
     def owners(self, name="x0"):
-        return {n: holding.owner for n, holding in self.agents[name].tables.held.items()}
+        """Slice -> owner, as known to a proxy."""
+        return {n: held.owner for n, held in self.agents[name].tables.held.items()}
 
 
 def kill(fleet, service):
-    """As kill -9: nothing is said, every stream ends, no task goes on."""
+    """Simulates SIGKILL: all tasks stop and all streams end without a message."""
     for task in list(service.tasks) + ([service.store.task] if getattr(service, "store", None) else []):
         task.cancel()
     service.listener.close()
@@ -145,18 +151,20 @@
         service.source.stop()
         if service.learning is not None:
             service.learning.stop()
-        service._pull = lambda: None
+        service._pull_decisions = lambda: None
         service.pulling = True
 
 
 class Watcher:
-    """Looks every few milliseconds at where each proxy would send a write of each slice, and holds it against rule two:
-    once a proxy may send to one owner, no proxy may to another until the settle time after the first ones last could."""
+    """Checks single ownership by polling where each proxy would send a write of each slice.
+
+    After the last proxy may send to one owner, none may send to another until the settle time is over.
+    """
 
-    STEP = 4_000
+    STEP = 4_000  # us
 
     def __init__(self, fleet, writes=1):
-        self.fleet, self.writes, self.broken = fleet, writes, []
+        self.fleet, self.writes, self.violations = fleet, writes, []
         self.last, self.owner, self.permitted, self.moves = {}, {}, 0, 0
         fleet.loop.spawn(self.watch(), "watcher")
 
@@ -165,20 +173,20 @@
         while True:
             now = loop.now()
             for agent in self.fleet.agents.values():
-                if now < agent.frozen_until:
+                if now < agent.applying_until:
                     continue
                 for number in agent.tables.held:
-                    got = agent.tables.pick(now, number, self.writes, 0.5)
-                    if hasattr(got, "endpoint"):
-                        self.permit(now, number, got.endpoint, settle)
+                    picked = agent.tables.pick(now, number, self.writes, 0.5)
+                    if hasattr(picked, "endpoint"):
+                        self.permit(now, number, picked.endpoint, settle)
             yield from loop.sleep(self.STEP)
 
     def permit(self, now, number, endpoint, settle):
         self.permitted += 1
-        before = self.owner.get(number)
-        if before not in (None, endpoint):
+        former = self.owner.get(number)
+        if former not in (None, endpoint):
             self.moves += 1
-            if now - self.last[number, before] < settle - self.STEP:
-                self.broken.append((now, number, before, endpoint))
+            if now - self.last[number, former] < settle - self.STEP:
+                self.violations.append((now, number, former, endpoint))
         self.owner[number] = endpoint
         self.last[number, endpoint] = now
--- a/tests/test_agent.py
+++ b/tests/test_agent.py
@@ -3,7 +3,7 @@
 
 from cedarshift.agent import Agent
 from cedarshift.agent.gate import ProxyGate
-from cedarshift.agent.shares import FRESH_MOST, ProxyShares
+from cedarshift.agent.shares import MAX_RETRY_CREDIT, ProxyShares
 from cedarshift.agent.tables import NoPick, OpKind, Pick, Tables
 from cedarshift.codec import OutOfOrder
 from cedarshift.codec import messages as m
@@ -11,9 +11,9 @@
 GET, PUT, LEASE, SECOND = 0, 1, 800_000, 1_000_000
 
 
-def tables(slices=2, epoch=5, owner="a", lease_until=LEASE, **how):
+def tables(slices=2, epoch=5, owner="a", lease_until=LEASE, **options):
     made = Tables(
-        slices, [OpKind("get", False), OpKind("put", True)], True, LEASE, how.pop("even", True), **how
+        slices, [OpKind("get", False), OpKind("put", True)], True, LEASE, options.pop("even", True), **options
     )
     made.on_join("p")
     made.on_snapshot(0, "p", m.Snapshot([m.Held(n, epoch, 1, owner) for n in range(slices)]))
@@ -26,7 +26,7 @@
 
 
 @pytest.mark.parametrize(
-    "op, now, got",
+    "op, now, expected",
     [
         (GET, 0, Pick("a", "p", 5)),
         (PUT, LEASE - 1, Pick("a", "p", 5)),
@@ -34,8 +34,8 @@
         (GET, 10 * LEASE, Pick("a", "p", 5)),
     ],
 )
-def test_a_write_needs_the_lease_and_a_read_does_not(op, now, got):
-    assert tables().pick(now, 0, op, 0.5) == got
+def test_a_write_needs_the_lease_and_a_read_does_not(op, now, expected):
+    assert tables().pick(now, 0, op, 0.5) == expected
 
 
 @pytest.mark.parametrize("epoch, weight, owner", [(5, 1.0, "b"), (4, 1.0, "a"), (5, 0.0, "a")])
@@ -45,7 +45,7 @@
     assert t.held[0].owner == owner
 
 
-def test_a_line_under_an_epoch_that_was_never_given_is_an_error():
+def test_a_line_with_an_epoch_that_was_never_assigned_is_an_error():
     with pytest.raises(OutOfOrder, match="epoch 6"):
         tables().on_order("p", order((0, "b", 1.0, 6)))
 
@@ -73,7 +73,7 @@
 
 
 @pytest.mark.parametrize("later", [0, LEASE // 2, 3 * LEASE])
-def test_a_slice_that_left_its_pilots_charge_gets_no_more_lease(later):
+def test_a_revoked_slice_gets_no_further_lease(later):
     t = tables()
     t.on_charge(0, "p", m.Charge(taken=[0]))
     t.on_lease("p", later)
@@ -82,7 +82,7 @@
     assert t.pick(LEASE, 0, GET, 0.5) == Pick("a", "p", 5)
 
 
-def test_what_the_store_holds_serves_reads_alone_and_yields_to_a_pilot():
+def test_the_stores_tables_serve_reads_only_and_are_replaced_by_a_pilots():
     t = Tables(1, [OpKind("get", False), OpKind("put", True)], True, LEASE, True)
     t.on_store([m.Held(0, 5, 1, "a")])
     assert t.pick(0, 0, GET, 0.5) == Pick("a", "", 5) and t.pick(0, 0, PUT, 0.5) == NoPick("lease")
@@ -92,7 +92,7 @@
     assert t.held[0].owner == "b"
 
 
-def test_level_nought_closes_writes_and_leaves_reads():
+def test_a_level_of_zero_closes_writes_and_not_reads():
     t = tables()
     t.on_order("p", order(levels=[m.Level(0, 1 << PUT, 0.0, 0, 5)]))
     assert t.pick(0, 0, PUT, 0.5) == NoPick("closed") and isinstance(t.pick(0, 0, GET, 0.5), Pick)
@@ -101,11 +101,11 @@
 
 
 @pytest.mark.parametrize("share", [0.1, 0.6, 0.85])
-def test_a_level_lets_its_share_in(share):
+def test_a_level_admits_its_share(share):
     t = tables()
     t.on_order("p", order(levels=[m.Level(65_535, 0, share)]))
-    let_in = sum(isinstance(t.pick(0, 0, GET, 0.5), Pick) for _ in range(500))
-    assert abs(let_in / 500 - share) < 0.02
+    admitted = sum(isinstance(t.pick(0, 0, GET, 0.5), Pick) for _ in range(500))
+    assert abs(admitted / 500 - share) < 0.02
 
 
 @pytest.mark.parametrize("even", [True, False])
@@ -113,11 +113,11 @@
     t = Tables(0, [OpKind("get", False)], False, LEASE, even)
     t.on_join("p")
     t.on_snapshot(0, "p", m.Snapshot(table=0, lines=[m.Line(0, "a", 3.0), m.Line(0, "b", 1.0)]))
-    got = [t.pick(0, -1, GET, n / 400).endpoint for n in range(400)]
-    assert got.count("a") == 300
+    picked = [t.pick(0, -1, GET, n / 400).endpoint for n in range(400)]
+    assert picked.count("a") == 300
 
 
-def test_an_endpoint_that_fails_in_a_row_is_avoided_while_there_is_another():
+def test_an_endpoint_with_consecutive_failures_is_avoided_while_there_is_another():
     t = Tables(0, [OpKind("get", False)], False, LEASE, True, outlier_after=2)
     t.on_join("p")
     t.on_snapshot(0, "p", m.Snapshot(table=0, lines=[m.Line(0, "a", 1.0), m.Line(0, "b", 1.0)]))
@@ -127,18 +127,19 @@
     assert {t.pick(4_000_000, -1, GET, 0.5).endpoint for _ in range(6)} == {"a", "b"}
 
 
-def test_an_avoided_endpoint_is_tried_again_only_by_a_token_for_that():
+def test_an_avoided_endpoint_is_probed_only_with_a_token():
     t, tokens = Tables(0, [OpKind("get", False)], False, LEASE, True, outlier_after=1), [True]
     t.may_probe = lambda: bool(tokens) and tokens.pop()
     t.on_join("p")
     t.on_snapshot(0, "p", m.Snapshot(table=0, lines=[m.Line(0, "a", 1.0), m.Line(0, "b", 1.0)]))
     t.on_outcome(0, "a", True)
     assert [t.pick(4_000_000, -1, GET, 0.5).endpoint for _ in range(8)].count("a") == 1
-    t.on_outcome(4_000_001, "a", False)  # its trial went well
+    t.on_outcome(4_000_001, "a", False)  # the probe succeeded
     assert [t.pick(4_000_002, -1, GET, 0.5).endpoint for _ in range(8)].count("a") >= 4
 
 
 def joined(of_fresh=0.0):
+    """Shares of a proxy that has joined pilot p and received a share of the retry budget."""
     shares = ProxyShares(5, 0)
     shares.on_join(0, "p", [m.BudgetOf("again", "retries", 500_000, of_fresh, 0.0)])
     shares.on_beat_ok(0, "p", m.BeatOk(1, True, 1, 9))
@@ -147,45 +148,45 @@
     return shares
 
 
-def test_a_proxy_spends_what_it_was_given_and_takes_nothing_to_another_pilot():
+def test_a_proxy_spends_its_share_and_takes_nothing_to_another_pilot():
     shares = joined()
     assert [shares.spend(500_000, "retries") for _ in range(6)] == [True] * 5 + [False]
     shares.on_lost(500_000, "p")
     shares.on_join(500_000, "q", [m.BudgetOf("again", "retries", 500_000, 0.0, 0.0)])
-    assert not shares.spend(3_000_000, "retries") and shares.right(3_000_000, "retries") == 0
+    assert not shares.spend(3_000_000, "retries") and shares.granted(3_000_000, "retries") == 0
 
 
-def test_where_nobody_told_of_budgets_everything_may_be_spent():
+def test_without_budgets_everything_may_be_spent():
     assert all(ProxyShares(5, 0).spend(0, "retries") for _ in range(100))
 
 
-def test_repeats_are_a_part_of_fresh_ops_whatever_the_fleet_would_allow():
+def test_repeats_are_limited_to_a_part_of_fresh_ops_whatever_the_fleet_allows():
     shares, spent = joined(of_fresh=0.125), 0
     for step in range(100):
-        shares.on_fresh()
+        shares.on_first_try()
         spent += shares.spend(500_000 + step * 30_000, "retries")
-    assert spent == int(FRESH_MOST) + 12
+    assert spent == int(MAX_RETRY_CREDIT) + 12
 
 
 @pytest.mark.parametrize("late", [0, 3_999_999, 4_000_000])
-def test_a_share_ends_for_a_proxy_that_hears_nothing_more(late):
+def test_a_share_expires_without_further_answers(late):
     assert joined().spend(late, "retries") == (0 < late < 4_000_000)
 
 
-def test_a_proxy_outlives_a_change_of_the_pilots_budgets():
+def test_a_proxy_handles_a_change_of_the_pilots_budgets():
     shares = joined()
     shares.on_lost(0, "p")
     shares.on_join(
         0, "p", [m.BudgetOf("trials", "probes", 500_000, 0.0, 0.0)]
-    )  # restarted with another block
+    )  # restarted with another budget
     assert shares.spend(0, "retries") and not shares.spend(0, "probes")
-    assert [want.budget for want in shares.on_beat(0, "p", m.Beat(1)).wants] == ["trials"]
+    assert [wanted.budget for wanted in shares.on_beat(0, "p", m.Beat(1)).wants] == ["trials"]
     shares.on_lost(0, "p")
-    shares.on_join(0, "p", [])  # and with none
+    shares.on_join(0, "p", [])  # restarted without budgets
     assert shares.spend(0, "probes") and shares.on_beat(SECOND, "p", m.Beat(2)).ask == 0
 
 
-def test_asks_are_as_far_apart_as_the_span_of_a_share_allows():
+def test_requests_are_spaced_by_the_span_of_a_share():
     shares, asked = joined(), []
     for step in range(1, 100):
         now = step * 200_000
@@ -198,13 +199,13 @@
     assert {after - before for before, after in zip(asked, asked[1:])} == {800_000}
 
 
-def test_a_repeat_earns_no_repeat():
+def test_a_repeat_earns_no_retry_credit():
     shares = joined(of_fresh=0.5)
     agent = Agent.__new__(Agent)
     agent.shares, agent.tables = shares, Tables(0, [], False, LEASE, True)
     agent.gate, agent.loop = ProxyGate(lambda: 0.5), virtual_loop()
-    before = shares.of_fresh["again"] = 0.0
-    agent.came(-1, 0, fresh=False)
-    assert shares.of_fresh["again"] == before
-    agent.came(-1, 0)
-    assert shares.of_fresh["again"] == 0.5
+    before = shares.retry_credit["again"] = 0.0
+    agent.on_op_received(-1, 0, fresh=False)
+    assert shares.retry_credit["again"] == before
+    agent.on_op_received(-1, 0)
+    assert shares.retry_credit["again"] == 0.5
--- a/tests/test_budgets.py
+++ b/tests/test_budgets.py
@@ -23,7 +23,7 @@
 from cedarshift.judge.spending import PARTS, Bucket, Wishes
 from cedarshift.rehearsal.planted import PLANTED, found
 from cedarshift.rehearsal.shares import explore, play
-from cedarshift.store.ledger import Damaged
+from cedarshift.store.ledger import DamagedLedgerError
 
 SECOND = 1_000_000
 LEASE = 2 * SECOND
@@ -266,7 +266,7 @@
             db.execute("UPDATE shares SET amount = 11")
     else:
         path.write_bytes(b"not a database" * 500)
-    with pytest.raises(Damaged, match=f"{path}.*Way back"):
+    with pytest.raises(DamagedLedgerError, match=f"{path}.*Way back"):
         ShareLedger(str(path)).load()
 
 
--- a/tests/test_last_answers.py
+++ b/tests/test_last_answers.py
@@ -145,4 +145,4 @@
             loop.spawn(pool.ask(("127.0.0.1", 80), "GET", "/", [], b"", loop.now() + SECOND), "ask")
         )
         assert reply.status == 500
-    assert pool.dialled == 1 and [event for event, _ in loop.heard] == ["request_failed"] * 2
+    assert pool.dialled == 1 and [event for event, _ in loop.events] == ["request_failed"] * 2
--- a/tests/test_loop.py
+++ b/tests/test_loop.py
@@ -97,8 +97,8 @@
 
     loop.spawn(bad(), "bad")
     loop.run(loop.spawn(loop.sleep(1000), "main"))
-    assert [(event, fields["task"]) for event, fields in loop.heard] == [("task_failed", "bad")]
-    assert "KeyError" in loop.heard[0][1]["traceback"]
+    assert [(event, fields["task"]) for event, fields in loop.events] == [("task_failed", "bad")]
+    assert "KeyError" in loop.events[0][1]["traceback"]
 
 
 def test_a_cancelled_task_cleans_up_and_join_tells_of_it():
@@ -113,7 +113,7 @@
     task = loop.spawn(waits(), "waits")
     loop.at(loop.now() + 100, task.cancel)
     loop.run(loop.spawn(loop.sleep(1000), "main"))
-    assert seen == ["cleaned"] and task.done and loop.heard == []
+    assert seen == ["cleaned"] and task.done and loop.events == []
 
 
 def test_a_stale_waker_wakes_nobody():
@@ -227,7 +227,7 @@
         return True
 
     assert loop.run(loop.spawn(main(), "main")) and ran == [1]
-    assert [event for event, _ in loop.heard] == ["timer_failed"]
+    assert [event for event, _ in loop.events] == ["timer_failed"]
 
 
 def test_timers_of_waits_that_ended_are_forgotten():
--- a/tests/test_overload.py
+++ b/tests/test_overload.py
@@ -9,7 +9,7 @@
 from hypothesis import strategies as st
 from program import virtual_loop
 
-from cedarshift.agent.gate import REPEATS_SAVED, TOLD_FOR, ProxyGate
+from cedarshift.agent.gate import MAX_SAVED_REPEATS, POLICY_TTL_US, ProxyGate
 from cedarshift.agent.tables import OpKind, Tables
 from cedarshift.cli.overload import shown_overload
 from cedarshift.codec import messages as m
@@ -287,7 +287,7 @@
 def gate(state="limited", share=0.5, mix=(0.6, 0.4), again=0.1, own=(), fair=()):
     made = ProxyGate(lambda: 0.5)
     made.on_join(0, "p", True)
-    made.on_told(
+    made.on_policy(
         0,
         "p",
         m.Told(state, share, again, 1_000_000, [0, 1], list(mix), [m.Own(*one) for one in own]),
@@ -310,7 +310,7 @@
     assert let_in(gate(fair=[0.5, 1.0]), 0) == pytest.approx(0.5 / 0.6 / 2, abs=0.02)
 
 
-@pytest.mark.parametrize("now, state", [(TOLD_FOR + 1, "limited"), (0, "calm")])
+@pytest.mark.parametrize("now, state", [(POLICY_TTL_US + 1, "limited"), (0, "calm")])
 def test_what_was_told_ends_by_itself_or_by_a_word(now, state):
     assert let_in(gate(state), 1, now=now) == 1.0
 
@@ -318,25 +318,25 @@
 def test_without_a_pilot_that_counts_all_passes_and_nothing_is_counted():
     made = ProxyGate(lambda: 0.5)
     made.on_join(0, "p", False)
-    made.came(0, "p", 0, True)
-    assert made.admit(0, "p", "e", 0, 0, False) is None and made.loads(SECOND, "p") == []
+    made.on_op_received(0, "p", 0, True)
+    assert made.admit(0, "p", "e", 0, 0, False) is None and made.take_loads(SECOND, "p") == []
 
 
 def test_repeats_pass_by_the_part_that_fresh_ops_earn():
     made = gate("calm")
     for _ in range(300):
-        made.came(0, "p", 0, True)
+        made.on_op_received(0, "p", 0, True)
     turned = [made.admit(0, "p", "e", 0, 6 * SECOND, False) for _ in range(100)]
-    assert turned.count(None) == REPEATS_SAVED and {one.again for one in turned if one} == {"no"}
+    assert turned.count(None) == MAX_SAVED_REPEATS and {one.again for one in turned if one} == {"no"}
     for _ in range(30):
-        made.came(0, "p", 0, True)
+        made.on_op_received(0, "p", 0, True)
     assert [made.admit(0, "p", "e", 0, 6 * SECOND, False) for _ in range(10)].count(None) == 3
 
 
 def test_a_try_that_cannot_end_in_time_is_not_made():
     made = gate("calm")
     for _ in range(5):
-        made.ended(0, "p", "e", 0, "acked", 2 * SECOND)
+        made.on_try_finished(0, "p", "e", 0, "acked", 2 * SECOND)
     assert made.admit(0, "p", "e", 0, SECOND, True).reason == "late"
     assert (
         made.admit(0, "p", "e", 0, 3 * SECOND, True) is None
@@ -349,16 +349,16 @@
 
 def test_loads_tell_what_came_and_what_became_of_it_and_begin_anew():
     made = gate("calm")
-    made.came(0, "p", 0, True)
-    made.came(0, "p", 0, False)
+    made.on_op_received(0, "p", 0, True)
+    made.on_op_received(0, "p", 0, False)
     made.admit(0, "p", "e", 0, 6 * SECOND, True)
-    made.ended(0, "p", "e", 0, "acked", 300_000)
-    made.ended(0, "p", "e", 1, "full", 0)
-    assert made.loads(SECOND, "p") == [
+    made.on_try_finished(0, "p", "e", 0, "acked", 300_000)
+    made.on_try_finished(0, "p", "e", 1, "full", 0)
+    assert made.take_loads(SECOND, "p") == [
         m.Load(0, 1, 1, 1, 1, 0, 0, 300_000, SECOND),
         m.Load(1, 0, 0, 0, 0, 0, 1, 0, SECOND),
     ]
-    assert made.loads(2 * SECOND, "p") == []
+    assert made.take_loads(2 * SECOND, "p") == []
 
 
 # ---- joinings
@@ -513,7 +513,7 @@
     tables = lines_of(a=1.0, b=1.0)
     tables.on_trials(0, "p", {"a": 0.0})
     assert {tables.pick(0, -1, 0, 0.5).endpoint for _ in range(20)} == {"b"}
-    tables.on_leave(0, "a")
+    tables.on_probe_permit(0, "a")
     assert tables.pick(0, -1, 1, 0.5).endpoint == "b"  # an op that writes is no probe
     assert [tables.pick(0, -1, 0, 0.5).endpoint for _ in range(3)].count("a") == 1
     tables.on_trials(0, "p", {"a": 0.25})
@@ -665,7 +665,7 @@
 )
 def test_a_word_that_does_not_fit_itself_is_passed_over(order, mix):
     made = gate()
-    made.on_told(0, "p", m.Told("limited", 0.0, 0.0, 0, order, mix), [])
+    made.on_policy(0, "p", m.Told("limited", 0.0, 0.0, 0, order, mix), [])
     assert let_in(made, 0) == pytest.approx(0.5 / 0.6, abs=0.02)
 
 
@@ -711,9 +711,9 @@
 def test_a_pilot_that_falls_silent_in_a_jam_leaves_repeats_as_in_peace():
     made = gate("jam", again=0.0)
     made.repeats = 0.0
-    for now, earned in ((0, 0.0), (TOLD_FOR + 1, 1.0)):
+    for now, earned in ((0, 0.0), (POLICY_TTL_US + 1, 1.0)):
         for _ in range(10):
-            made.came(now, "p", 0, True)
+            made.on_op_received(now, "p", 0, True)
         assert made.repeats == pytest.approx(earned)
 
 
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -1,4 +1,4 @@
-"""The small parts of pilot, roster, web and command line, each on its own."""
+"""Unit tests of the channel, the intake, the endpoint list, HTTP, the command line and bench days."""
 
 import json
 
@@ -19,34 +19,34 @@
 from cedarshift.web import Answer, Pool, serve_http
 from cedarshift.web.client import NotSent
 
-DOOR = ("127.0.0.1", 7400)
+ADDRESS = ("127.0.0.1", 7400)
 
 
-# ---- the channel and the intake
+# ---- channel and intake
 
 
-def test_messages_leave_at_the_stated_pace_and_in_order():
+def test_messages_leave_at_the_configured_rate_and_in_order():
     c = PacedChannel(1000, 100, 9, 0, 0)
     for n in range(3):
         c.put(0, n, 1, n)
-    left = []
+    sent = []
     for now in range(0, 40_000, 1000):
-        while (w := c.take(now)) is not None:
-            left.append((now, w.item))
-    assert left == [(10_000, 0), (20_000, 1), (30_000, 2)] and c.waiting == 0 and c.peak == 30
+        while (message := c.take(now)) is not None:
+            sent.append((now, message.item))
+    assert sent == [(10_000, 0), (20_000, 1), (30_000, 2)] and c.waiting == 0 and c.peak == 30
 
 
-def test_a_breach_of_rule_five_is_counted_where_it_happens():
+def test_violations_of_the_channels_limits_are_counted():
     c = PacedChannel(1000, 25, 9, 2, 10 * SECOND)
     for _ in range(3):
         c.put(0, 1, 1, None)
-    assert c.breaches == 1  # 30 lines waited
+    assert c.breaches == 1  # 30 lines were queued
     while c.take(SECOND):
         pass
-    assert c.breaches == 2  # and three messages went to one proxy
+    assert c.breaches == 2  # three messages were sent to one proxy
 
 
-def test_what_waits_for_a_broken_stream_is_lost_and_no_longer_waits():
+def test_messages_queued_for_a_broken_stream_are_dropped():
     c = PacedChannel(1000, 100, 9, 0, 0)
     c.put(0, 1, 1, "a")
     c.put(0, 2, 1, "b")
@@ -54,28 +54,28 @@
     assert c.waiting == 10 and c.take(SECOND).item == "b"
 
 
-def test_sums_beyond_the_intake_add_up_and_follow_oldest_first():
+def test_reports_beyond_the_intake_rate_accumulate_and_follow_oldest_first():
     i = Intake(2, SECOND, 0)
     for now in (0, 100):
-        i.add_met(now, "z", Met("a", 4, 1, 100, 50))
-        i.add_met(now, "y", Met("b", 2, 2, 0, 50))
-        i.add_heat(now, Heat(3, 0, 5, 1, 50))
-    mets, heats = i.take(SECOND)
-    assert [(m.endpoint, m.zone, m.tries, m.aborted, m.took) for m in mets] == [
+        i.add_outcomes(now, "z", Met("a", 4, 1, 100, 50))
+        i.add_outcomes(now, "y", Met("b", 2, 2, 0, 50))
+        i.add_slice_ops(now, Heat(3, 0, 5, 1, 50))
+    outcomes, slice_ops = i.take(SECOND)
+    assert [(one.endpoint, one.zone, one.tries, one.aborted, one.took) for one in outcomes] == [
         ("a", "z", 8, 2, 100),
         ("b", "y", 4, 4, 0),
     ]
-    assert heats == [] and i.lines_waiting() == 1
+    assert slice_ops == [] and i.lines_waiting() == 1
     assert i.take(2 * SECOND)[1][0][:4] == (3, 0, 10, 2)
 
 
-def test_more_aborted_than_tried_is_taken_as_all_aborted():
+def test_more_aborted_than_tried_counts_as_all_aborted():
     i = Intake(9, SECOND, 0)
-    i.add_met(0, "z", Met("a", 2, 9, 100, 50))
+    i.add_outcomes(0, "z", Met("a", 2, 9, 100, 50))
     assert i.take(SECOND)[0][0][2:5] == (2, 2, 0)
 
 
-# ---- the roster
+# ---- endpoint list
 
 
 @pytest.mark.parametrize(
@@ -89,29 +89,29 @@
         (b'{"endpoints": [], "kind": "some"}', "kind"),
     ],
 )
-def test_a_broken_list_is_refused_with_entry_and_reason(raw, reason):
+def test_an_invalid_list_is_refused_with_entry_and_reason(raw, reason):
     with pytest.raises(ListRefused, match=reason):
         parse_list(raw, "list")
 
 
-def test_a_start_is_worked_out_once_and_never_wavers():
+def test_a_start_time_is_computed_once_and_stays():
     s = Starts()
     assert [e.started for e in s.entries(50 * SECOND, [Listed("a", start="1")])] == [None]
-    assert s.entry(55 * SECOND, Listed("c", start="1")).started == 550_000  # it came later: it may be cold
+    assert s.entry(55 * SECOND, Listed("c", start="1")).started == 550_000  # added later, so it may be cold
     first = s.entry(60 * SECOND, Listed("b", start="1", age_ms=2_000)).started
     assert first == 580_000
     assert s.entry(61 * SECOND, Listed("b", start="1", age_ms=3_007)).started == first
     assert s.entry(62 * SECOND, Listed("a", start="2")).started == 620_000
 
 
-def test_a_file_that_breaks_leaves_the_list_in_force(tmp_path):
-    loop, told = virtual_loop(), []
+def test_an_invalid_file_leaves_the_list_in_force(tmp_path):
+    loop, received = virtual_loop(), []
     write_list(tmp_path, [("a", "on", "1")])
     FileSource(
         loop,
         str(tmp_path / "list.json"),
         1000,
-        lambda kind, entries: told.append([e.endpoint for e in entries]),
+        lambda kind, entries: received.append([e.endpoint for e in entries]),
         loop.report,
     )
     loop.run(loop.spawn(loop.sleep(5000), "wait"))
@@ -119,30 +119,30 @@
     loop.run(loop.spawn(loop.sleep(5000), "wait"))
     write_list(tmp_path, [("a", "on", "1"), ("b", "on", "1")])
     loop.run(loop.spawn(loop.sleep(5000), "wait"))
-    assert told == [["a"], ["a", "b"]] and [event for event, _ in loop.heard] == ["list_refused"]
+    assert received == [["a"], ["a", "b"]] and [event for event, _ in loop.events] == ["list_refused"]
 
 
 def entry_of(name, phase="on"):
     return {"endpoint": name, "phase": phase, "size": 1.0, "zone": "z", "start": "1", "born_us": 0}
 
 
-class Notes:
+class NullRecorder:
     def note(self, *details):
         pass
 
 
-def test_a_list_service_is_followed_through_changes_and_darkness_and_kept_on_disk(tmp_path):
-    loop, told = virtual_loop(), []
-    service = ListService(loop, ListPlan(DOOR), Notes())
+def test_a_list_service_is_followed_through_changes_and_an_outage_and_saved_to_disk(tmp_path):
+    loop, received = virtual_loop(), []
+    service = ListService(loop, ListPlan(ADDRESS), NullRecorder())
     service._control({"entries": [entry_of("a"), entry_of("b")]})
     saved = SavedList(str(tmp_path / "saved.json"))
     source = ServiceSource(
         loop,
-        DOOR,
+        ADDRESS,
         "p0",
         False,
         saved,
-        lambda kind, got: told.append((kind, [(e.endpoint, e.phase) for e in got])),
+        lambda kind, entries: received.append((kind, [(e.endpoint, e.phase) for e in entries])),
         loop.report,
         lambda: 0.5,
     )
@@ -150,34 +150,41 @@
     service._control({"mode": "unreachable", "for_s": 3})
     service._control({"entries": [entry_of("b", "fading")]})
     loop.run(loop.spawn(loop.sleep(2 * SECOND), "wait"))
-    assert told == [("replace", [("a", "on"), ("b", "on")])]
+    assert received == [("replace", [("a", "on"), ("b", "on")])]
     loop.run(loop.spawn(loop.sleep(4 * SECOND), "wait"))
-    assert told[1:] == [("update", [("b", "fading")])] and source.name == "list:" + service.name
-    again = []
+    assert received[1:] == [("update", [("b", "fading")])] and source.name == "list:" + service.name
+    restored = []
     ServiceSource(
         loop,
         ("127.0.0.1", 9),
         "p0",
         False,
         saved,
-        lambda kind, got: again.append((kind, len(got))),
+        lambda kind, entries: restored.append((kind, len(entries))),
         loop.report,
         lambda: 0.5,
     )
     loop.run(loop.spawn(loop.sleep(SECOND), "wait"))
-    assert again == [("restored", 2)]
+    assert restored == [("restored", 2)]
 
 
-def test_a_service_that_is_asked_and_does_not_answer_is_told_as_unavailable():
-    loop, told = virtual_loop(), []
+def test_a_service_that_does_not_answer_a_request_is_reported_as_unavailable():
+    loop, kinds = virtual_loop(), []
     source = ServiceSource(
-        loop, DOOR, "p0", True, SavedList(""), lambda kind, got: told.append(kind), loop.report, lambda: 0.5
+        loop,
+        ADDRESS,
+        "p0",
+        True,
+        SavedList(""),
+        lambda kind, entries: kinds.append(kind),
+        loop.report,
+        lambda: 0.5,
     )
     loop.run(loop.spawn(loop.sleep(SECOND), "wait"))
-    assert told == []
+    assert kinds == []
     source.ask()
     loop.run(loop.spawn(loop.sleep(SECOND), "wait"))
-    assert told == ["unavailable"]
+    assert kinds == ["unavailable"]
 
 
 # ---- HTTP
@@ -185,20 +192,20 @@
 
 def web(handler):
     loop = virtual_loop()
-    loop.spawn(serve_http(loop, listen(loop, DOOR), handler), "http")
+    loop.spawn(serve_http(loop, listen(loop, ADDRESS), handler), "http")
     return loop, Pool(loop, 100_000)
 
 
-def ask(loop, pool, **how):
+def request(loop, pool, **options):
     return loop.run(
         loop.spawn(
             pool.ask(
-                DOOR,
+                ADDRESS,
                 "POST",
                 "/op",
                 [("x-a", "1")],
-                how.get("body", b"hi"),
-                loop.now() + how.get("within", SECOND),
+                options.get("body", b"hi"),
+                loop.now() + options.get("within", SECOND),
             ),
             "ask",
         )
@@ -206,33 +213,33 @@
 
 
 def test_a_connection_is_kept_for_the_next_request():
-    def handler(asked):
+    def handler(received):
         yield from loop.breathe()
-        return Answer(200, asked.body + asked.headers["x-a"].encode())
+        return Answer(200, received.body + received.headers["x-a"].encode())
 
     loop, pool = web(handler)
-    assert [ask(loop, pool).body for _ in range(3)] == [b"hi1"] * 3 and pool.dialled == 1
+    assert [request(loop, pool).body for _ in range(3)] == [b"hi1"] * 3 and pool.dialled == 1
 
 
 @pytest.mark.parametrize(
     "answer, error",
     [(Answer(200, b"hello", cut=2), StreamBroken), (Answer(200, None), StreamBroken), (None, TimedOut)],
 )
-def test_a_reply_that_breaks_off_or_never_comes_is_an_error(answer, error):
-    def handler(asked):
+def test_an_incomplete_or_missing_reply_is_an_error(answer, error):
+    def handler(received):
         yield from loop.sleep(0 if answer else 10 * SECOND)
         return answer
 
     loop, pool = web(handler)
-    with pytest.raises(error) as found:
-        ask(loop, pool)
-    assert not isinstance(found.value, NotSent)
+    with pytest.raises(error) as raised:
+        request(loop, pool)
+    assert not isinstance(raised.value, NotSent)
 
 
-def test_nothing_is_sent_where_nobody_listens():
+def test_a_refused_connection_sends_nothing():
     loop = virtual_loop()
     with pytest.raises(NotSent):
-        ask(loop, Pool(loop, 100_000))
+        request(loop, Pool(loop, 100_000))
 
 
 @pytest.mark.parametrize(
@@ -243,22 +250,22 @@
         (b"POST / HTTP/1.1\r\nhost: a\r\ncontent-length: 90000\r\n\r\n" + b"z" * 90_000, b"413"),
     ],
 )
-def test_a_request_that_breaks_a_limit_is_answered_with_the_reason(raw, status):
-    loop, _ = web(lambda asked: iter(()))
+def test_a_request_beyond_a_limit_is_answered_with_the_reason(raw, status):
+    loop, _ = web(lambda received: iter(()))
 
     def client():
-        stream = yield from dial(loop, DOOR)
+        stream = yield from dial(loop, ADDRESS)
         stream.write(raw)
         return (yield from stream.read(loop.now() + SECOND))
 
     assert status in loop.run(loop.spawn(client(), "client"))[:20]
 
 
-# ---- the command line, and days of the bench
+# ---- command line and bench days
 
 
 @pytest.mark.parametrize(
-    "arguments, code, said",
+    "arguments, code, output",
     [
         (["version"], 0, "cedarshift 0"),
         (["check", "examples/lone.hcl"], 0, "32 slices"),
@@ -269,9 +276,9 @@
         (["tables", "examples/lone.hcl", "p0"], 1, "127.0.0.1:7180"),
     ],
 )
-def test_the_command_line_says_what_is_wrong(arguments, code, said):
-    got = CliRunner().invoke(main, arguments)
-    assert got.exit_code == code and said in got.output
+def test_the_command_line_reports_errors(arguments, code, output):
+    result = CliRunner().invoke(main, arguments)
+    assert result.exit_code == code and output in result.output
 
 
 def bench_day(troubles, **changes):
@@ -366,7 +373,7 @@
 
 
 @pytest.mark.parametrize(
-    "given, faults, said",
+    "given, faults, line",
     [
         (trouble("crash", on=[3, 7]), ["kill_endpoint"], "1 endpoints are killed"),
         (trouble("balancer_crash", on=[16]), ["kill_pilot"], "1 pilots and 0 proxies"),
@@ -382,17 +389,17 @@
         (trouble("sharks"), [], "NOT PLAYED, an unknown kind"),
     ],
 )
-def test_a_bench_days_troubles_are_played_or_said_not_to_be(tmp_path, given, faults, said):
+def test_a_bench_days_troubles_are_played_or_reported_as_unsupported(tmp_path, given, faults, line):
     path = tmp_path / "day.json"
     path.write_text(json.dumps(bench_day([given])))
     day, lines = map_day(str(path))
-    assert [f.kind for f in day.faults] == faults and any(said in line for line in lines)
+    assert [f.kind for f in day.faults] == faults and any(line in printed for printed in lines)
     assert all(f.at >= 9_000_000 for f in day.faults) and (day.endpoints, day.proxies) == (10, 8)
 
 
-@pytest.mark.parametrize("spoil", [{"family": "proxy"}, {"fam": {}}, {"tiers": []}])
-def test_a_file_that_is_no_such_day_is_refused(tmp_path, spoil):
+@pytest.mark.parametrize("changes", [{"family": "proxy"}, {"fam": {}}, {"tiers": []}])
+def test_a_file_that_is_no_bench_day_is_refused(tmp_path, changes):
     path = tmp_path / "day.json"
-    path.write_text(json.dumps(bench_day([], **spoil)))
+    path.write_text(json.dumps(bench_day([], **changes)))
     with pytest.raises(ValueError, match="day.json: "):
         map_day(str(path))
--- a/tests/test_pilot.py
+++ b/tests/test_pilot.py
@@ -1,4 +1,4 @@
-"""The real pilot, store and agents on a virtual clock; each test causes one failure and looks at what the proxies hold."""
+"""Pilots, store and agents on a virtual clock: each test causes a failure and checks the proxies' tables."""
 
 import pytest
 from program import SECOND, Fleet, Watcher, deployment, kill, virtual_loop, write_list
@@ -23,11 +23,11 @@
     write_list(tmp_path, [(e, "fading" if e in names else "on", "1") for e in endpoints])
 
 
-def sound(watcher):
-    assert watcher.broken == [] and watcher.permitted > 0
+def assert_single_ownership(watcher):
+    assert watcher.violations == [] and watcher.permitted > 0
 
 
-def test_a_drained_endpoint_is_left_by_every_proxy_within_the_grace(tmp_path):
+def test_every_proxy_leaves_a_drained_endpoint_within_the_grace(tmp_path):
     f = fleet(tmp_path)
     w = Watcher(f)
     drain(tmp_path, "a")
@@ -35,31 +35,31 @@
     assert all("a" not in f.owners(x).values() for x in f.agents)
     f.run(4)
     assert "" not in f.owners().values() and w.moves > 0
-    sound(w)
+    assert_single_ownership(w)
 
 
 @pytest.mark.parametrize("reached", [1, 2])
-def test_a_pilot_killed_with_its_turn_half_sent_leaves_no_slice_with_two_owners(tmp_path, reached):
+def test_a_pilot_killed_with_a_batch_half_sent_leaves_no_slice_with_two_owners(tmp_path, reached):
     f = fleet(tmp_path)
     w = Watcher(f)
     pilot, sent = f.pilots["p0"], []
     deliver = pilot._deliver
 
-    def half(number, item):
+    def deliver_then_kill(number, item):
         if len(sent) == reached:
             kill(f, pilot)
             return
         sent.append(number)
         deliver(number, item)
 
-    pilot._deliver = half
+    pilot._deliver = deliver_then_kill
     drain(tmp_path, "ab")
     f.run(15)
-    assert len(sent) == reached and all(row.pilot == "p1" for row in f.store.charge.rows.values())
+    assert len(sent) == reached and all(row.pilot == "p1" for row in f.store.assignment.rows.values())
     for x in f.agents:
         owners = f.owners(x)
         assert "" not in owners.values() and not {"a", "b"} & set(owners.values())
-    sound(w)
+    assert_single_ownership(w)
 
 
 def test_a_killed_pilot_comes_back_and_gets_its_slices_back(tmp_path):
@@ -67,12 +67,12 @@
     w = Watcher(f)
     kill(f, f.pilots["p0"])
     f.run(4)
-    assert {row.pilot for row in f.store.charge.rows.values()} == {"p1"}
+    assert {row.pilot for row in f.store.assignment.rows.values()} == {"p1"}
     f.new_pilot("p0")
     f.run(6)
-    assert {row.pilot for row in f.store.charge.rows.values()} == {"p0", "p1"}
+    assert {row.pilot for row in f.store.assignment.rows.values()} == {"p0", "p1"}
     assert f.store.denied == 0
-    sound(w)
+    assert_single_ownership(w)
 
 
 def test_the_store_killed_between_an_order_and_its_answer_loses_nothing(tmp_path):
@@ -81,14 +81,14 @@
     store, committed = f.store, []
     put = f.ledger.put
 
-    def put_and_die(rows):
+    def put_then_kill(rows):
         put(rows)
         if not committed:
             committed.append(len(list(rows)))
             kill(f, store)
             raise SystemError("killed")
 
-    f.ledger.put = put_and_die
+    f.ledger.put = put_then_kill
     drain(tmp_path, "a")
     f.run(0.5)
     assert committed
@@ -97,72 +97,72 @@
     f.run(12)
     for x in f.agents:
         assert "" not in f.owners(x).values() and "a" not in f.owners(x).values()
-    sound(w)
+    assert_single_ownership(w)
 
 
-def swallow(link):
-    """Both directions of a link fall silent, while it stays open."""
+def blackhole(link):
+    """Drops all data of a link in both directions while it stays open."""
     near, far = link.stream.pipe, link.stream.pipe.peer
     near.send = far.send = len
 
 
-def test_a_pilot_cut_off_from_the_store_stops_in_time_and_its_late_orders_reach_nobody(tmp_path):
+def test_a_pilot_cut_off_from_the_store_stops_in_time_and_its_late_orders_are_refused(tmp_path):
     f = fleet(tmp_path)
     w = Watcher(f)
     old, store = f.pilots["p0"], f.pilots["p0"].store.address
-    swallow(old.store.link)
+    blackhole(old.store.link)
     old.store.address = ("127.0.0.1", 9)
     f.run(2.1)
     assert not old.store.in_charge()
     f.run(1)
-    assert {row.pilot for row in f.store.charge.rows.values()} == {"p1"}
-    number = next(n for n, row in f.store.charge.rows.items() if f.store.charge.home(n) == "p0")
+    assert {row.pilot for row in f.store.assignment.rows.values()} == {"p1"}
+    number = next(n for n, row in f.store.assignment.rows.items() if f.store.assignment.home(n) == "p0")
     refused = f.agents["x0"].tables.stale
     order = m.Order(f.agents["x0"].tables.views["p0"].seq + 1, 0, [m.Line(number, "d", 1.0, 1)])
-    for session in list(old.proxies.values()):  # as if it had lain in a socket all the while
+    for session in list(old.proxies.values()):  # as if delayed in a socket buffer
         session.link.send(order)
     before = f.owners()[number]
     f.run(0.1)
     assert f.owners()[number] == before and f.agents["x0"].tables.stale == refused + 1
     old.store.address = store
     f.run(9)
-    assert {row.pilot for row in f.store.charge.rows.values()} == {"p0", "p1"}
-    sound(w)
+    assert {row.pilot for row in f.store.assignment.rows.values()} == {"p0", "p1"}
+    assert_single_ownership(w)
 
 
-def test_a_pilot_whose_session_lapsed_takes_it_up_again(tmp_path):
+def test_a_pilot_whose_session_lapsed_opens_a_new_one(tmp_path):
     f = fleet(tmp_path)
-    swallow(f.pilots["p0"].store.link)
+    blackhole(f.pilots["p0"].store.link)
     f.run(3)
     assert f.pilots["p0"].store.in_charge() and len(f.pilots["p0"].slices) == 4
 
 
-def test_two_pilots_that_both_believe_they_are_in_charge_are_told_apart_by_the_epoch(tmp_path):
+def test_a_commit_with_a_former_epoch_is_refused(tmp_path):
     f = fleet(tmp_path)
     old = f.pilots["p0"]
-    epoch = f.store.charge.rows[0].epoch
-    f.store.numbers["p0"] = f.store.charge.open(f.loop.now(), "p0")  # another life of p0 opened a session
+    epoch = f.store.assignment.rows[0].epoch
+    f.store.session_numbers["p0"] = f.store.assignment.open(f.loop.now(), "p0")  # another process of p0
     f.store._wake()
-    heard = []
+    denied = []
     old.store.link.send(m.Commit(10_000, [m.Write(0, epoch, "evil")]))
-    old.store.waiting[10_000] = heard.extend
+    old.store.pending_commits[10_000] = denied.extend
     f.run(0.01)
-    assert [d.reason for d in heard] == [f"epoch {epoch}, now {epoch + 1}"]
-    assert f.store.charge.rows[0].owner != "evil"
+    assert [d.reason for d in denied] == [f"epoch {epoch}, now {epoch + 1}"]
+    assert f.store.assignment.rows[0].owner != "evil"
 
 
-def test_a_write_stops_a_lease_after_the_last_answer_and_reads_go_on(tmp_path):
+def test_writes_stop_a_lease_after_the_last_answer_and_reads_continue(tmp_path):
     f = fleet(tmp_path)
     agent = f.agents["x0"]
     for link in agent.links.values():
-        swallow(link)
+        blackhole(link)
     f.run(0.9)
     now = f.loop.now()
     assert agent.tables.pick(now, 0, 1, 0.5) == NoPick("lease")
     assert isinstance(agent.tables.pick(now, 0, 0, 0.5), Pick)
 
 
-def test_a_proxy_that_acks_and_dies_holds_a_hand_over_no_longer_than_its_lease(tmp_path):
+def test_a_proxy_that_dies_delays_a_hand_over_no_longer_than_its_lease(tmp_path):
     f = fleet(tmp_path)
     w = Watcher(f)
     drain(tmp_path, "a")
@@ -174,7 +174,7 @@
         link.stream.close()
     f.run(6)
     assert "a" not in f.owners("x1").values() and "" not in f.owners("x1").values()
-    sound(w)
+    assert_single_ownership(w)
 
 
 def peer_of(f, name="bad"):
@@ -183,7 +183,7 @@
 
 
 @pytest.mark.parametrize(
-    "what, code",
+    "fault, code",
     [
         ("garbage", "frame-too-large"),
         ("2 GB", "frame-too-large"),
@@ -192,20 +192,20 @@
         ("flood", "too-many-messages"),
     ],
 )
-def test_a_bad_peer_is_told_why_and_delays_no_order_to_another(tmp_path, what, code):
+def test_a_bad_peer_gets_the_reason_and_delays_no_order_to_another(tmp_path, fault, code):
     f = fleet(tmp_path)
     bytes_of = {"garbage": b"\xffGET / HTTP/1.1\r\n\r\n", "2 GB": HEAD.pack(2 << 30, 17, 1)}
 
     def bad():
         link, _ = yield from peer_of(f)
         session = link.session
-        if what in bytes_of:
-            link.stream.write(bytes_of[what])
-        elif what == "hello twice":
+        if fault in bytes_of:
+            link.stream.write(bytes_of[fault])
+        elif fault == "hello twice":
             from cedarshift.codec.frames import encode
 
             link.stream.write(encode(m.Hello("trial", "proxy", "bad")))
-        elif what == "unsent mark":
+        elif fault == "unsent mark":
             link.send(m.Ack(12_345))
         else:
             for n in range(1000):
@@ -214,15 +214,15 @@
             while True:
                 yield from link.receive(f.loop.now() + SECOND)
         except Exception as error:
-            told.append(str(error))
+            errors.append(str(error))
         assert session.state == "closed"
 
-    told = []
+    errors = []
     f.loop.spawn(bad(), "bad")
     drain(tmp_path, "a")
     f.run(3.3)
-    assert len(told) == 1 and told[0].startswith(code)
-    assert code in [fields.get("code") for event, fields in f.loop.heard if event == "session_refused"]
+    assert len(errors) == 1 and errors[0].startswith(code)
+    assert code in [fields.get("code") for event, fields in f.loop.events if event == "session_refused"]
     assert all("a" not in f.owners(x).values() for x in f.agents)
 
 
@@ -230,23 +230,23 @@
     f = fleet(tmp_path)
     pilot = f.pilots["p0"]
 
-    def deaf():
+    def slow_reader():
         link, _ = yield from peer_of(f, "deaf")
-        while not link.stream.closed:  # beats keep it joined; it reads three bytes a second at most
+        while not link.stream.closed:  # heartbeats keep it joined while it reads three bytes a second
             link.send(m.Beat(1))
             link.stream.pipe.recv(3)
             yield from f.loop.sleep(SECOND)
 
-    f.loop.spawn(deaf(), "deaf")
+    f.loop.spawn(slow_reader(), "deaf")
     f.run(0.5)
     session = next(s for s in pilot.proxies.values() if s.name == "deaf")
     session.link.stream.write_most = 2_000
-    session.link.stream.pipe.peer.held = 65_536  # what the kernel holds for it is full
+    session.link.stream.pipe.peer.held = 65_536  # full socket buffer
     drain(tmp_path, "a")
     f.run(3.3)
     assert all("a" not in f.owners(x).values() for x in f.agents)
-    took = sorted(pilot.in_force_us)
-    assert took[-1] < 500_000, "an order waited for the deaf proxy"
+    latencies = sorted(pilot.in_force_us)
+    assert latencies[-1] < 500_000, "an order waited for the slow reader"
 
 
 def test_three_hundred_proxies_connect_within_a_second_after_a_restart(tmp_path):
@@ -271,20 +271,20 @@
     drain(tmp_path, "a")
     f.run(8)
     assert "a" not in f.owners().values() and "" not in f.owners().values()
-    sound(w)
+    assert_single_ownership(w)
 
 
-def test_a_pilot_that_stops_in_good_order_is_followed_without_waiting_for_its_lease(tmp_path):
+def test_the_slices_of_a_pilot_that_stops_are_reassigned_without_waiting_for_its_lease(tmp_path):
     f = fleet(tmp_path)
     w = Watcher(f)
     f.pilots["p0"].stop()
     f.run(0.7)
-    assert {row.pilot for row in f.store.charge.rows.values()} == {"p1"}
+    assert {row.pilot for row in f.store.assignment.rows.values()} == {"p1"}
     f.run(3)
-    sound(w)
+    assert_single_ownership(w)
 
 
-def test_a_reload_while_an_order_is_being_sent_lets_it_end_and_nothing_is_lost(tmp_path):
+def test_a_reload_while_an_order_is_being_sent_loses_nothing(tmp_path):
     f = fleet(tmp_path, lines_per_s=300)
     w, pilot, sent = Watcher(f), f.pilots["p0"], []
     deliver = pilot._deliver
@@ -305,13 +305,13 @@
     pilot._deliver = reload_in_between
     drain(tmp_path, "a")
     f.run(12)
-    assert sent[:3] == [0, 1, 2] and pilot.intake.per_s == 9.0
-    home = [n for n, row in f.store.charge.rows.items() if row.pilot == "p0"]
-    assert home and all(f.owners(x)[n] in "cd" for x in f.agents for n in home)
-    sound(w)
+    assert sent[:3] == [0, 1, 2] and pilot.intake.lines_per_s == 9.0
+    assigned = [n for n, row in f.store.assignment.rows.items() if row.pilot == "p0"]
+    assert assigned and all(f.owners(x)[n] in "cd" for x in f.agents for n in assigned)
+    assert_single_ownership(w)
 
 
-def test_streams_that_break_at_once_are_dialled_again_and_nothing_moves(tmp_path):
+def test_streams_that_all_break_are_redialled_and_no_slice_moves(tmp_path):
     f = fleet(tmp_path)
     w, owners = Watcher(f), f.owners()
     for agent in f.agents.values():
@@ -319,7 +319,7 @@
             link.stream.pipe.cut()
     f.run(3)
     assert all(len(agent.links) == 2 for agent in f.agents.values()) and f.owners() == owners
-    sound(w)
+    assert_single_ownership(w)
 
 
 def test_a_newer_stream_of_the_same_proxy_replaces_the_older(tmp_path):
@@ -330,7 +330,7 @@
     assert f.pilots["p0"].counts["joins"] == joins + 1 and len(f.pilots["p0"].proxies) == 3
 
 
-def test_more_proxies_than_stated_are_refused_with_the_limit(tmp_path):
+def test_proxies_beyond_the_limit_are_refused(tmp_path):
     f = fleet(tmp_path)
     f.pilots["p0"].deployment = f.deployment.__class__(**{**f.deployment.__dict__, "proxies_most": 3})
 
@@ -343,18 +343,18 @@
     assert task.done and task.error is None
 
 
-def test_a_dial_that_never_shakes_hands_is_closed(tmp_path):
+def test_a_connection_without_a_handshake_is_closed(tmp_path):
     f = fleet(tmp_path)
 
     def mute():
         stream = yield from dial(f.loop, f.deployment.pilots[0].listen)
-        begun = f.loop.now()
+        started = f.loop.now()
         try:
-            while (yield from stream.read(begun + 10 * SECOND)):
+            while (yield from stream.read(started + 10 * SECOND)):
                 pass
         except StreamBroken:
             pass
-        return f.loop.now() - begun
+        return f.loop.now() - started
 
     task = f.loop.spawn(mute(), "mute")
     f.run(5)
--- a/tests/test_redial.py
+++ b/tests/test_redial.py
@@ -51,13 +51,13 @@
 
 
 class Told:
-    def on_store_given(self, rows):
+    def on_slices_assigned(self, rows):
         pass
 
-    def on_store_taken(self, slices):
+    def on_slices_revoked(self, slices):
         pass
 
-    def on_store_lost(self):
+    def on_store_session_lost(self):
         pass
 
 
@@ -76,7 +76,7 @@
             number,
             Told(),
             lambda event, host=host, **fields: dials.append(host.loop.now()),
-            chance=chance.random,
+            rng=chance.random,
         )
     begin = host.loop.now()
     world.run(host.loop.spawn(host.loop.sleep(20 * SECOND), "until then"))
@@ -106,7 +106,7 @@
 def test_a_charge_ends_at_its_time_while_no_dial_may_be_made():
     world, told = World(5), Told()
     door, host = world.host("10.0.1.1"), world.host("10.0.0.1")
-    told.on_store_lost = lambda: lapsed.append(host.loop.now())
+    told.on_store_session_lost = lambda: lapsed.append(host.loop.now())
     store = StoreService(
         door.loop,
         listen(door.loop, ("10.0.1.1", 7000)),
@@ -127,7 +127,7 @@
             told,
             lambda event, **fields: None,
             budgets=NoDials(),
-            chance=lambda: 0.5,
+            rng=lambda: 0.5,
         ),
     )
     world.run(host.loop.spawn(host.loop.sleep(SECOND), "joined"))
@@ -213,7 +213,7 @@
             n,
             Told(),
             host.loop.report,
-            chance=random.Random(n).random,
+            rng=random.Random(n).random,
         )
     runner = world.host("runner")
 
@@ -245,10 +245,10 @@
     assert counts[0] <= 10 + 40 + 40 / 4 and all(
         later - former <= 40 + 40 / 4 for former, later in zip(counts, counts[1:])
     )
-    assert counts[-1] == 310 and pilot.gate.sent_away >= 200
+    assert counts[-1] == 310 and pilot.join_limiter.sent_away >= 200
     lost = [
         fields
-        for event, fields in loop.heard
+        for event, fields in loop.events
         if event.startswith("session_") and fields["peer"] in {f"x{n}" for n in range(10)}
     ]
     assert {fields["reason"] for fields in lost} <= {"done: read"}  # their reads at the store, before
--- a/tests/test_roster_pilot.py
+++ b/tests/test_roster_pilot.py
@@ -10,7 +10,7 @@
 from cedarshift.cli.tables import shown_members
 from cedarshift.codec.zookeeper import records as r
 from cedarshift.deployment import load
-from cedarshift.pilot.intake import ZoneMet
+from cedarshift.pilot.intake import ZoneOutcomes
 from cedarshift.roster.formats import Member
 from cedarshift.roster.register import RegisterTerms, Registration
 from cedarshift.roster.sources import FileSource
@@ -71,7 +71,7 @@
     gone = town.fleet.owners()[0]
     town.members[gone[0]].drain()
     town.run(3)  # the rule's grace
-    assert gone not in town.owners() and not town.watcher.broken
+    assert gone not in town.owners() and not town.watcher.violations
 
 
 def test_sessions_that_expire_and_return_move_nothing(tmp_path):
@@ -89,7 +89,7 @@
     gone = town.fleet.owners()[0]
     town.members[gone[0]].stop()
     town.run(9)
-    assert gone not in town.owners() and not town.watcher.broken and town.moves() > 0
+    assert gone not in town.owners() and not town.watcher.violations and town.moves() > 0
 
 
 @pytest.mark.parametrize("after", [0.05, 0.3, 1.0, 2.0])
@@ -101,7 +101,7 @@
     sessions = [f"{pilot.source.client.session:#x}" for pilot in town.fleet.pilots.values()]
     town.ensemble.control({"expire": sessions})
     town.run(9)
-    assert gone not in town.owners() and "" not in town.owners() and not town.watcher.broken
+    assert gone not in town.owners() and "" not in town.owners() and not town.watcher.violations
     assert all(pilot.source.client.counts["expiries"] == 1 for pilot in town.fleet.pilots.values())
 
 
@@ -112,9 +112,9 @@
     town.members[gone[0]].stop()
     for _ in range(24):
         for pilot in town.fleet.pilots.values():
-            pilot._take_sums([ZoneMet(gone, "z", 20, 0, 50_000, 500_000)], [])
+            pilot._apply_sums([ZoneOutcomes(gone, "z", 20, 0, 50_000, 500_000)], [])
         town.run(0.5)
-    assert (gone in town.owners()) is stands and not town.watcher.broken
+    assert (gone in town.owners()) is stands and not town.watcher.violations
 
 
 def test_a_pilot_that_is_cut_off_keeps_its_list_and_says_how_old_it_is(tmp_path):
--- a/tests/test_sim.py
+++ b/tests/test_sim.py
@@ -22,7 +22,7 @@
 from cedarshift.sim.play import play
 from cedarshift.sim.scenario import KINDS, Fault, altered, draw, from_json, with_faults
 from cedarshift.sim.shrink import shrink
-from cedarshift.store.ledger import Damaged
+from cedarshift.store.ledger import DamagedLedgerError
 
 # Runs that found a bug, kept as they were drawn then, and the bug as it can be planted again.
 REGRESSIONS = {
@@ -276,5 +276,5 @@
     with pytest.raises(sqlite3.OperationalError):
         ledger.put([Row(0, 1)])
     disk.full, disk.unreadable = False, True
-    with pytest.raises(Damaged):
+    with pytest.raises(DamagedLedgerError):
         ledger.load()
--- a/tests/test_store_faults.py
+++ b/tests/test_store_faults.py
@@ -1,4 +1,4 @@
-"""A store whose disk refuses a commit for a while."""
+"""A store whose disk temporarily refuses commits."""
 
 import sqlite3
 
@@ -8,8 +8,8 @@
 from cedarshift.store.ledger import Ledger
 
 
-class RefusingCommits:
-    """A database whose next commits fail, as with a full disk; the transaction stays open, as SQLite leaves it."""
+class FailingCommits:
+    """A database whose next commits fail as on a full disk, with the transaction left open as SQLite does."""
 
     def __init__(self, real, times):
         self.real, self.times = real, times
@@ -24,13 +24,13 @@
         return getattr(self.real, name)
 
 
-def test_a_commit_that_the_disk_refuses_spoils_no_later_one(tmp_path):
+def test_a_failed_commit_does_not_affect_later_ones(tmp_path):
     ledger = Ledger(str(tmp_path / "store.db"), "trial", 2)
-    ledger.db = RefusingCommits(ledger.db, 2)
+    ledger.db = FailingCommits(ledger.db, 2)
     for _ in range(2):
         with pytest.raises(sqlite3.OperationalError, match="full"):
             ledger.put([Row(0, 1, 1, "p0", "a")])
-    assert ledger.load()[0].owner == ""  # none of it is kept
+    assert ledger.load()[0].owner == ""  # nothing was written
     ledger.put([Row(0, 2, 2, "p0", "b")])
     ledger.close()
     assert Ledger(str(tmp_path / "store.db"), "trial", 2).load()[0].owner == "b"
--- a/tests/test_zookeeper.py
+++ b/tests/test_zookeeper.py
@@ -641,7 +641,7 @@
     loop.spawn(asks(), "asks")
     loop.run(loop.spawn(loop.sleep(20 * SECOND), "wait"))
     assert failed and set(failed) <= {Code.CONNECTION_LOSS, Code.SESSION_EXPIRED}
-    assert 2 <= rogue.sessions < 60 and not [e for e, _ in loop.heard if e == "task_failed"]
+    assert 2 <= rogue.sessions < 60 and not [e for e, _ in loop.events if e == "task_failed"]
 
 
 def test_a_connect_to_nowhere_waits_longer_each_round_and_not_for_ever():
@@ -805,7 +805,7 @@
     assert set(zoo.ensemble._children()) == set(zoo.source.judge.nodes)
     assert {name: entry.phase for name, entry in zoo.listed.items() if entry.phase != "off"} == there
     assert set(there) == set(zoo.members) and not late and not empty
-    assert not [fields for event, fields in zoo.loop.heard if event == "task_failed"]
+    assert not [fields for event, fields in zoo.loop.events if event == "task_failed"]
 
 
 def test_what_an_event_overtook_is_not_told():
--- a/tests/zoo.py
+++ b/tests/zoo.py
@@ -98,4 +98,4 @@
         return [phase for _, name, phase in self.told if name == endpoint]
 
     def reports(self, event):
-        return [fields for name, fields in self.loop.heard if name == event]
+        return [fields for name, fields in self.loop.events if name == event]
