--- a/benchmarks/lending.py
+++ b/benchmarks/lending.py
@@ -23,7 +23,7 @@
 from cedarshift.loop import listen
 from cedarshift.loop.epoll import real_loop
 from cedarshift.pilot import PilotService
-from cedarshift.pilot.intake import SliceOps, ZoneOutcomes
+from cedarshift.pilot.intake import SliceTotals, ZoneTotals
 from cedarshift.pilot.learning import unpack_chunk
 
 ENDPOINTS, SLICES, LENT_SLICES = 12, 96, 20_000
@@ -48,16 +48,14 @@
             assert pilot.lending is not None
             for n in range(LENT_SLICES):
                 for k in range(4):
-                    pilot.lending.record_slice_ops(
-                        loop.now(), "fetch", SliceOps(n, 0, 40 + k, n % 3, 1_000_000)
+                    pilot.lending.record_slice_stats(
+                        loop.now(), "fetch", SliceTotals(n, 0, 40 + k, n % 3, 1_000_000)
                     )
             for n in range(ENDPOINTS):
                 for k in range(24):
-                    pilot.lending.record_outcomes(
+                    pilot.lending.record_endpoint_stats(
                         loop.now(),
-                        ZoneOutcomes(
-                            f"10.0.0.{n}:7500", "abcd"[k % 4], 30 + k, n % 4, 150_000 + n, 1_000_000
-                        ),
+                        ZoneTotals(f"10.0.0.{n}:7500", "abcd"[k % 4], 30 + k, n % 4, 150_000 + n, 1_000_000),
                     )
 
         def borrow() -> Any:
--- a/cedarshift/agent/client.py
+++ b/cedarshift/agent/client.py
@@ -22,14 +22,14 @@
 MIN_SILENCE_US = 2_000_000  # lower bound of that, for short leases
 
 
-class PendingSums:
-    """Counts since the last report to one pilot."""
+class PendingReport:
+    """Counts for the next report to one pilot."""
 
     def __init__(self, now: int) -> None:
         self.since = now
         # endpoint -> tries, aborted, total latency of acked tries (us), tries that found it full
-        self.outcomes: dict[str, list[int]] = {}
-        self.slice_ops: dict[tuple[int, int], list[int]] = {}  # (slice, op type) -> ops, unanswered
+        self.endpoint_stats: dict[str, list[int]] = {}
+        self.slice_stats: dict[tuple[int, int], list[int]] = {}  # (slice, op type) -> ops, unanswered
 
 
 class Agent:
@@ -61,7 +61,7 @@
         self.tables = tables
         self.rng = rng
         self.observe = observe or (lambda event, **fields: None)
-        self.pending_sums: dict[str, PendingSums] = {}
+        self.pending_reports: dict[str, PendingReport] = {}
         self.in_flight: dict[str, Counter[str]] = {}  # pilot -> tries in flight by endpoint
         self.applying_until = 0  # us; nothing is picked while a message is being applied
         self.owner_waiters: list[Waker] = []  # ops that wait for an owner
@@ -114,16 +114,16 @@
             self.shares.on_first_try()
         self.gate.on_op_received(self.loop.now(), self.tables.pilot_for(slice_id), op_type, fresh)
         if self.tables.slices:
-            pending = self.pending_sums.get(self.tables.held[slice_id].pilot)
+            pending = self.pending_reports.get(self.tables.held[slice_id].pilot)
             if pending is not None:
-                pending.slice_ops.setdefault((slice_id, op_type), [0, 0])[0] += 1
+                pending.slice_stats.setdefault((slice_id, op_type), [0, 0])[0] += 1
 
     def on_op_unanswered(self, slice_id: int, op_type: int) -> None:
         """Counts an admitted op that got no response."""
         if self.tables.slices:
-            pending = self.pending_sums.get(self.tables.held[slice_id].pilot)
+            pending = self.pending_reports.get(self.tables.held[slice_id].pilot)
             if pending is not None:
-                pending.slice_ops.setdefault((slice_id, op_type), [0, 0])[1] += 1
+                pending.slice_stats.setdefault((slice_id, op_type), [0, 0])[1] += 1
 
     def admit(self, pick: Pick, op_type: int, left: int, fresh: bool = True) -> Optional[Rejection]:
         """Returns None if a picked op may be sent, or why not. `left` is the rest of its op timeout (us)."""
@@ -144,9 +144,9 @@
         if op_type >= 0:
             outcome = "full" if full else "aborted" if aborted else "acked"
             self.gate.on_try_finished(self.loop.now(), pick.pilot, pick.endpoint, op_type, outcome, took)
-        pending = self.pending_sums.get(pick.pilot)
+        pending = self.pending_reports.get(pick.pilot)
         if pending is not None:
-            counts = pending.outcomes.setdefault(pick.endpoint, [0, 0, 0, 0])
+            counts = pending.endpoint_stats.setdefault(pick.endpoint, [0, 0, 0, 0])
             counts[0] += 1
             counts[1] += aborted
             counts[2] += 0 if aborted else took
@@ -157,9 +157,9 @@
     def _stream_loop(self, names: list[str]) -> Coroutine:
         """Keeps one stream open to any of `names`, tried in turn from a random one."""
         backoff = Redial(MIN_REDIAL_DELAY_US, MAX_REDIAL_DELAY_US, self.rng)
-        at = int(self.rng() * len(names))
+        attempt = int(self.rng() * len(names))
         while True:
-            name, min_wait = names[at % len(names)], 0
+            name, min_wait = names[attempt % len(names)], 0
             try:
                 link, first = yield from self._dial(name)
                 backoff.well()
@@ -167,7 +167,7 @@
             except (StreamBroken, ProtocolError, TimedOut) as error:
                 min_wait = getattr(error, "after", 0)
                 self.observe("lost", pilot=name, reason=str(error) or "silence")
-            at += 1
+            attempt += 1
             yield from self.loop.sleep(backoff.wait(min_wait))
 
     def _dial(self, name: str) -> Coroutine:
@@ -188,10 +188,10 @@
         self.tables.on_join(name)
         self.shares.on_join(self.loop.now(), name, welcome.budgets)
         self.gate.on_join(self.loop.now(), name, welcome.loads)
-        pending = self.pending_sums[name] = PendingSums(self.loop.now())
+        pending = self.pending_reports[name] = PendingReport(self.loop.now())
         self.observe("joined", pilot=name)
         beats: dict[int, int] = {}
-        helpers = [
+        background_tasks = [
             self.loop.spawn(
                 self._heartbeat_loop(name, link, beats, welcome.beat_every), f"agent {name} beat"
             ),
@@ -210,8 +210,8 @@
             link.close(error.code, str(error))
             raise
         finally:
-            for helper in helpers:
-                helper.cancel()
+            for task in background_tasks:
+                task.cancel()
             self.tables.on_lost(name)
             self.shares.on_lost(self.loop.now(), name)
             self.links.pop(name, None)
@@ -225,7 +225,7 @@
             asked_at = beats.pop(message.n, None)
             if asked_at is not None and message.in_charge:
                 self.tables.on_lease(name, asked_at)
-            self.shares.on_beat_ok(now, name, message)
+            self.shares.on_heartbeat_ok(now, name, message)
             if message.told is not None:
                 self.gate.on_policy(now, name, message.told, message.fair)
             if message.trials is not None:
@@ -248,7 +248,7 @@
             self._wake_waiters(name)
         elif isinstance(message, m.Charge):
             self.observe("held", pilot=name, rows=message.given)
-            self.tables.on_charge(now, name, message)
+            self.tables.on_assignment(now, name, message)
             self._wake_waiters(name)
 
     def _wake_waiters(self, name: str) -> None:
@@ -257,32 +257,32 @@
         for waker in waiting:
             waker.wake()
 
-    def _heartbeat_loop(self, name: str, link: Link, beats: dict[int, int], every: int) -> Coroutine:
+    def _heartbeat_loop(self, name: str, link: Link, beats: dict[int, int], interval: int) -> Coroutine:
         """Sends heartbeats, whose answers extend the lease from when they were sent.
 
         The second follows after a random part of the period, to spread proxies that joined together.
         """
         n, wait = (
             0,
-            int(every * self.rng()),
+            int(interval * self.rng()),
         )
         while not link.closed:
             n += 1
             beats[n] = self.loop.now()
             beats.pop(n - 64, None)  # drops a heartbeat too old to extend the lease
             try:
-                link.send(self.shares.on_beat(self.loop.now(), name, m.Beat(n)))
+                link.send(self.shares.add_request(self.loop.now(), name, m.Beat(n)))
             except StreamBroken:
                 return
             yield from self.loop.sleep(wait)
-            wait = every
+            wait = interval
 
-    def _report_loop(self, name: str, link: Link, pending: PendingSums, every: int) -> Coroutine:
+    def _report_loop(self, name: str, link: Link, pending: PendingReport, interval: int) -> Coroutine:
         """Sends periodic reports, the first after a random part of the period."""
-        wait = int(every * (0.5 + self.rng() / 2))
+        wait = int(interval * (0.5 + self.rng() / 2))
         while not link.closed:
             yield from self.loop.sleep(wait)
-            wait = every
+            wait = interval
             span = self.loop.now() - pending.since
             pending.since = self.loop.now()
             loads, in_flight = (
@@ -290,25 +290,25 @@
                 self.in_flight.get(name, Counter()),
             )
             for endpoint in +in_flight if name in self.gate.counting_since else ():
-                pending.outcomes.setdefault(endpoint, [0, 0, 0, 0])
-            outcomes = [
+                pending.endpoint_stats.setdefault(endpoint, [0, 0, 0, 0])
+            endpoint_stats = [
                 m.Met(
                     endpoint, tries, aborted, took // max(1, tries - aborted), span, full, in_flight[endpoint]
                 )
-                for endpoint, (tries, aborted, took, full) in sorted(pending.outcomes.items())
+                for endpoint, (tries, aborted, took, full) in sorted(pending.endpoint_stats.items())
             ]
-            slice_ops = [
+            slice_stats = [
                 m.Heat(slice_id, op_type, ops, unanswered, span)
-                for (slice_id, op_type), (ops, unanswered) in sorted(pending.slice_ops.items())
+                for (slice_id, op_type), (ops, unanswered) in sorted(pending.slice_stats.items())
             ]
-            pending.outcomes.clear()
-            pending.slice_ops.clear()
+            pending.endpoint_stats.clear()
+            pending.slice_stats.clear()
             avoided = (
                 self.tables.avoided_endpoints(self.loop.now()) if name in self.gate.counting_since else []
             )
             try:
-                if outcomes or slice_ops or loads or avoided:
-                    link.send(m.Sums(outcomes, slice_ops, loads, avoided))
+                if endpoint_stats or slice_stats or loads or avoided:
+                    link.send(m.Sums(endpoint_stats, slice_stats, loads, avoided))
             except StreamBroken:
                 return
 
--- a/cedarshift/agent/gate.py
+++ b/cedarshift/agent/gate.py
@@ -19,7 +19,7 @@
 LATENCY_EWMA_WEIGHT = 0.2  # of the newest ack
 MIN_REMAINING_SHARE = 0.8  # an op is rejected as late with less time left than this share of the latency
 
-# The counters of a Load, in order; "took" is the total latency of the acked ops.
+# The counters per op type, in order; "took" is the total latency of the acked ops in us.
 LOAD_COUNTERS = (
     "fresh",
     "repeats",
--- a/cedarshift/agent/shares.py
+++ b/cedarshift/agent/shares.py
@@ -75,7 +75,7 @@
             if other == pilot:
                 bucket.grant(now, 0, 0)
 
-    def on_beat(self, now: int, pilot: str, beat: m.Beat) -> m.Beat:
+    def add_request(self, now: int, pilot: str, beat: m.Beat) -> m.Beat:
         """Adds a request for shares to a heartbeat if one is due, and returns it."""
         interval = self.ask_interval.get(pilot, ASK_LEAST)
         if pilot not in self.joined or now - self.asked_at.get(pilot, -interval) < interval:
@@ -87,7 +87,7 @@
         beat.wants = [m.Wanted(*want) for want in wants]
         return beat
 
-    def on_beat_ok(self, now: int, pilot: str, answer: m.BeatOk) -> None:
+    def on_heartbeat_ok(self, now: int, pilot: str, answer: m.BeatOk) -> None:
         """Takes over the shares granted in the answer to a heartbeat."""
         holder = self.holders.get(pilot)
         if holder is None or not answer.era:
--- a/cedarshift/agent/tables.py
+++ b/cedarshift/agent/tables.py
@@ -127,19 +127,19 @@
         view.table = snapshot.table
         view.lines = {line.endpoint: line.weight for line in snapshot.lines}
         named = {row.slice for row in snapshot.slices}
-        for number, holding in self.held.items():
-            if holding.pilot == pilot and number not in named:
-                self._revoke(now, holding)
+        for number, held_slice in self.held.items():
+            if held_slice.pilot == pilot and number not in named:
+                self._revoke(now, held_slice)
         for row in snapshot.slices:
             self._adopt_row(row, pilot)
 
-    def on_charge(self, now: int, pilot: str, charge: Charge) -> None:
-        """Applies a change of the slices that are assigned to a pilot."""
-        for number in charge.taken:
-            holding = self.held.get(number)
-            if holding is not None and holding.pilot == pilot:
-                self._revoke(now, holding)
-        for row in charge.given:
+    def on_assignment(self, now: int, pilot: str, assignment: Charge) -> None:
+        """Applies a change of the slices assigned to a pilot."""
+        for number in assignment.taken:
+            held_slice = self.held.get(number)
+            if held_slice is not None and held_slice.pilot == pilot:
+                self._revoke(now, held_slice)
+        for row in assignment.given:
             self._adopt_row(row, pilot)
 
     def on_store(self, rows: list[Held]) -> None:
@@ -149,18 +149,18 @@
 
     def _adopt_row(self, row: Held, pilot: str) -> None:
         """Takes over a slice's row unless it is stale. Raises OutOfOrder if the slice does not exist."""
-        holding = self.held.get(row.slice)
-        if holding is None:
+        held_slice = self.held.get(row.slice)
+        if held_slice is None:
             raise OutOfOrder(f"slice {row.slice} does not exist, there are {self.slices}")
-        if row.epoch < holding.epoch or (row.epoch == holding.epoch and not pilot):
+        if row.epoch < held_slice.epoch or (row.epoch == held_slice.epoch and not pilot):
             self.stale += 1
             return
-        holding.epoch, holding.pilot, holding.owner = row.epoch, pilot, row.owner
-        holding.levels, holding.writes_until = list(row.levels), None
+        held_slice.epoch, held_slice.pilot, held_slice.owner = row.epoch, pilot, row.owner
+        held_slice.levels, held_slice.writes_until = list(row.levels), None
 
-    def _revoke(self, now: int, holding: HeldSlice) -> None:
+    def _revoke(self, now: int, held_slice: HeldSlice) -> None:
         """Ends a slice's writes with the lease that runs now, as its pilot no longer holds it."""
-        holding.writes_until = min(self.views[holding.pilot].lease_until, now + self.lease)
+        held_slice.writes_until = min(self.views[held_slice.pilot].lease_until, now + self.lease)
 
     def on_order(self, pilot: str, order: Order) -> None:
         """Applies an order's lines and levels. Raises OutOfOrder on a gap, with nothing applied."""
@@ -177,27 +177,27 @@
             if level.table == ALL_TABLES:
                 self._set_level(view.levels, level)
             elif level.table in self.held:
-                holding = self.held[level.table]
-                if level.epoch != holding.epoch or pilot != holding.pilot:
+                held_slice = self.held[level.table]
+                if level.epoch != held_slice.epoch or pilot != held_slice.pilot:
                     self.stale += 1
                 else:
-                    self._set_level(holding.levels, level)
+                    self._set_level(held_slice.levels, level)
 
     def _set_owner(self, pilot: str, line: Line) -> None:
         """Applies a line of a slice. Raises OutOfOrder if its epoch was never assigned."""
-        holding = self.held.get(line.table)
-        if holding is None:
+        held_slice = self.held.get(line.table)
+        if held_slice is None:
             raise OutOfOrder(f"slice {line.table} does not exist, there are {self.slices}")
-        if line.epoch > holding.epoch:
+        if line.epoch > held_slice.epoch:
             raise OutOfOrder(
-                f"line of slice {line.table} with epoch {line.epoch}, assigned epoch is {holding.epoch}"
+                f"line of slice {line.table} with epoch {line.epoch}, assigned epoch is {held_slice.epoch}"
             )
-        if line.epoch < holding.epoch or pilot != holding.pilot:
+        if line.epoch < held_slice.epoch or pilot != held_slice.pilot:
             self.stale += 1
         elif line.weight > 0:
-            holding.owner = line.endpoint
-        elif holding.owner == line.endpoint:
-            holding.owner = ""
+            held_slice.owner = line.endpoint
+        elif held_slice.owner == line.endpoint:
+            held_slice.owner = ""
 
     @staticmethod
     def _set_line(view: PilotView, line: Line) -> None:
@@ -220,19 +220,19 @@
         """
         if not self.slices:
             return self._pick_line(now, op_type, random_value)
-        holding = self.held[slice_id]
-        view = self.views.get(holding.pilot)
-        levels = holding.levels + (self._fleet_levels(now, holding.pilot, view) if view else [])
+        held_slice = self.held[slice_id]
+        view = self.views.get(held_slice.pilot)
+        levels = held_slice.levels + (self._fleet_levels(now, held_slice.pilot, view) if view else [])
         if (refused := self._check_level(levels, slice_id, op_type)) is not None:
             return refused
         if self.single_owner and self.op_types[op_type].writes:
             if view is None or now >= view.lease_until:
                 return NoPick("lease")
-            if holding.writes_until is not None and now >= holding.writes_until:
+            if held_slice.writes_until is not None and now >= held_slice.writes_until:
                 return NoPick("lease")
-        if not holding.owner:
+        if not held_slice.owner:
             return NoPick("no-owner", waits=True)
-        return Pick(holding.owner, holding.pilot, holding.epoch)
+        return Pick(held_slice.owner, held_slice.pilot, held_slice.epoch)
 
     def _pick_line(self, now: int, op_type: int, random_value: float) -> Union[Pick, NoPick]:
         joined = [name for name, view in self.views.items() if view.joined and view.lines]
@@ -347,11 +347,16 @@
         return None if self.admitted.passes((table, op_type), share) else NoPick("level")
 
     def retries(self, slice_id: int, op_type: int) -> int:
-        """Returns the retry level: 0 none; 1 one, if the first try provably never ran; 2 one; 3 two."""
+        """Returns the retry level.
+
+        0: no retry; 1: one, if the first try provably never ran; 2: one after any failure; 3: two.
+        """
         if self.slices:
-            holding = self.held[slice_id]
-            view = self.views.get(holding.pilot)
-            levels = (view.levels if view else []) + holding.levels  # the slice's own levels take precedence
+            held_slice = self.held[slice_id]
+            view = self.views.get(held_slice.pilot)
+            levels = (
+                view.levels if view else []
+            ) + held_slice.levels  # the slice's own levels take precedence
         else:
             levels = next((view.levels for view in self.views.values() if view.joined), [])
         return next((lv.retries for lv in reversed(levels) if not lv.mask or lv.mask >> op_type & 1), 0)
@@ -370,4 +375,4 @@
 
     def without_owner(self) -> list[int]:
         """Returns the slices that have no owner."""
-        return [number for number, holding in self.held.items() if not holding.owner]
+        return [number for number, held_slice in self.held.items() if not held_slice.owner]
--- a/cedarshift/pilot/intake.py
+++ b/cedarshift/pilot/intake.py
@@ -7,7 +7,7 @@
 from cedarshift.codec.messages import Heat, Met
 
 
-class ZoneOutcomes(NamedTuple):
+class ZoneTotals(NamedTuple):
     """Tries of one endpoint by the proxies of one zone."""
 
     endpoint: str
@@ -18,7 +18,7 @@
     span: int  # us, period that the counts cover
 
 
-class SliceOps(NamedTuple):
+class SliceTotals(NamedTuple):
     """Ops of one type on one slice."""
 
     slice: int
@@ -38,27 +38,27 @@
         self.lines_per_s = lines_per_s
         self.period = period
         # (endpoint, zone) -> tries, aborted, total latency of acked tries (us), counted since (us)
-        self.outcomes: dict[tuple[str, str], list[int]] = {}
+        self.zone_totals: dict[tuple[str, str], list[int]] = {}
         # (slice, op type) -> ops, unanswered, counted since (us)
-        self.slice_ops: dict[tuple[int, int], list[int]] = {}
+        self.slice_totals: dict[tuple[int, int], list[int]] = {}
         self.tokens = 0.0
         self.refilled_at = now
 
-    def add_outcomes(self, now: int, zone: str, met: Met) -> None:
+    def add_endpoint_stats(self, now: int, zone: str, stats: Met) -> None:
         """Adds a proxy's report on one endpoint; more aborted than tried counts as all aborted."""
-        totals = self.outcomes.setdefault((met.endpoint, zone), [0, 0, 0, now - met.span])
-        tries, aborted = met.tries, min(met.aborted, met.tries)
+        totals = self.zone_totals.setdefault((stats.endpoint, zone), [0, 0, 0, now - stats.span])
+        tries, aborted = stats.tries, min(stats.aborted, stats.tries)
         totals[0] += tries
         totals[1] += aborted
-        totals[2] += met.took * (tries - aborted)
+        totals[2] += stats.took * (tries - aborted)
 
-    def add_slice_ops(self, now: int, heat: Heat) -> None:
+    def add_slice_stats(self, now: int, stats: Heat) -> None:
         """Adds a proxy's report on one slice."""
-        totals = self.slice_ops.setdefault((heat.slice, heat.op_type), [0, 0, now - heat.span])
-        totals[0] += heat.ops
-        totals[1] += min(heat.unanswered, heat.ops)
+        totals = self.slice_totals.setdefault((stats.slice, stats.op_type), [0, 0, now - stats.span])
+        totals[0] += stats.ops
+        totals[1] += min(stats.unanswered, stats.ops)
 
-    def take(self, now: int) -> tuple[list[ZoneOutcomes], list[SliceOps]]:
+    def take(self, now: int) -> tuple[list[ZoneTotals], list[SliceTotals]]:
         """Returns the aggregates that may be released now.
 
         Their span is at least one report period, since the periods of several proxies overlap.
@@ -68,16 +68,16 @@
             self.tokens + (now - self.refilled_at) * self.lines_per_s / 1e6,
         )
         self.refilled_at = now
-        outcomes, slice_ops = [], []
-        while self.tokens >= 1 and (self.outcomes or self.slice_ops):
-            outcomes_since = next(iter(self.outcomes.values()))[3] if self.outcomes else None
-            ops_since = next(iter(self.slice_ops.values()))[2] if self.slice_ops else None
+        zone_totals, slice_totals = [], []
+        while self.tokens >= 1 and (self.zone_totals or self.slice_totals):
+            outcomes_since = next(iter(self.zone_totals.values()))[3] if self.zone_totals else None
+            ops_since = next(iter(self.slice_totals.values()))[2] if self.slice_totals else None
             self.tokens -= 1
             if ops_since is None or (outcomes_since is not None and outcomes_since <= ops_since):
-                endpoint, zone = next(iter(self.outcomes))
-                tries, aborted, took, since = self.outcomes.pop((endpoint, zone))
-                outcomes.append(
-                    ZoneOutcomes(
+                endpoint, zone = next(iter(self.zone_totals))
+                tries, aborted, took, since = self.zone_totals.pop((endpoint, zone))
+                zone_totals.append(
+                    ZoneTotals(
                         endpoint,
                         zone,
                         tries,
@@ -87,11 +87,13 @@
                     )
                 )
             else:
-                slice_id, op_type = next(iter(self.slice_ops))
-                ops, unanswered, since = self.slice_ops.pop((slice_id, op_type))
-                slice_ops.append(SliceOps(slice_id, op_type, ops, unanswered, max(self.period, now - since)))
-        return outcomes, slice_ops
+                slice_id, op_type = next(iter(self.slice_totals))
+                ops, unanswered, since = self.slice_totals.pop((slice_id, op_type))
+                slice_totals.append(
+                    SliceTotals(slice_id, op_type, ops, unanswered, max(self.period, now - since))
+                )
+        return zone_totals, slice_totals
 
     def lines_waiting(self) -> int:
         """Returns how many aggregates wait to be released."""
-        return len(self.outcomes) + len(self.slice_ops)
+        return len(self.zone_totals) + len(self.slice_totals)
--- a/cedarshift/pilot/learning.py
+++ b/cedarshift/pilot/learning.py
@@ -86,9 +86,9 @@
         self.incarnation = incarnation
         self.trust = Trust()
         self.lenders: dict[str, Lender] = {}
-        self.endpoints: dict[str, m.EndpointFact] = {}  # newest first-hand fact, for size and zone
-        self.slice_ops: dict[int, list[tuple[int, m.LentHeat]]] = {}  # slice -> (heard at, ops), oldest first
-        self.sums: dict[str, list[tuple[int, m.LentSum]]] = {}  # endpoint -> (heard at, sum), oldest first
+        self.endpoints: dict[str, m.EndpointFact] = {}  # newest first-hand fact
+        self.slice_stats: dict[int, list[tuple[int, m.LentHeat]]] = {}  # slice -> (heard at, stats)
+        self.endpoint_stats: dict[str, list[tuple[int, m.LentSum]]] = {}  # endpoint -> (heard at, stats)
         self.proxies: dict[str, tuple[int, m.ProxyFact, str]] = {}  # proxy -> (asked at, fact, origin)
         self.levels: dict[str, tuple[int, float]] = {}  # origin -> (asked at, level)
         self.resume: dict[str, tuple[str, int]] = {}  # lender -> (version, next chunk)
@@ -144,7 +144,7 @@
             service.deployment.name,
             "pilot",
             service.name,
-            service.pilot_config.zone,
+            service.settings.zone,
             service.deployment.secret,
         )
         session = Session(badge, challenge=service.challenge())
@@ -212,8 +212,8 @@
         for slice_fact in chunk.slices:
             if slice_fact.origin != self.incarnation:
                 self.counts["facts_learnt"] += 1
-                self.slice_ops[slice_fact.slice] = sorted(
-                    ((heard_at(asked_at, heat.age), heat) for heat in slice_fact.heats), key=_heard_at
+                self.slice_stats[slice_fact.slice] = sorted(
+                    ((heard_at(asked_at, stats.age), stats) for stats in slice_fact.heats), key=_heard_at
                 )
         for proxy in chunk.proxies:
             self.counts["facts_learnt"] += 1
@@ -242,8 +242,10 @@
             trust.hear_sick(name, Ill(asked_at + fact.sick_left, asked_at, hops, fact.origin))
         if fact.hops == 0:
             self.endpoints[name] = fact
-            if fact.sums and name not in self.sums:
-                self.sums[name] = sorted(((heard_at(asked_at, s.age), s) for s in fact.sums), key=_heard_at)
+            if fact.sums and name not in self.endpoint_stats:
+                self.endpoint_stats[name] = sorted(
+                    ((heard_at(asked_at, stats.age), stats) for stats in fact.sums), key=_heard_at
+                )
 
     # ---- inputs for the decision module
 
@@ -304,18 +306,18 @@
             self.starts[name] = (process, started)
         return self.starts[name][1]
 
-    def take_sums(self, observed_endpoints: set[str]) -> list[tuple[int, str, m.LentSum]]:
-        """Removes and returns the unapplied sums of endpoints without first-hand reports, oldest first."""
+    def take_endpoint_stats(self, observed_endpoints: set[str]) -> list[tuple[int, str, m.LentSum]]:
+        """Removes and returns unapplied stats of endpoints without first-hand reports, oldest first."""
         known = self.service.brain.endpoints
-        ready = [name for name, sums in self.sums.items() if sums and name in known]
+        ready = [name for name, stats_list in self.endpoint_stats.items() if stats_list and name in known]
         found = [
-            (heard, name, lent_sum)
+            (heard, name, stats)
             for name in ready
             if name not in observed_endpoints
-            for heard, lent_sum in self.sums[name]
+            for heard, stats in self.endpoint_stats[name]
         ]
         for name in ready:
-            self.sums[name] = []
+            self.endpoint_stats[name] = []
         return sorted(found, key=lambda row: row[:2])
 
     def sick_endpoints(self, running: list[str], observed_endpoints: set[str]) -> dict[str, int]:
@@ -328,9 +330,9 @@
         }
         return found if len(found) <= DOUBT_MOST * len(running) else {}
 
-    def take_slice_ops(self, number: int) -> list[tuple[int, m.LentHeat]]:
-        """Removes and returns the learnt ops of a slice as (heard at, ops), oldest first."""
-        return self.slice_ops.pop(number, [])
+    def take_slice_stats(self, number: int) -> list[tuple[int, m.LentHeat]]:
+        """Removes and returns the learnt stats of a slice as (heard at, stats), oldest first."""
+        return self.slice_stats.pop(number, [])
 
     # ---- status
 
--- a/cedarshift/pilot/lending.py
+++ b/cedarshift/pilot/lending.py
@@ -15,7 +15,7 @@
 from cedarshift.codec import messages as m
 from cedarshift.link import Link
 from cedarshift.loop.core import Coroutine
-from cedarshift.pilot.intake import SliceOps, ZoneOutcomes
+from cedarshift.pilot.intake import SliceTotals, ZoneTotals
 from cedarshift.pilot.terms import TICK_US
 
 if TYPE_CHECKING:
@@ -24,8 +24,8 @@
 ENDPOINTS_PER_CHUNK = 100  # orders wait while a chunk is built
 SLICES_PER_CHUNK = 400
 PROXIES_PER_CHUNK = 400
-MAX_SUMS_PER_ENDPOINT = 24  # newest ones
-MAX_SUMS_PER_SLICE = 4  # newest ones
+MAX_REPORTS_PER_ENDPOINT = 24  # newest ones
+MAX_REPORTS_PER_SLICE = 4  # newest ones
 PLAN_TTL_US = 30_000_000  # an interrupted transfer can be resumed for this long
 BORROWER_TIMEOUT_US = 1_000_000  # a borrower without requests for this long gives way to another one
 
@@ -58,8 +58,8 @@
         self.service = service
         self.loop = service.loop
         self.incarnation = incarnation
-        self.sums: dict[str, deque[tuple[int, ZoneOutcomes]]] = {}
-        self.slice_ops: dict[int, deque[tuple[int, str, SliceOps]]] = {}
+        self.endpoint_stats: dict[str, deque[tuple[int, ZoneTotals]]] = {}
+        self.slice_stats: dict[int, deque[tuple[int, str, SliceTotals]]] = {}
         self.plans: dict[str, LendingPlan] = {}  # by version
         self.plan_count = 0
         self.borrower: Optional[Link] = None
@@ -67,13 +67,17 @@
         self.free_at = 0  # us, when the next chunk may be built
         self.counts = {"chunks_lent": 0, "facts_lent": 0, "bytes_lent": 0, "lendings_declined": 0}
 
-    def record_outcomes(self, at: int, met: ZoneOutcomes) -> None:
+    def record_endpoint_stats(self, at: int, stats: ZoneTotals) -> None:
         """Keeps a first-hand report on an endpoint for borrowers."""
-        self.sums.setdefault(met.endpoint, deque(maxlen=MAX_SUMS_PER_ENDPOINT)).append((at, met))
+        self.endpoint_stats.setdefault(stats.endpoint, deque(maxlen=MAX_REPORTS_PER_ENDPOINT)).append(
+            (at, stats)
+        )
 
-    def record_slice_ops(self, at: int, op_type: str, heat: SliceOps) -> None:
+    def record_slice_stats(self, at: int, op_type: str, stats: SliceTotals) -> None:
         """Keeps a first-hand report on a slice for borrowers."""
-        self.slice_ops.setdefault(heat.slice, deque(maxlen=MAX_SUMS_PER_SLICE)).append((at, op_type, heat))
+        self.slice_stats.setdefault(stats.slice, deque(maxlen=MAX_REPORTS_PER_SLICE)).append(
+            (at, op_type, stats)
+        )
 
     def serve(self, link: Link, first: list[m.Message]) -> Coroutine:
         """Handles one borrower's connection until it ends."""
@@ -123,7 +127,7 @@
             plan = LendingPlan(
                 f"{self.incarnation}/{self.plan_count}",
                 names,
-                sorted({*service.slices, *self.slice_ops}),
+                sorted({*service.slices, *self.slice_stats}),
                 sorted(service.proxies),
             )
             self.plans[plan.version] = plan
@@ -192,8 +196,8 @@
         start, started = service.source.starts.known.get(name, ("", None))
         leave_age = now - known.told_at * TICK_US if entry.phase != "on" and known.told_at else -1
         sums = [
-            m.LentSum(now - at, met.tries, met.aborted, met.took, met.span, met.zone)
-            for at, met in self.sums.get(name, ())
+            m.LentSum(now - at, stats.tries, stats.aborted, stats.took, stats.span, stats.zone)
+            for at, stats in self.endpoint_stats.get(name, ())
         ]
         # A sickness that was borrowed is not lent as this pilot's own.
         sick = known.sick_until if known.sick_until > service.borrowed_sick_until.get(name, 0) else 0
@@ -219,7 +223,7 @@
 
     def _slice_fact(self, number: int, now: int) -> m.SliceFact:
         heats = [
-            m.LentHeat(now - at, op_type, heat.ops, heat.unanswered, heat.span)
-            for at, op_type, heat in self.slice_ops.get(number, ())
+            m.LentHeat(now - at, op_type, stats.ops, stats.unanswered, stats.span)
+            for at, op_type, stats in self.slice_stats.get(number, ())
         ]
         return m.SliceFact(number, heats, self.incarnation, 0)
--- a/cedarshift/pilot/service.py
+++ b/cedarshift/pilot/service.py
@@ -30,11 +30,11 @@
 from cedarshift.loop.core import Coroutine, Waker
 from cedarshift.overload.pilot import PilotOverload
 from cedarshift.pilot.channel import PacedChannel
-from cedarshift.pilot.intake import Intake, SliceOps, ZoneOutcomes
+from cedarshift.pilot.intake import Intake, SliceTotals, ZoneTotals
 from cedarshift.pilot.learning import Learning
 from cedarshift.pilot.lending import Lending
 from cedarshift.pilot.store_client import StoreClient
-from cedarshift.pilot.terms import TICK_US, down, terms, up
+from cedarshift.pilot.terms import TICK_US, down, module_config, up
 from cedarshift.roster import EphemeralSource, EphemeralTerms, FileSource, ServiceSource
 from cedarshift.roster.sources import SavedList
 
@@ -103,14 +103,14 @@
         self.loop = loop
         self.listener = listener
         self.deployment = deployment
-        self.pilot_config = deployment.pilot(name)
+        self.settings = deployment.pilot(name)
         self.name = name
         self.report = report
         self.challenge = challenge
         number = [p.name for p in deployment.pilots].index(name)
-        self.brain = Pilot(terms(deployment, number, seed))
+        self.brain = Pilot(module_config(deployment, number, seed))
         self.rng = random.Random(seed)
-        self.badge = Badge(deployment.name, "pilot", name, self.pilot_config.zone, deployment.secret)
+        self.badge = Badge(deployment.name, "pilot", name, self.settings.zone, deployment.secret)
         channel = deployment.channel
         self.channel: PacedChannel = PacedChannel(
             channel.lines_per_s,
@@ -272,7 +272,7 @@
         return self.learning.overlay(own, self.listed)
 
     def apply_learnt_facts(self) -> None:
-        """Passes changed warnings, borrowed sums and sickness to the decision module."""
+        """Passes changed warnings, borrowed stats and sickness to the decision module."""
         assert self.learning is not None
         effective = self._overlaid_entries()
         changed = [
@@ -282,15 +282,15 @@
         if changed:
             self.applied_entries.update({entry.endpoint: entry for entry in changed})
             self.brain.on_list(now, "update", changed)
-        for heard, name, lent_sum in self.learning.take_sums(self.observed_endpoints):
+        for heard, name, stats in self.learning.take_endpoint_stats(self.observed_endpoints):
             self.brain.on_met(
                 down(heard),
                 name,
-                lent_sum.zone,
-                lent_sum.tries,
-                min(lent_sum.aborted, lent_sum.tries),
-                up(lent_sum.took),
-                up(lent_sum.span),
+                stats.zone,
+                stats.tries,
+                min(stats.aborted, stats.tries),
+                up(stats.took),
+                up(stats.span),
             )
         running = [name for name, entry in effective.items() if entry.phase == "on"]
         for name, until in sorted(self.learning.sick_endpoints(running, self.observed_endpoints).items()):
@@ -328,16 +328,16 @@
 
     def _open_store(self) -> None:
         """Opens the store session once a list is known, since owners that are not listed count as gone."""
-        store_config = self.deployment.store
+        store_settings = self.deployment.store
         if (
             self.store is None
-            and store_config is not None
+            and store_settings is not None
             and (self.deployment.slices or self.budgets is not None)
         ):
             number = [p.name for p in self.deployment.pilots].index(self.name)
             self.store = StoreClient(
                 self.loop,
-                store_config.listen,
+                store_settings.listen,
                 self.badge,
                 number,
                 self,
@@ -355,9 +355,16 @@
             self.brain.on_given(now, row.slice, True)
             if row.owner:
                 self.brain.on_held(now, row.slice, row.owner)
-            for heard, heat in self.learning.take_slice_ops(row.slice) if self.learning is not None else ():
+            for heard, slice_stats in (
+                self.learning.take_slice_stats(row.slice) if self.learning is not None else ()
+            ):
                 self.brain.on_heat(
-                    down(heard), row.slice, heat.op_type, heat.ops, heat.unanswered, up(heat.span)
+                    down(heard),
+                    row.slice,
+                    slice_stats.op_type,
+                    slice_stats.ops,
+                    slice_stats.unanswered,
+                    up(slice_stats.span),
                 )
         self.report("given", slices=len(rows))
         self._broadcast(m.Charge(given=rows))
@@ -500,16 +507,16 @@
             now = self.loop.now()
             if self.overload is not None:
                 self.overload.on_sums(session.name, message)
-            for met in message.met:
-                self.intake.add_outcomes(now, session.zone, met)
-                self.observed_endpoints.add(met.endpoint)
-            span = max((heat.span for heat in message.heat), default=0)
+            for endpoint_stats in message.met:
+                self.intake.add_endpoint_stats(now, session.zone, endpoint_stats)
+                self.observed_endpoints.add(endpoint_stats.endpoint)
+            span = max((slice_stats.span for slice_stats in message.heat), default=0)
             self.proxy_op_rates[session.number] = (
-                sum(heat.ops for heat in message.heat) * 1e6 / span if span else 0.0
+                sum(slice_stats.ops for slice_stats in message.heat) * 1e6 / span if span else 0.0
             )
-            for heat in message.heat:
-                if heat.slice in self.slices and heat.op_type < len(self.deployment.op_types):
-                    self.intake.add_slice_ops(now, heat)
+            for slice_stats in message.heat:
+                if slice_stats.slice in self.slices and slice_stats.op_type < len(self.deployment.op_types):
+                    self.intake.add_slice_stats(now, slice_stats)
 
     def owner_of(self, number: int) -> str:
         """Returns the endpoint that owns a slice assigned to this pilot, or "" if there is none."""
@@ -539,25 +546,35 @@
         """Periodically passes aggregated proxy reports to the decision module."""
         while True:
             yield from self.loop.sleep(self.deployment.proxy.report_every // 2)
-            self._apply_sums(*self.intake.take(self.loop.now()))
+            self._apply_reports(*self.intake.take(self.loop.now()))
             self._pull_decisions()
 
-    def _apply_sums(self, outcomes: list[ZoneOutcomes], slice_ops: list[SliceOps]) -> None:
+    def _apply_reports(self, zone_totals: list[ZoneTotals], slice_totals: list[SliceTotals]) -> None:
         """Passes first-hand reports to the decision module and records them for lending.
 
         They are recorded separately because the module also holds borrowed reports, which must not be lent.
         """
         now, at = self._now_ticks(), self.loop.now()
-        for met in outcomes:
-            self.brain.on_met(now, met.endpoint, met.zone, met.tries, met.aborted, up(met.took), up(met.span))
-            self.source.on_sums(met.endpoint, met.tries, met.aborted)
+        for endpoint_stats in zone_totals:
+            self.brain.on_met(
+                now,
+                endpoint_stats.endpoint,
+                endpoint_stats.zone,
+                endpoint_stats.tries,
+                endpoint_stats.aborted,
+                up(endpoint_stats.took),
+                up(endpoint_stats.span),
+            )
+            self.source.on_sums(endpoint_stats.endpoint, endpoint_stats.tries, endpoint_stats.aborted)
             if self.lending is not None:
-                self.lending.record_outcomes(at, met)
-        for heat in slice_ops:
-            name = self.deployment.op_types[heat.op_type].name
-            self.brain.on_heat(now, heat.slice, name, heat.ops, heat.unanswered, up(heat.span))
+                self.lending.record_endpoint_stats(at, endpoint_stats)
+        for slice_stats in slice_totals:
+            name = self.deployment.op_types[slice_stats.op_type].name
+            self.brain.on_heat(
+                now, slice_stats.slice, name, slice_stats.ops, slice_stats.unanswered, up(slice_stats.span)
+            )
             if self.lending is not None:
-                self.lending.record_slice_ops(at, name, heat)
+                self.lending.record_slice_stats(at, name, slice_stats)
 
     # ---- decisions
 
--- a/cedarshift/pilot/terms.py
+++ b/cedarshift/pilot/terms.py
@@ -19,7 +19,7 @@
     return units.down(span, TICK_US)
 
 
-def terms(deployment: Deployment, place: int, seed: int) -> Terms:
+def module_config(deployment: Deployment, place: int, seed: int) -> Terms:
     """Returns the module's parameters for the pilot at index `place` of the deployment's pilots.
 
     Durations that must not be undershot are rounded up, deadlines are rounded down.
--- a/tests/test_agent.py
+++ b/tests/test_agent.py
@@ -67,7 +67,7 @@
 def test_a_former_pilots_snapshot_does_not_bring_a_former_owner_back():
     t = tables()
     t.on_join("q")
-    t.on_charge(0, "q", m.Charge(given=[m.Held(0, 6, 9, "b")]))
+    t.on_assignment(0, "q", m.Charge(given=[m.Held(0, 6, 9, "b")]))
     t.on_snapshot(0, "p", m.Snapshot([m.Held(0, 5, 1, "a")]))
     assert t.held[0].owner == "b" and t.held[0].pilot == "q"
 
@@ -75,7 +75,7 @@
 @pytest.mark.parametrize("later", [0, LEASE // 2, 3 * LEASE])
 def test_a_revoked_slice_gets_no_further_lease(later):
     t = tables()
-    t.on_charge(0, "p", m.Charge(taken=[0]))
+    t.on_assignment(0, "p", m.Charge(taken=[0]))
     t.on_lease("p", later)
     assert isinstance(t.pick(LEASE - 1, 0, PUT, 0.5), Pick)
     assert t.pick(LEASE, 0, PUT, 0.5) == NoPick("lease")
@@ -142,9 +142,9 @@
     """Shares of a proxy that has joined pilot p and received a share of the retry budget."""
     shares = ProxyShares(5, 0)
     shares.on_join(0, "p", [m.BudgetOf("again", "retries", 500_000, of_fresh, 0.0)])
-    shares.on_beat_ok(0, "p", m.BeatOk(1, True, 1, 9))
-    beat = shares.on_beat(0, "p", m.Beat(1))
-    shares.on_beat_ok(0, "p", m.BeatOk(1, True, beat.ask, 9, [m.Shared("again", 1, 10_000, 4_000_000)]))
+    shares.on_heartbeat_ok(0, "p", m.BeatOk(1, True, 1, 9))
+    beat = shares.add_request(0, "p", m.Beat(1))
+    shares.on_heartbeat_ok(0, "p", m.BeatOk(1, True, beat.ask, 9, [m.Shared("again", 1, 10_000, 4_000_000)]))
     return shares
 
 
@@ -180,20 +180,20 @@
         0, "p", [m.BudgetOf("trials", "probes", 500_000, 0.0, 0.0)]
     )  # restarted with another budget
     assert shares.spend(0, "retries") and not shares.spend(0, "probes")
-    assert [wanted.budget for wanted in shares.on_beat(0, "p", m.Beat(1)).wants] == ["trials"]
+    assert [wanted.budget for wanted in shares.add_request(0, "p", m.Beat(1)).wants] == ["trials"]
     shares.on_lost(0, "p")
     shares.on_join(0, "p", [])  # restarted without budgets
-    assert shares.spend(0, "probes") and shares.on_beat(SECOND, "p", m.Beat(2)).ask == 0
+    assert shares.spend(0, "probes") and shares.add_request(SECOND, "p", m.Beat(2)).ask == 0
 
 
 def test_requests_are_spaced_by_the_span_of_a_share():
     shares, asked = joined(), []
     for step in range(1, 100):
         now = step * 200_000
-        beat = shares.on_beat(now, "p", m.Beat(step))
+        beat = shares.add_request(now, "p", m.Beat(step))
         if beat.ask:
             asked.append(now)
-            shares.on_beat_ok(
+            shares.on_heartbeat_ok(
                 now, "p", m.BeatOk(step, True, beat.ask, 9, [m.Shared("again", 1 + step, 10_000, 4_000_000)])
             )
     assert {after - before for before, after in zip(asked, asked[1:])} == {800_000}
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -57,9 +57,9 @@
 def test_reports_beyond_the_intake_rate_accumulate_and_follow_oldest_first():
     i = Intake(2, SECOND, 0)
     for now in (0, 100):
-        i.add_outcomes(now, "z", Met("a", 4, 1, 100, 50))
-        i.add_outcomes(now, "y", Met("b", 2, 2, 0, 50))
-        i.add_slice_ops(now, Heat(3, 0, 5, 1, 50))
+        i.add_endpoint_stats(now, "z", Met("a", 4, 1, 100, 50))
+        i.add_endpoint_stats(now, "y", Met("b", 2, 2, 0, 50))
+        i.add_slice_stats(now, Heat(3, 0, 5, 1, 50))
     outcomes, slice_ops = i.take(SECOND)
     assert [(one.endpoint, one.zone, one.tries, one.aborted, one.took) for one in outcomes] == [
         ("a", "z", 8, 2, 100),
@@ -71,7 +71,7 @@
 
 def test_more_aborted_than_tried_counts_as_all_aborted():
     i = Intake(9, SECOND, 0)
-    i.add_outcomes(0, "z", Met("a", 2, 9, 100, 50))
+    i.add_endpoint_stats(0, "z", Met("a", 2, 9, 100, 50))
     assert i.take(SECOND)[0][0][2:5] == (2, 2, 0)
 
 
--- a/tests/test_peer.py
+++ b/tests/test_peer.py
@@ -8,7 +8,7 @@
 from cedarshift.link import connect
 from cedarshift.loop import StreamBroken
 from cedarshift.pilot import lending
-from cedarshift.pilot.intake import SliceOps, ZoneOutcomes
+from cedarshift.pilot.intake import SliceTotals, ZoneTotals
 from cedarshift.pilot.learning import LearningError, unpack_chunk
 
 LEARN = "learn {}"
@@ -62,7 +62,9 @@
     kill(f, f.pilots["p0"])
     f.run(4)
     for n in range(4):
-        p1._apply_sums([ZoneOutcomes("a", "z", 10, 1, 500_000, 500_000)], [SliceOps(0, 0, 40, 1, 500_000)])
+        p1._apply_reports(
+            [ZoneTotals("a", "z", 10, 1, 500_000, 500_000)], [SliceTotals(0, 0, 40, 1, 500_000)]
+        )
         heard = p1._now_ticks()
         f.run(0.1)
     learner = f.new_pilot("p0", 8)
@@ -357,7 +359,7 @@
     write_list(tmp_path, [(name, "on", "1") for name in [*"abcd", *names]])
     f.run(0.5)
     for n in range(5_000):
-        lender.lending.record_slice_ops(f.loop.now(), "get", SliceOps(n, 0, 40, 1, 500_000))
+        lender.lending.record_slice_stats(f.loop.now(), "get", SliceTotals(n, 0, 40, 1, 500_000))
 
     def borrow():
         link, _ = yield from connect(
@@ -388,7 +390,7 @@
     learner = f.new_pilot("p0", 8)
     f.run(1)
     before = learner.brain.endpoints["a"].started
-    learner._apply_sums([ZoneOutcomes("a", "z", 10, 1, 500_000, 500_000)], [])
+    learner._apply_reports([ZoneTotals("a", "z", 10, 1, 500_000, 500_000)], [])
     f.run(0.1)
     bound = learner.learning.trust.starts["a", "2"]
     learner.learning.trust.hear_start("a", "2", bound - 5_000)  # a faster answer gives a tighter bound
--- a/tests/test_roster_pilot.py
+++ b/tests/test_roster_pilot.py
@@ -10,7 +10,7 @@
 from cedarshift.cli.tables import shown_members
 from cedarshift.codec.zookeeper import records as r
 from cedarshift.deployment import load
-from cedarshift.pilot.intake import ZoneOutcomes
+from cedarshift.pilot.intake import ZoneTotals
 from cedarshift.roster.formats import Member
 from cedarshift.roster.register import RegisterTerms, Registration
 from cedarshift.roster.sources import FileSource
@@ -112,7 +112,7 @@
     town.members[gone[0]].stop()
     for _ in range(24):
         for pilot in town.fleet.pilots.values():
-            pilot._apply_sums([ZoneOutcomes(gone, "z", 20, 0, 50_000, 500_000)], [])
+            pilot._apply_reports([ZoneTotals(gone, "z", 20, 0, 50_000, 500_000)], [])
         town.run(0.5)
     assert (gone in town.owners()) is stands and not town.watcher.violations
 
--- a/tests/test_sim.py
+++ b/tests/test_sim.py
@@ -251,7 +251,7 @@
     chance = random.Random(seed)
     disk = Disk(chance)
     ledger, acked = SimLedger(disk, 4), 0
-    ledger.begin()
+    ledger.record_start()
     for version in range(1, 30):
         if chance.random() < 0.1:  # the power goes between write and sync
             body = SimLedger(Disk(chance), 4)
@@ -262,7 +262,7 @@
             rows = ledger.load()
             assert len({row.version for row in rows}) == 1 and rows[0].version in (acked, version)
             acked = rows[0].version
-            ledger.begin()
+            ledger.record_start()
         else:
             ledger.put([Row(n, 1, version, "p", f"e{version}") for n in range(4)])
             acked = version
