--- a/cedarshift/agent/client.py
+++ b/cedarshift/agent/client.py
@@ -190,10 +190,10 @@
         self.gate.on_join(self.loop.now(), name, welcome.loads)
         pending = self.pending_reports[name] = PendingReport(self.loop.now())
         self.observe("joined", pilot=name)
-        beats: dict[int, int] = {}
+        heartbeats: dict[int, int] = {}
         background_tasks = [
             self.loop.spawn(
-                self._heartbeat_loop(name, link, beats, welcome.beat_every), f"agent {name} beat"
+                self._heartbeat_loop(name, link, heartbeats, welcome.beat_every), f"agent {name} beat"
             ),
             self.loop.spawn(
                 self._report_loop(name, link, pending, welcome.report_every), f"agent {name} report"
@@ -204,7 +204,7 @@
         try:
             while True:
                 for message in messages:
-                    yield from self._handle_message(name, link, message, beats, welcome.apply_cost)
+                    yield from self._handle_message(name, link, message, heartbeats, welcome.apply_cost)
                 messages = yield from link.receive(self.loop.now() + silence)
         except ProtocolError as error:
             link.close(error.code, str(error))
@@ -218,11 +218,11 @@
             link.stream.finish(500_000)
 
     def _handle_message(
-        self, name: str, link: Link, message: m.Message, beats: dict[int, int], cost: int
+        self, name: str, link: Link, message: m.Message, heartbeats: dict[int, int], cost: int
     ) -> Coroutine:
         now = self.loop.now()
         if isinstance(message, m.BeatOk):
-            asked_at = beats.pop(message.n, None)
+            asked_at = heartbeats.pop(message.n, None)
             if asked_at is not None and message.in_charge:
                 self.tables.on_lease(name, asked_at)
             self.shares.on_heartbeat_ok(now, name, message)
@@ -257,7 +257,7 @@
         for waker in waiting:
             waker.wake()
 
-    def _heartbeat_loop(self, name: str, link: Link, beats: dict[int, int], interval: int) -> Coroutine:
+    def _heartbeat_loop(self, name: str, link: Link, heartbeats: dict[int, int], interval: int) -> Coroutine:
         """Sends heartbeats, whose answers extend the lease from when they were sent.
 
         The second follows after a random part of the period, to spread proxies that joined together.
@@ -268,8 +268,8 @@
         )
         while not link.closed:
             n += 1
-            beats[n] = self.loop.now()
-            beats.pop(n - 64, None)  # drops a heartbeat too old to extend the lease
+            heartbeats[n] = self.loop.now()
+            heartbeats.pop(n - 64, None)  # drops a heartbeat too old to extend the lease
             try:
                 link.send(self.shares.add_request(self.loop.now(), name, m.Beat(n)))
             except StreamBroken:
--- a/cedarshift/pilot/channel.py
+++ b/cedarshift/pilot/channel.py
@@ -13,7 +13,7 @@
 
 
 class QueuedMessage(NamedTuple):
-    """A message that waits for its turn on the channel."""
+    """A message queued for a proxy."""
 
     proxy: int
     queued_at: int  # us
