--- a/cedarshift/pilot/intake.py
+++ b/cedarshift/pilot/intake.py
@@ -1,4 +1,4 @@
-"""Sums of the proxies, added up by endpoint and zone, and by slice and op type, and handed on within a limit. No I/O."""
+"""Rate-limited aggregation of proxy reports, by endpoint and zone and by slice and op type. No I/O."""
 
 from __future__ import annotations
 
@@ -7,63 +7,78 @@
 from cedarshift.codec.messages import Heat, Met
 
 
-class ZoneMet(NamedTuple):
+class ZoneTotals(NamedTuple):
+    """Tries of one endpoint by the proxies of one zone."""
+
     endpoint: str
     zone: str
     tries: int
     aborted: int
-    took: int  # us, mean of the acked ones; 0 where none was
-    span: int  # us
+    took: int  # us, mean latency of the acked tries; 0 if none was acked
+    span: int  # us, period that the counts cover
+
 
+class SliceTotals(NamedTuple):
+    """Ops of one type on one slice."""
 
-class SliceHeat(NamedTuple):
     slice: int
     op_type: int
     ops: int
     unanswered: int
-    span: int  # us
+    span: int  # us, period that the counts cover
 
 
 class Intake:
-    """At most `per_s` lines a second leave, the oldest first; what does not fit adds up and follows."""
+    """Releases at most `lines_per_s` aggregates per second, oldest first; the rest keep accumulating.
 
-    def __init__(self, per_s: float, period: int, now: int) -> None:
-        self.per_s = per_s
+    `period` is the report period of the proxies in us.
+    """
+
+    def __init__(self, lines_per_s: float, period: int, now: int) -> None:
+        self.lines_per_s = lines_per_s
         self.period = period
-        self.met: dict[tuple[str, str], list[int]] = {}  # tries, aborted, acked time in all, counted since
-        self.heat: dict[tuple[int, int], list[int]] = {}  # ops, unanswered, counted since
-        self.credit = 0.0
-        self.looked_at = now
-
-    def add_met(self, now: int, zone: str, met: Met) -> None:
-        got = self.met.setdefault((met.endpoint, zone), [0, 0, 0, now - met.span])
-        tries, aborted = met.tries, min(met.aborted, met.tries)
-        got[0] += tries
-        got[1] += aborted
-        got[2] += met.took * (tries - aborted)
-
-    def add_heat(self, now: int, heat: Heat) -> None:
-        got = self.heat.setdefault((heat.slice, heat.op_type), [0, 0, now - heat.span])
-        got[0] += heat.ops
-        got[1] += min(heat.unanswered, heat.ops)
-
-    def take(self, now: int) -> tuple[list[ZoneMet], list[SliceHeat]]:
-        """What may be handed on now. A line's span is at least a period: sums of several proxies overlap."""
-        self.credit = min(
-            self.per_s * self.period / 1e6, self.credit + (now - self.looked_at) * self.per_s / 1e6
+        # (endpoint, zone) -> tries, aborted, total latency of acked tries (us), counted since (us)
+        self.zone_totals: dict[tuple[str, str], list[int]] = {}
+        # (slice, op type) -> ops, unanswered, counted since (us)
+        self.slice_totals: dict[tuple[int, int], list[int]] = {}
+        self.tokens = 0.0
+        self.refilled_at = now
+
+    def add_endpoint_stats(self, now: int, zone: str, stats: Met) -> None:
+        """Adds a proxy's report on one endpoint; more aborted than tried counts as all aborted."""
+        totals = self.zone_totals.setdefault((stats.endpoint, zone), [0, 0, 0, now - stats.span])
+        tries, aborted = stats.tries, min(stats.aborted, stats.tries)
+        totals[0] += tries
+        totals[1] += aborted
+        totals[2] += stats.took * (tries - aborted)
+
+    def add_slice_stats(self, now: int, stats: Heat) -> None:
+        """Adds a proxy's report on one slice."""
+        totals = self.slice_totals.setdefault((stats.slice, stats.op_type), [0, 0, now - stats.span])
+        totals[0] += stats.ops
+        totals[1] += min(stats.unanswered, stats.ops)
+
+    def take(self, now: int) -> tuple[list[ZoneTotals], list[SliceTotals]]:
+        """Returns the aggregates that may be released now.
+
+        Their span is at least one report period, since the periods of several proxies overlap.
+        """
+        self.tokens = min(
+            self.lines_per_s * self.period / 1e6,
+            self.tokens + (now - self.refilled_at) * self.lines_per_s / 1e6,
         )
-        self.looked_at = now
-        mets, heats = [], []
-        while self.credit >= 1 and (self.met or self.heat):
-            met_since = next(iter(self.met.values()))[3] if self.met else None
-            heat_since = next(iter(self.heat.values()))[2] if self.heat else None
-            self.credit -= 1
-            if heat_since is None or (met_since is not None and met_since <= heat_since):
-                end, zone = next(iter(self.met))
-                tries, aborted, took, since = self.met.pop((end, zone))
-                mets.append(
-                    ZoneMet(
-                        end,
+        self.refilled_at = now
+        zone_totals, slice_totals = [], []
+        while self.tokens >= 1 and (self.zone_totals or self.slice_totals):
+            outcomes_since = next(iter(self.zone_totals.values()))[3] if self.zone_totals else None
+            ops_since = next(iter(self.slice_totals.values()))[2] if self.slice_totals else None
+            self.tokens -= 1
+            if ops_since is None or (outcomes_since is not None and outcomes_since <= ops_since):
+                endpoint, zone = next(iter(self.zone_totals))
+                tries, aborted, took, since = self.zone_totals.pop((endpoint, zone))
+                zone_totals.append(
+                    ZoneTotals(
+                        endpoint,
                         zone,
                         tries,
                         aborted,
@@ -72,10 +87,13 @@
                     )
                 )
             else:
-                number, kind = next(iter(self.heat))
-                ops, lost, since = self.heat.pop((number, kind))
-                heats.append(SliceHeat(number, kind, ops, lost, max(self.period, now - since)))
-        return mets, heats
+                slice_id, op_type = next(iter(self.slice_totals))
+                ops, unanswered, since = self.slice_totals.pop((slice_id, op_type))
+                slice_totals.append(
+                    SliceTotals(slice_id, op_type, ops, unanswered, max(self.period, now - since))
+                )
+        return zone_totals, slice_totals
 
     def lines_waiting(self) -> int:
-        return len(self.met) + len(self.heat)
+        """Returns how many aggregates wait to be released."""
+        return len(self.zone_totals) + len(self.slice_totals)
--- a/tests/platform_parts.py
+++ b/tests/platform_parts.py
@@ -270,7 +270,7 @@
         return self.loop.run(self.loop.spawn(coroutine, "test"))
 
     def logged(self, event):
-        return [fields for name, fields in self.loop.heard if name == event]
+        return [fields for name, fields in self.loop.events if name == event]
 
     def order(self, *decisions):
         """Adds decisions to those of the module and submits them."""
--- a/tests/test_gossip.py
+++ b/tests/test_gossip.py
@@ -445,7 +445,7 @@
 
     learning = Learning.__new__(Learning)
     learning.service = Service
-    assert [learning._lender(["p1", "p2", "p3"], at) for at in (0, 1)] == asked
+    assert [learning._next_lender(["p1", "p2", "p3"], at) for at in (0, 1)] == asked
 
 
 LONE = open("examples/lone.hcl").read()
