--- a/benchmarks/budgets.py
+++ b/benchmarks/budgets.py
@@ -12,8 +12,8 @@
 import time
 from typing import Any, Callable
 
-from cedarshift.judge.budgets import Budget, Giver, Holder, Hub, Plan, share_out
-from cedarshift.judge.spending import PARTS, SECOND
+from cedarshift.judge.budgets import Budget, Grantor, Holder, Hub, Plan, max_min_shares
+from cedarshift.judge.spending import PARTS_PER_TOKEN, SECOND
 
 LEASE, PROXY_LEASE = 3 * SECOND, SECOND
 DRIFT = 0.02
@@ -29,8 +29,10 @@
         self.chance = random.Random(seed)
         self.now, self.drawn = 0, 0
         self.events: list[tuple[int, int, Callable[..., None], tuple]] = []
-        self.plan = Plan([Budget("again", WHOLE * PARTS, WHOLE * PARTS // (10 * pilots))], pilots)
-        self.giver = Giver(self.plan, LEASE, 1, -2 * LEASE)
+        self.plan = Plan(
+            [Budget("again", WHOLE * PARTS_PER_TOKEN, WHOLE * PARTS_PER_TOKEN // (10 * pilots))], pilots
+        )
+        self.giver = Grantor(self.plan, LEASE, 1, -2 * LEASE)
         self.hubs = {f"p{n}": Hub(self.plan, n + 1, DRIFT, PROXY_LEASE, -2 * LEASE) for n in range(pilots)}
         self.names = [f"x{n}" for n in range(proxies)]
         self.home = {name: f"p{n % pilots}" for n, name in enumerate(self.names)}
@@ -49,7 +51,7 @@
         """A tenth of the proxies have nine tenths of a demand of twice the whole."""
         heavy = set(self.names[turn::10])
         most, least = 2 * WHOLE * 0.9 / len(heavy), 2 * WHOLE * 0.1 / (len(self.names) - len(heavy))
-        return {name: int((most if name in heavy else least) * PARTS) for name in self.names}
+        return {name: int((most if name in heavy else least) * PARTS_PER_TOKEN) for name in self.names}
 
     def after(self, span: int, call: Callable[..., None], *args: Any) -> None:
         self.drawn += 1
@@ -78,7 +80,7 @@
         begun = time.process_time()
         shares, _ = self.giver.ask(self.now, f"p{hub.holder.life}", hub.holder.life, 1, number, wants)
         self.cpu_store += time.process_time() - begun
-        self.after(self.delay(), lambda: hub.holder.hear(self.now, number, 1, shares))
+        self.after(self.delay(), lambda: hub.holder.on_answer(self.now, number, 1, shares))
 
     def ask_pilot(self, name: str) -> None:
         hub, holder = self.hubs.get(self.home[name]), self.holders[name]
@@ -93,7 +95,9 @@
         begun = time.process_time()
         shares, _ = hub.giver.ask(self.now, name, self.holders[name].life, hub.giver.era, number, wants)
         self.cpu_pilots += time.process_time() - begun
-        self.after(self.delay(), lambda: self.holders[name].hear(self.now, number, hub.giver.era, shares))
+        self.after(
+            self.delay(), lambda: self.holders[name].on_answer(self.now, number, hub.giver.era, shares)
+        )
 
     def kill(self, pilot: str) -> int:
         """Its proxies go to others 300 ms later; what the pilot had. They take nothing with them."""
@@ -115,7 +119,8 @@
         }
         self.over = max(
             self.over,
-            sum(holder.right(self.now, "again") for holder in self.holders.values()) - WHOLE * PARTS,
+            sum(holder.right(self.now, "again") for holder in self.holders.values())
+            - WHOLE * PARTS_PER_TOKEN,
         )
         return found
 
@@ -125,13 +130,13 @@
     found: dict[str, Any] = {}
     while fleet.now < ENDS_AT:
         if fleet.now == MOVES_AT:
-            ideal = share_out(WHOLE * PARTS, fleet.demand)
+            ideal = max_min_shares(WHOLE * PARTS_PER_TOKEN, fleet.demand)
             got = fleet.used()
-            scale = sum(got.values()) / (WHOLE * PARTS)
+            scale = sum(got.values()) / (WHOLE * PARTS_PER_TOKEN)
             found["unfair"] = (
-                sum(abs(got[name] - ideal[name] * scale) for name in ideal) / 2 / (WHOLE * PARTS)
+                sum(abs(got[name] - ideal[name] * scale) for name in ideal) / 2 / (WHOLE * PARTS_PER_TOKEN)
             )
-            found["before"] = sum(got.values()) / (WHOLE * PARTS)
+            found["before"] = sum(got.values()) / (WHOLE * PARTS_PER_TOKEN)
             fleet.demand = fleet.skewed(3)
         if fleet.now == DIES_AT:
             found["after_move"] = curve[-1][1]
@@ -139,8 +144,8 @@
                 max(fleet.hubs, key=lambda name: (fleet.hubs[name].holder.right(fleet.now, "again"), name))
             )
         fleet.run(fleet.now + STEP)
-        curve.append((fleet.now / SECOND, sum(fleet.used().values()) / (WHOLE * PARTS)))
-    floor = fleet.plan.budgets["again"].floor / (WHOLE * PARTS)
+        curve.append((fleet.now / SECOND, sum(fleet.used().values()) / (WHOLE * PARTS_PER_TOKEN)))
+    floor = fleet.plan.budgets["again"].floor / (WHOLE * PARTS_PER_TOKEN)
     found["moved_in"] = _since(curve, MOVES_AT, 0.95)
     found["again_in"] = _since(curve, DIES_AT, 0.95 * (1 - floor))
     found["two_leases"] = next(used for at, used in curve if at * SECOND >= MOVES_AT + 2 * LEASE)
--- a/benchmarks/overload.py
+++ b/benchmarks/overload.py
@@ -26,7 +26,7 @@
 from collections import Counter
 from typing import Any
 
-from cedarshift.judge.overload import Worth, merit, shares
+from cedarshift.judge.overload import OpValue, merit_order, shares
 from cedarshift.rehearsal.day import Day, Fault, load_day
 from cedarshift.rehearsal.evidence import read_records
 from cedarshift.rehearsal.run import play
@@ -52,11 +52,11 @@
     if way == "throttle":
         changes["proxy_kind"] = "throttle"
     if way == "oracle":
-        worths = [Worth(op.name, op.earnings, 1.0) for op in deployment.op_types]
+        worths = [OpValue(op.name, op.earnings, 1.0) for op in deployment.op_types]
         whole = sum(day.shares.values())
         mix = [day.shares[op.name] / whole for op in deployment.op_types]
         changes.update(
-            proxy_kind="fixed", let_in=tuple(shares(min(1.0, ORACLE * CAN / rate), merit(worths), mix))
+            proxy_kind="fixed", let_in=tuple(shares(min(1.0, ORACLE * CAN / rate), merit_order(worths), mix))
         )
     return dataclasses.replace(
         day, rate=BASE, length=END * 1_000_000, faults=(burst,), deployment=deployment, **changes
--- a/cedarshift/agent/client.py
+++ b/cedarshift/agent/client.py
@@ -10,7 +10,7 @@
 from cedarshift.agent.tables import NoPick, OpKind, Pick, Tables
 from cedarshift.codec import Badge, ProtocolError, Session
 from cedarshift.codec import messages as m
-from cedarshift.judge.redial import Redial
+from cedarshift.judge.redial import Backoff
 from cedarshift.link import Link, connect
 from cedarshift.loop import Loop, StreamBroken, TimedOut
 from cedarshift.loop.core import Coroutine, Waker
@@ -149,13 +149,13 @@
 
     def _follow(self, names: list[str]) -> Coroutine:
         """Keeps one stream, to the first of `names` that answers, beginning with one by chance."""
-        redial = Redial(REDIAL_FIRST, REDIAL_MOST, self.chance)
+        redial = Backoff(REDIAL_FIRST, REDIAL_MOST, self.chance)
         at = int(self.chance() * len(names))
         while True:
             name, asked = names[at % len(names)], 0
             try:
                 link, first = yield from self._dial(name)
-                redial.well()
+                redial.reset()
                 yield from self._talk(name, link, first)
             except (StreamBroken, ProtocolError, TimedOut) as error:
                 asked = getattr(error, "after", 0)
@@ -292,7 +292,7 @@
 
     def _read_store(self, address: tuple[str, int]) -> Coroutine:
         """Once, at the start: a proxy that reaches no pilot still knows the owners, for what is no write."""
-        redial = Redial(REDIAL_FIRST, REDIAL_MOST, self.chance)
+        redial = Backoff(REDIAL_FIRST, REDIAL_MOST, self.chance)
         while True:
             asked = 0
             try:
--- a/cedarshift/agent/gate.py
+++ b/cedarshift/agent/gate.py
@@ -10,7 +10,7 @@
 
 from cedarshift.agent.thinning import Thinning
 from cedarshift.codec import messages as m
-from cedarshift.judge.overload import AGAIN, WAIT, shares
+from cedarshift.judge.overload import MAX_REPEAT_RATIO, REJECT_WAIT_US, shares
 
 TOLD_FOR = 3_000_000  # us that an answer holds; while anything is taken away it is told anew at each look of the pilot
 REPEATS_SAVED = 10.0  # repeats that fresh ops may save up, so that a quiet hour buys no storm
@@ -132,7 +132,9 @@
             counts[0 if fresh else 1] += 1
             if fresh:
                 told = self.answer(now, pilot)
-                self.repeats = min(REPEATS_SAVED, self.repeats + (told.again if told is not None else AGAIN))
+                self.repeats = min(
+                    REPEATS_SAVED, self.repeats + (told.again if told is not None else MAX_REPEAT_RATIO)
+                )
 
     def admit(
         self, now: int, pilot: str, endpoint: str, kind: int, left: int, fresh: bool
@@ -179,7 +181,7 @@
 
     def wait(self, told: Optional[m.Told] = None) -> int:
         """us for who is asked to come again; spread over the whole of it, so that those rejected together do not."""
-        return int((told.wait if told is not None else WAIT["calm"]) * (0.5 + self.chance()))
+        return int((told.wait if told is not None else REJECT_WAIT_US["calm"]) * (0.5 + self.chance()))
 
     def ended(self, now: int, pilot: str, endpoint: str, kind: int, outcome: str, took: int) -> None:
         """A try that was let in: "acked", "aborted" or "full" (the endpoint had no room)."""
--- a/cedarshift/agent/shares.py
+++ b/cedarshift/agent/shares.py
@@ -7,8 +7,8 @@
 import msgspec
 
 from cedarshift.codec import messages as m
-from cedarshift.judge.budgets import ASK_LEAST, ASKS_A_LEASE, Holder, Share
-from cedarshift.judge.spending import Bucket, Wishes
+from cedarshift.judge.budgets import ASKS_PER_LEASE, MIN_ASK_INTERVAL_US, Holder, Share
+from cedarshift.judge.spending import DemandEstimator, TokenBucket
 
 FRESH_MOST = 10.0  # tokens that fresh ops may save up for repeats, so that a quiet hour buys no storm
 
@@ -21,8 +21,8 @@
         self.terms: dict[str, m.BudgetOf] = {}
         self.names: dict[str, str] = {}  # use -> budget
         self.holders: dict[str, Holder] = {}
-        self.buckets: dict[tuple[str, str], Bucket] = {}
-        self.wishes: dict[str, Wishes] = {}
+        self.buckets: dict[tuple[str, str], TokenBucket] = {}
+        self.wishes: dict[str, DemandEstimator] = {}
         self.joined: set[str] = set()
         self.asked_at: dict[str, int] = {}
         self.ask_every: dict[str, int] = {}  # by pilot, after the span of what it gave last
@@ -42,7 +42,7 @@
                 {one.name: 0 for one in terms}, self.life, max([one.drift for one in terms], default=0.0)
             )
             self.buckets = {key: bucket for key, bucket in self.buckets.items() if key[1] != pilot}
-            self.buckets.update({(one.name, pilot): Bucket(one.burst, one.drift, now) for one in terms})
+            self.buckets.update({(one.name, pilot): TokenBucket(one.burst, one.drift, now) for one in terms})
         if terms:
             self.joined.add(pilot)
         else:
@@ -55,7 +55,7 @@
         self.names = {one.use: one.name for one in self.terms.values()}
         for name in self.terms:
             if name not in self.wishes:
-                self.wishes[name] = Wishes(now)
+                self.wishes[name] = DemandEstimator(now)
                 self.of_fresh[name] = FRESH_MOST
 
     def on_lost(self, now: int, pilot: str) -> None:
@@ -70,7 +70,7 @@
 
     def on_beat(self, now: int, pilot: str, beat: m.Beat) -> m.Beat:
         """The beat, with an ask where one is due."""
-        every = self.ask_every.get(pilot, ASK_LEAST)
+        every = self.ask_every.get(pilot, MIN_ASK_INTERVAL_US)
         if pilot not in self.joined or now - self.asked_at.get(pilot, -every) < every:
             return beat
         self.asked_at[pilot] = now
@@ -84,13 +84,13 @@
         holder = self.holders.get(pilot)
         if holder is None or not answer.era:
             return
-        if holder.hear(
+        if holder.on_answer(
             now, answer.ask, answer.era, [Share(*msgspec.structs.astuple(one)) for one in answer.shares]
         ):
             spans = [
                 share.span for share in answer.shares
             ]  # asks ride on beats, so they are made a little sooner than they must
-            self.ask_every[pilot] = max(ASK_LEAST, min(spans, default=0) // (ASKS_A_LEASE + 1))
+            self.ask_every[pilot] = max(MIN_ASK_INTERVAL_US, min(spans, default=0) // (ASKS_PER_LEASE + 1))
             for name in holder.floors:
                 self.buckets[name, pilot].grant(now, holder.right(now, name), holder.until(now, name))
         elif answer.era != holder.era:
@@ -100,7 +100,7 @@
     def _demands(self, now: int) -> dict[str, int]:
         """An equal part from each pilot: any of them may give it."""
         for wishes in self.wishes.values():
-            wishes.look(now)
+            wishes.close_interval(now)
         return {name: -(-wishes.rate() // max(1, len(self.joined))) for name, wishes in self.wishes.items()}
 
     # ---- spending
@@ -119,7 +119,7 @@
         limited = self.terms[name].of_fresh > 0
         if limited and self.of_fresh[name] < 1.0:
             return False
-        self.wishes[name].wish()
+        self.wishes[name].record()
         for (budget, _), bucket in self.buckets.items():
             if budget == name and bucket.take(now):
                 self.of_fresh[name] -= 1.0 if limited else 0.0
--- a/cedarshift/budgets/desk.py
+++ b/cedarshift/budgets/desk.py
@@ -9,8 +9,8 @@
 from cedarshift.budgets.ledger import MemoryShares, ShareLedger
 from cedarshift.budgets.terms import plan_of
 from cedarshift.codec import messages as m
-from cedarshift.judge.budgets import Giver, Key, Plan, Row, Want
-from cedarshift.judge.claims import ClaimGiver, Wish
+from cedarshift.judge.budgets import Grantor, Key, Plan, Row, ShareRequest
+from cedarshift.judge.claims import ClaimGrantor, ClaimRequest
 from cedarshift.link import Link
 from cedarshift.loop import Loop
 
@@ -46,10 +46,10 @@
         self.report = report
         rows = ledger.load()
         self.kept = {row[:3] for row in rows}
-        self.giver = Giver(plan, lease, era, loop.now(), rows)
-        self.claims = ClaimGiver(lease, era, self.giver.quiet_until)
+        self.giver = Grantor(plan, lease, era, loop.now(), rows)
+        self.claims = ClaimGrantor(lease, era, self.giver.recovery_until)
         # Claims end as shares do, and no claim is kept: one row tells a later life how long the longest may run.
-        self.claims_span = max([lease, *(row.span for row in rows if row[:3] == CLAIMS)])
+        self.claims_span = max([lease, *(row.duration for row in rows if row[:3] == CLAIMS)])
         self.waiting: list[tuple[Link, str, m.Message]] = []
         self.asks = 0
         self.told: dict[Key, int] = {}  # amounts as they were logged last
@@ -58,7 +58,7 @@
         report(
             "budgets_serve",
             budgets=len(plan.budgets),
-            quiet_us=self.giver.quiet_until - loop.now(),
+            quiet_us=self.giver.recovery_until - loop.now(),
             rows=len(rows),
         )
 
@@ -87,7 +87,7 @@
                     message.life,
                     message.era,
                     message.number,
-                    [Want(*msgspec.structs.astuple(want)) for want in message.wants],
+                    [ShareRequest(*msgspec.structs.astuple(want)) for want in message.wants],
                     message.doubted,
                 )
                 rows.update({row[:3]: row for row in changed})
@@ -96,7 +96,7 @@
                         now,
                         (share.budget, name, message.life),
                         share.amount,
-                        "quiet" if self.giver.quiet(now) else "divided",
+                        "quiet" if self.giver.recovering(now) else "divided",
                     )
                 claimed = self.claims.ask(
                     now,
@@ -104,7 +104,7 @@
                     message.life,
                     message.era,
                     message.number,
-                    [Wish(one.thing, one.held) for one in message.claims],
+                    [ClaimRequest(one.thing, one.held) for one in message.claims],
                 )
                 answers.append(
                     (
@@ -134,7 +134,7 @@
         if gone:
             self.ledger.drop(gone)
             self.kept.difference_update(gone)
-        if self.claims_span > self.giver.lease and not self.giver.quiet(now):
+        if self.claims_span > self.giver.lease and not self.giver.recovering(now):
             self.claims_span = self.giver.lease  # the longer ones of a former life are over
             self.ledger.put([Row(*CLAIMS, 0, 0, self.claims_span)])
         for key in [key for key in self.told if key not in self.giver.accounts]:
@@ -156,7 +156,7 @@
             reason=reason,
             demand=account.demand if account is not None else 0,
             given=self.giver.in_force(now, key[0]),
-            whole=self.giver.plan.leased(key[0]),
+            whole=self.giver.plan.leasable(key[0]),
         )
 
     def shown(self) -> bytes:
--- a/cedarshift/budgets/pilot.py
+++ b/cedarshift/budgets/pilot.py
@@ -9,9 +9,9 @@
 from cedarshift.budgets.rights import Fleet, FleetRights
 from cedarshift.budgets.terms import AT_PROXIES, HELD, plan_of, told_to_proxies
 from cedarshift.codec import messages as m
-from cedarshift.judge.budgets import ASKS_A_LEASE, FOREVER, Hub, Plan, Share, Want
+from cedarshift.judge.budgets import ASKS_PER_LEASE, FOREVER, Hub, Plan, Share, ShareRequest
 from cedarshift.judge.claims import Claim
-from cedarshift.judge.spending import Bucket, Wishes
+from cedarshift.judge.spending import DemandEstimator, TokenBucket
 from cedarshift.link import Link
 from cedarshift.loop import Loop
 from cedarshift.loop.core import Coroutine
@@ -68,13 +68,13 @@
         self.uses = {b.use: name for name, b in named.items() if b.use and b.use not in AT_PROXIES}
         # What proxies spend is all theirs; the rest is the pilot's own, and ended with its former life: nothing is waited out.
         self.own = {
-            name: Bucket(b.burst, drift, loop.now())
+            name: TokenBucket(b.burst, drift, loop.now())
             for name, b in named.items()
             if name in plan.leaves and b.use not in AT_PROXIES and b.use not in HELD
         }
         self.rights: Optional[FleetRights] = None  # handed to it where the module goes by rights of the fleet
         self.leaves = list(plan.leaves)
-        self.wishes = {name: Wishes(loop.now()) for name in self.own}
+        self.wishes = {name: DemandEstimator(loop.now()) for name in self.own}
         self.link: Optional[Link] = None
         self.told: dict[str, int] = {}
         self.leaving = False
@@ -112,7 +112,7 @@
         if self.leaving:
             return
         now = self.loop.now()
-        if holder.hear(
+        if holder.on_answer(
             now, message.number, message.era, [Share(*msgspec.structs.astuple(one)) for one in message.shares]
         ):
             if self.rights is not None:
@@ -126,9 +126,9 @@
 
     def _ask(self) -> Coroutine:
         while True:
-            yield from self.loop.sleep(self.lease // ASKS_A_LEASE)
+            yield from self.loop.sleep(self.lease // ASKS_PER_LEASE)
             for wishes in self.wishes.values():
-                wishes.look(self.loop.now())
+                wishes.close_interval(self.loop.now())
             self._use()
             if self.link is not None:
                 self._send()
@@ -138,7 +138,7 @@
         holder, now = self.hub.holder, self.loop.now()
         moves = self.rights.moves_budget if self.rights is not None else ""
         if moves and self.rights is not None:
-            self.hub.in_hand[moves] = self.rights.fleet.moves()
+            self.hub.held_locally[moves] = self.rights.fleet.moves()
         number, wants = holder.ask(now, self._demands(now), self._spenders(now))
         claims = self.rights.wishes(now, number) if self.rights is not None else []
         self.link.send(
@@ -184,7 +184,7 @@
         moves = self.uses.get("handovers", "")
         if not claims and not moves:
             return
-        self.rights = FleetRights(me, drift, self.lease // ASKS_A_LEASE, claims, moves, fleet, self.report)
+        self.rights = FleetRights(me, drift, self.lease // ASKS_PER_LEASE, claims, moves, fleet, self.report)
         self.rights.moves_right = self._moves_right
         self.rights.settle(self.loop.now())
 
@@ -222,7 +222,7 @@
             beat.life,
             beat.era,
             beat.ask,
-            [Want(*msgspec.structs.astuple(want)) for want in beat.wants],
+            [ShareRequest(*msgspec.structs.astuple(want)) for want in beat.wants],
         )
         return giver.era, [m.Shared(*share) for share in shares]
 
@@ -232,7 +232,7 @@
         """One is wanted: once for each, however often it is asked for then."""
         name = self.uses.get(use)
         if name is not None:
-            self.wishes[name].wish()
+            self.wishes[name].record()
 
     def take(self, use: str) -> bool:
         """Whether one may be spent now; always where no budget is for it, never by who is leaving."""
@@ -243,7 +243,7 @@
         """Waits until one may be spent."""
         self.wish(use)
         while not self.take(use):
-            yield from self.loop.sleep(min(WAIT_MOST, self.own[self.uses[use]].next_in(self.loop.now())))
+            yield from self.loop.sleep(min(WAIT_MOST, self.own[self.uses[use]].time_to_next(self.loop.now())))
             self._use()
 
     # ---- for people
@@ -258,7 +258,7 @@
                 {
                     "budget": name,
                     "use": budget.use,
-                    "whole": hub.giver.plan.budgets[name].whole,
+                    "whole": hub.giver.plan.budgets[name].capacity,
                     "floor": hub.holder.floors[name],
                     "right": hub.holder.right(now, name),
                     "ends_in_us": max(0, until - now) if until < FOREVER else None,
@@ -267,7 +267,7 @@
                     "spent": bucket.spent if bucket else None,
                     "refused": bucket.refused if bucket else None,
                     "held": bool(budget.held),
-                    "in_hand": hub.in_hand.get(name, 0),
+                    "in_hand": hub.held_locally.get(name, 0),
                 }
             )
         proxies = [
--- a/cedarshift/budgets/rights.py
+++ b/cedarshift/budgets/rights.py
@@ -10,8 +10,8 @@
 import math
 from typing import Callable, NamedTuple
 
-from cedarshift.judge.budgets import ASKS_A_LEASE
-from cedarshift.judge.claims import Claim, ClaimHolder, Turns, Wish
+from cedarshift.judge.budgets import ASKS_PER_LEASE
+from cedarshift.judge.claims import Claim, ClaimHolder, ClaimRequest, ClaimSchedule
 
 # Constants: unit, then the reason for the size.
 MOVES_AHEAD = 2  # moves asked for beyond those under way: a turn's, in a small fleet
@@ -48,7 +48,7 @@
         self.fleet = fleet
         self.report = report
         self.holder = ClaimHolder(drift)
-        self.turns = Turns(me, step)
+        self.turns = ClaimSchedule(me, step)
         self.told: dict[str, float] = {}
         self.charged_at = 0  # when it was last seen to have slices
         self.next_end = -1  # when what was told is to be looked at again; -1: now
@@ -58,7 +58,7 @@
         )  # amount and end, from the budget
         self.counts = {"claims_taken": 0, "claims_ended": 0}
 
-    def wishes(self, now: int, number: int) -> list[Wish]:
+    def wishes(self, now: int, number: int) -> list[ClaimRequest]:
         """What the ask of this number names. Who has no slices has nothing to warm an endpoint with, and asks for no more of them; what
         it has it keeps for a lease, as a charge that is given anew is gone for a moment."""
         if not self.claims:
@@ -66,11 +66,11 @@
         held, cold = self.holder.held(now), self.fleet.cold()
         if self.fleet.in_charge():
             self.charged_at = now
-            things = self.turns.wishes(now, cold, self.fleet.living(), held)
+            things = self.turns.requests(now, cold, self.fleet.living(), held)
         else:
             things = (
                 sorted(held.intersection(cold))
-                if now - self.charged_at < ASKS_A_LEASE * self.turns.step
+                if now - self.charged_at < ASKS_PER_LEASE * self.turns.step
                 else []
             )
         found = self.holder.ask(now, number, things)
@@ -82,11 +82,11 @@
         """Whether something is wished that no ask has named yet: a cold endpoint has just been listed."""
         if not self.claims or not self.fleet.in_charge():
             return False
-        things = self.turns.wishes(now, self.fleet.cold(), self.fleet.living(), self.holder.held(now))
+        things = self.turns.requests(now, self.fleet.cold(), self.fleet.living(), self.holder.held(now))
         return any(thing not in self.holder.since for thing in things)
 
     def hear(self, now: int, number: int, claims: list[Claim]) -> None:
-        self.holder.hear(now, number, claims)
+        self.holder.on_answer(now, number, claims)
         self.next_end = -1
 
     def lost(self) -> None:
--- a/cedarshift/budgets/terms.py
+++ b/cedarshift/budgets/terms.py
@@ -6,7 +6,7 @@
 
 from cedarshift.codec import messages as m
 from cedarshift.judge.budgets import Budget, Plan
-from cedarshift.judge.spending import PARTS
+from cedarshift.judge.spending import PARTS_PER_TOKEN
 
 BEATS_A_LEASE = 4  # beats in a proxy's lease, so that three may be lost; asks for shares ride on them
 USES = ("retries", "probes", "list_calls", "store_dials", "handovers")
@@ -16,7 +16,7 @@
 
 def parts(rate: float) -> int:
     """Thousandths of a token a second."""
-    return round(rate * PARTS)
+    return round(rate * PARTS_PER_TOKEN)
 
 
 def plan_of(named: dict[str, Any], pilots: int) -> Plan:
--- a/cedarshift/cli/budgets.py
+++ b/cedarshift/cli/budgets.py
@@ -10,7 +10,7 @@
 from cedarshift.codec import Badge, ProtocolError, Session
 from cedarshift.codec import messages as m
 from cedarshift.deployment import Deployment
-from cedarshift.judge.spending import PARTS
+from cedarshift.judge.spending import PARTS_PER_TOKEN
 from cedarshift.link import connect
 from cedarshift.loop import StreamBroken, TimedOut
 from cedarshift.loop.core import Coroutine
@@ -46,7 +46,7 @@
 
 
 def _tokens(count: int, held: bool = False) -> str:
-    return f"{count} at a time" if held else f"{count / PARTS:g}/s"
+    return f"{count} at a time" if held else f"{count / PARTS_PER_TOKEN:g}/s"
 
 
 def _held(deployment: Deployment) -> set[str]:
@@ -116,7 +116,7 @@
         if name not in pilots:
             raise ValueError(f"--down {name}: pilots are {', '.join(pilots)}")
     living = [name for name in pilots if name not in set(down)]
-    demands = {leaf: dict.fromkeys(living, plan.budgets[leaf].whole) for leaf in plan.leaves}
+    demands = {leaf: dict.fromkeys(living, plan.budgets[leaf].capacity) for leaf in plan.leaves}
     for text in demand:
         place, _, tokens = text.partition("=")
         leaf, _, pilot = place.partition(":")
@@ -131,7 +131,7 @@
         if pilot in demands[leaf]:
             units = int(wanted) if leaf in _held(deployment) else parts(wanted)
             demands[leaf][pilot] = max(0, units - plan.budgets[leaf].floor)
-    targets = plan.targets(demands, {root: plan.leased(root) for root in plan.roots})
+    targets = plan.targets(demands, {root: plan.leasable(root) for root in plan.roots})
     out = [
         f"{deployment.name}, were all to ask for {'what is stated' if demand else 'all'}"
         + (f", without {', '.join(down)}" if down else "")
@@ -139,7 +139,7 @@
     for leaf, found in targets.items():
         floor, kind = plan.budgets[leaf].floor, leaf in _held(deployment)
         whole = sum(found.values()) + floor * len(living)
-        out.append(f"{leaf}: {_tokens(whole, kind)} of {_tokens(plan.budgets[leaf].whole, kind)} in use")
+        out.append(f"{leaf}: {_tokens(whole, kind)} of {_tokens(plan.budgets[leaf].capacity, kind)} in use")
         out += [
             f"  {name:<16} {_tokens(found.get(name, 0) + floor if name in living else 0, kind):>10}"
             + ("" if name in living else f"  down; its floor of {_tokens(floor, kind)} is kept")
--- a/cedarshift/deployment/deployment.py
+++ b/cedarshift/deployment/deployment.py
@@ -10,7 +10,7 @@
 from cedarshift.codec.zookeeper.jute import check_path
 from cedarshift.deployment import hcl
 from cedarshift.deployment.hcl import MUST, Checked, FileRefused, Problem, Shape
-from cedarshift.judge.budgets import ASK_LEAST, ASKS_A_LEASE, Refusal
+from cedarshift.judge.budgets import ASKS_PER_LEASE, MIN_ASK_INTERVAL_US, InvalidBudget
 from cedarshift.overload.digest import KINDS_MOST
 
 Address = tuple[str, int]
@@ -432,15 +432,15 @@
     block = body.blocks["budgets"][0]
     named, lines = {one.labels[0]: BudgetPlan(**one.values) for one in block.blocks["budget"]}, {}
     before = len(problems)
-    asks_every = max(ASK_LEAST, body.blocks["proxy"][0]["lease"] // BEATS_A_LEASE)
-    if block["proxy_lease"] < ASKS_A_LEASE * asks_every:
+    asks_every = max(MIN_ASK_INTERVAL_US, body.blocks["proxy"][0]["lease"] // BEATS_A_LEASE)
+    if block["proxy_lease"] < ASKS_PER_LEASE * asks_every:
         line = block.lines.get("proxy_lease", block.line)
         problems.append(
             Problem(
                 path,
                 line,
-                f"proxy_lease is under {ASKS_A_LEASE * asks_every} us: proxies ask on beats, each {asks_every} us, "
-                f"and {ASKS_A_LEASE} asks have to fit into it",
+                f"proxy_lease is under {ASKS_PER_LEASE * asks_every} us: proxies ask on beats, each {asks_every} us, "
+                f"and {ASKS_PER_LEASE} asks have to fit into it",
             )
         )
     if store is None:
@@ -481,7 +481,7 @@
                             f"{name!r} has no use, and none draws on it: nobody could spend it",
                         )
                     )
-        except Refusal as refused:
+        except InvalidBudget as refused:
             problems.append(Problem(path, lines[refused.budget], f"budget {refused.budget!r}: {refused}"))
     return BudgetTerms(block["lease"], block["proxy_lease"], block["clock_drift"], block["claim_cold"], named)
 
@@ -516,7 +516,7 @@
     found = []
     if not body["slices"]:
         found.append((block.line, f"{wanted[0]} has a meaning for slices only, and slices = 0"))
-    stands = block["lease"] * (1 - block["clock_drift"]) * (1 - 1 / ASKS_A_LEASE)
+    stands = block["lease"] * (1 - block["clock_drift"]) * (1 - 1 / ASKS_PER_LEASE)
     if store is not None and stands < store.session_lease:
         found.append(
             (
--- a/cedarshift/gossip/member.py
+++ b/cedarshift/gossip/member.py
@@ -14,8 +14,8 @@
 from cedarshift.codec import gossip as g
 from cedarshift.codec.gossip import Body, EdgeOf, NotOurs, RiderOf, Seal, VerdictOf, WordOf
 from cedarshift.judge.chance import Lcg
-from cedarshift.judge.detector import NACK_PART, Ask, Detector, Found
-from cedarshift.judge.roll import DEAD, UNHEARD, VOUCHER_FOR, Change, Edge, Roll, Verdict, Word
+from cedarshift.judge.detector import NACK_TIMEOUT_PERIODS, Detector, ProbeRequest, Reachability
+from cedarshift.judge.roll import DEAD, UNHEARD, VOUCHER_PERIODS, Change, Edge, MemberTable, Verdict, Word
 
 Address = tuple[str, int]
 
@@ -24,7 +24,7 @@
 TOLD_MORE = 0.5  # times log2 of the members more: an epidemic needs few where each tells six others
 LOOKS = 4  # times a period that the roll is looked at, at most, where nothing is due sooner
 VOUCH_PART = 2.5  # periods that an answered probe is good for a voucher: a slow one answers late, and a report takes three
-VOUCH_AGAIN = VOUCHER_FOR / 3  # periods after which a voucher is given anew while reports stand
+VOUCH_AGAIN = VOUCHER_PERIODS / 3  # periods after which a voucher is given anew while reports stand
 UNLIKE_FOR = 3.0  # periods that a peer's digest may differ from one's own before everything is exchanged
 EXCHANGE_EVERY = 2.0  # periods between two exchanges begun by one member
 EXCHANGE_WITHIN = 1.0  # periods that one may take
@@ -120,7 +120,7 @@
         self.start = start
         self.incarnation = 0
         self.on_change = on_change
-        self.roll = Roll(me, addresses, period)
+        self.roll = MemberTable(me, addresses, period)
         self.detector = Detector(
             period, self.chance, now + self.chance.draw(period), self._usable, self._vouchers
         )
@@ -179,10 +179,10 @@
         times = [
             self.detector.due(),
             self.reach_at,
-            max(self.look_at, 0 if self.roll.stale else min(self.roll.look_at, self.vouch_at)),
+            max(self.look_at, 0 if self.roll.needs_update else min(self.roll.look_at, self.vouch_at)),
         ]
         if self.helping:
-            times.append(min(h.sent for h in self.helping.values()) + int(NACK_PART * self.period))
+            times.append(min(h.sent for h in self.helping.values()) + int(NACK_TIMEOUT_PERIODS * self.period))
         if self.answer_at is not None:
             times.append(self.answer_at)
         return min(times)
@@ -201,13 +201,13 @@
             self._reach_out(now)
         if self.answer_at is not None and now >= self.answer_at:
             self._answer_verdict(now)
-        if now >= self.look_at and (self.roll.stale or now >= min(self.roll.look_at, self.vouch_at)):
+        if now >= self.look_at and (self.roll.needs_update or now >= min(self.roll.look_at, self.vouch_at)):
             self._look(now)
 
     def _look(self, now: int) -> None:
         self.look_at = now + self.period // LOOKS
         self.vouch_at = now + self.period if self._vouch(now) else 1 << 62
-        changes = self.roll.look(now, self.detector.health, self.detector.heard_at)
+        changes = self.roll.update_states(now, self.detector.health, self.detector.heard_at)
         for change in changes:
             self.counts["changes"] += 1
             if change.after == DEAD and change.name in self.roll.verdicts:
@@ -247,7 +247,7 @@
 
     # ---- what is found
 
-    def _report(self, now: int, found: Found) -> None:
+    def _report(self, now: int, found: Reachability) -> None:
         word = self.roll.words.get(found.subject)
         if word is None:
             return
@@ -281,7 +281,7 @@
                 and own[3] == self.incarnation
             )
             if own is None or not fits or not own.hears or heard - own.at >= VOUCH_AGAIN * self.period:
-                self._report(now, Found(name, True, heard))
+                self._report(now, Reachability(name, True, heard))
         return reported
 
     def _answer_verdict(self, now: int) -> None:
@@ -298,7 +298,7 @@
         ):  # what it has found holds for this incarnation too
             own = edges.get(self.me)
             if own is not None and not own.hears:
-                self._report(now, Found(subject, False, own.at))
+                self._report(now, Reachability(subject, False, own.at))
 
     def _say_word(self) -> None:
         self.roll.merge_word(self.me, Word(self.start, self.left, self.incarnation))
@@ -306,7 +306,7 @@
 
     # ---- sending
 
-    def _carry_out(self, now: int, ask: Ask) -> None:
+    def _carry_out(self, now: int, ask: ProbeRequest) -> None:
         address = self._route(ask.to, now)
         if address is None:
             return
@@ -439,7 +439,7 @@
             word = roll.words[key[1]]
             body.words = [*body.words, WordOf(key[1], word.start, word.left, word.incarnation)]
         elif key[0] == "v":
-            verdict = roll.verdicts.get(key[1]) or roll.doomed.get(key[1])
+            verdict = roll.verdicts.get(key[1]) or roll.minority_verdicts.get(key[1])
             if verdict is not None:
                 body.verdicts = [*body.verdicts, VerdictOf(key[1], *verdict)]
         elif key[0] == "e":
@@ -477,7 +477,9 @@
                 self._exchange(now, self.chance.pick(others))
 
     def _decline_late(self, now: int) -> None:
-        for nonce in [n for n, h in self.helping.items() if now - h.sent >= NACK_PART * self.period]:
+        for nonce in [
+            n for n, h in self.helping.items() if now - h.sent >= NACK_TIMEOUT_PERIODS * self.period
+        ]:
             helped = self.helping.pop(nonce)
             self._send(now, helped.asker, g.NACK, "", helped.nonce, helped.about)
 
@@ -493,7 +495,7 @@
         if not self.windows.setdefault(body.sender, Window()).fresh(body.start, body.seq):
             self.counts["again"] += 1
             return
-        self.detector.heard_any = now
+        self.detector.last_heard_at = now
         self.routes[body.sender] = self.routes[body.sender]._replace(seen=source)
         self._take(now, body)
         self._compare(now, body)
@@ -506,7 +508,7 @@
         elif body.kind == g.HELP and body.about in self.routes and len(self.helping) < self._cap():
             self._help(now, body, source)
         elif body.kind == g.NACK:
-            self.detector.declined_by(body.nonce, body.sender)
+            self.detector.on_nack(body.nonce, body.sender)
 
     def hear_stream(self, now: int, data: bytes) -> Optional[bytes]:
         """A frame of a stream; the frame that answers it, sealed, if it wants one."""
@@ -542,7 +544,7 @@
             self._send(now, helped.asker, g.ACK, "", helped.nonce, helped.about)
             return
         self.young = False
-        found = self.detector.answered_by(now, body.nonce)
+        found = self.detector.on_answer(now, body.nonce)
         if found is not None:
             self._report(now, found)
 
@@ -582,10 +584,10 @@
             elif (
                 one.name == self.me
                 and (one.start, one.incarnation) == (self.start, self.incarnation)
-                and self.me not in roll.doomed
+                and self.me not in roll.minority_verdicts
             ):
-                roll.doomed[self.me] = verdict  # a minority's: it is answered all the same
-                roll.stale = True
+                roll.minority_verdicts[self.me] = verdict  # a minority's: it is answered all the same
+                roll.needs_update = True
 
     def _take_word(self, now: int, said: WordOf) -> None:
         word = Word(said.start, said.left, said.incarnation)
@@ -630,7 +632,7 @@
 
     def _digest(self) -> int:
         """Of all that has to be alike at all: words, verdicts, and the reports that stand."""
-        return self.roll.digest ^ self.roll.silences
+        return self.roll.digest ^ self.roll.silence_digest
 
     def _exchange(self, now: int, name: str) -> None:
         address = self._route(name, now)
--- a/cedarshift/judge/charge.py
+++ b/cedarshift/judge/charge.py
@@ -15,13 +15,13 @@
 from hashlib import blake2b
 from typing import Any, Iterable, NamedTuple, Optional
 
-EPOCHS_A_LIFE = (
+EPOCHS_PER_LIFE = (
     1 << 24
 )  # givings of one slice in a life of the store: ten a second for three weeks; lives that fit a count: 2 ** 29
 
 
 @dataclass
-class Row:
+class SliceRecord:
     """A slice as it must be kept: `epoch` grows with each giving, `version` with each write."""
 
     slice: int
@@ -33,7 +33,7 @@
 
 
 @dataclass
-class Holder:
+class PilotSession:
     """A pilot's session. It was heard of last at a time that puts its end at `until`."""
 
     number: int
@@ -41,22 +41,22 @@
     until: int
 
 
-class Step(NamedTuple):
+class AssignmentChanges(NamedTuple):
     """What is to be done: keep `changed` durably first, then tell of the givings and takings, by pilot."""
 
-    changed: list[Row]
-    given: dict[str, list[Row]]
+    changed: list[SliceRecord]
+    given: dict[str, list[SliceRecord]]
     taken: dict[str, list[int]]
 
 
-class Charge:
+class SliceAssignment:
     """`pilots` in the order of their places; `lease`, `takeover` and `back_after` in us.
 
     After a start every pilot that holds slices counts as alive for one lease: its session may still stand."""
 
     def __init__(
         self,
-        rows: Iterable[Row],
+        rows: Iterable[SliceRecord],
         pilots: list[str],
         lease: int,
         takeover: int,
@@ -66,34 +66,34 @@
     ) -> None:
         assert pilots, "a store needs at least one pilot to give slices to"
         # Epochs of a later life are above all of a former one's, also of a giving that its disk has lost: it is in force somewhere.
-        self.least_epoch = (life - 1) * EPOCHS_A_LIFE + 1
+        self.min_epoch = (life - 1) * EPOCHS_PER_LIFE + 1
         self.rows = {row.slice: row for row in rows}
         self.pilots = list(pilots)
         self.lease = lease
         self.takeover = takeover
         self.back_after = back_after
-        self.holders: dict[str, Holder] = {}
-        self.gone_since = {name: now for name in pilots}
+        self.holders: dict[str, PilotSession] = {}
+        self.absent_since = {name: now for name in pilots}
         self.leaving: set[int] = set()
-        self.anew: set[int] = set()  # to be given again to the pilot that has them, for its new session
-        self.drawn = 0
+        self.regrant: set[int] = set()  # to be given again to the pilot that has them, for its new session
+        self.last_session = 0
         for name in sorted({row.pilot for row in self.rows.values() if row.pilot}):
-            self.holders[name] = Holder(0, now, now + lease)
+            self.holders[name] = PilotSession(0, now, now + lease)
 
     # ---- sessions
 
     def open(self, now: int, pilot: str) -> int:
         """A new session, which replaces an older one of the same pilot; its slices are given to it anew, and to nobody else: until it has
         heard of the new session it goes on under the old one. Whoever else should have them gets them in two steps, as ever."""
-        if pilot not in self.gone_since:
+        if pilot not in self.absent_since:
             raise ValueError(f"pilot {pilot!r} is none of {', '.join(self.pilots)}")
-        self.drawn += 1
-        self.holders[pilot] = Holder(self.drawn, now, now + self.lease)
+        self.last_session += 1
+        self.holders[pilot] = PilotSession(self.last_session, now, now + self.lease)
         for row in self.rows.values():
             if row.pilot == pilot:  # what was ordered and not answered is settled by giving anew
-                self.anew.add(row.slice)
+                self.regrant.add(row.slice)
                 self.leaving.discard(row.slice)
-        return self.drawn
+        return self.last_session
 
     def renew(self, now: int, pilot: str, number: int) -> bool:
         """Whether the session still stands; if so it is prolonged."""
@@ -107,7 +107,7 @@
         """A pilot that stops in good order says so, after it has told its proxies: nobody waits for its lease."""
         holder = self.holders.get(pilot)
         if holder is not None and holder.number == number:
-            self._end(now, pilot)
+            self._end_session(now, pilot)
 
     def released(self, pilot: str, slices: Iterable[int]) -> None:
         """The pilot has told its proxies of these; they may be given on."""
@@ -117,8 +117,8 @@
                 self.leaving.discard(number)
                 row.pilot = ""
 
-    def _end(self, now: int, pilot: str) -> None:
-        self.gone_since[pilot] = min(now, self.holders.pop(pilot).until)
+    def _end_session(self, now: int, pilot: str) -> None:
+        self.absent_since[pilot] = min(now, self.holders.pop(pilot).until)
         for row in self.rows.values():
             if row.pilot == pilot:
                 row.pilot = ""
@@ -129,7 +129,7 @@
     def home(self, slice_id: int) -> str:
         return self.pilots[slice_id % len(self.pilots)]
 
-    def _fit(self, row: Row, now: int) -> Optional[str]:
+    def _desired_pilot(self, row: SliceRecord, now: int) -> Optional[str]:
         """Who should be in charge; None while the home may still come."""
         home = self.home(row.slice)
         holder = self.holders.get(home)
@@ -138,42 +138,42 @@
             if not row.pilot or row.pilot == home or settled:
                 return home
             return row.pilot
-        if not row.pilot and now - self.gone_since[home] < self.takeover:
+        if not row.pilot and now - self.absent_since[home] < self.takeover:
             return None
         live = [name for name in self.pilots if name in self.holders]
         if row.pilot in live:
             return row.pilot
-        return max(live, key=lambda name: (self._score(name, row.slice), name), default=None)
+        return max(live, key=lambda name: (self._rendezvous_score(name, row.slice), name), default=None)
 
     @staticmethod
-    def _score(pilot: str, slice_id: int) -> bytes:
+    def _rendezvous_score(pilot: str, slice_id: int) -> bytes:
         return blake2b(f"{pilot}/{slice_id}".encode(), digest_size=8).digest()
 
-    def step(self, now: int) -> Step:
+    def step(self, now: int) -> AssignmentChanges:
         """Ends the sessions that have run out, and moves what has to move."""
         for name in [name for name, holder in self.holders.items() if now >= holder.until]:
-            self._end(now, name)
-        step = Step([], {}, {})
+            self._end_session(now, name)
+        step = AssignmentChanges([], {}, {})
         for number, row in sorted(self.rows.items()):
-            fit = self._fit(row, now)
-            if number in self.anew and row.pilot:
-                self._give(row, row.pilot, step)
+            desired = self._desired_pilot(row, now)
+            if number in self.regrant and row.pilot:
+                self._assign(row, row.pilot, step)
             elif (
                 row.pilot
-                and fit != row.pilot
+                and desired != row.pilot
                 and number not in self.leaving
                 and self.holders[row.pilot].number
             ):
                 self.leaving.add(number)
                 step.taken.setdefault(row.pilot, []).append(number)
-            elif not row.pilot and fit is not None and self.holders[fit].number:
-                self._give(row, fit, step)
-        self.anew.clear()  # what has no pilot any more is given as any other
+            elif not row.pilot and desired is not None and self.holders[desired].number:
+                self._assign(row, desired, step)
+        self.regrant.clear()  # what has no pilot any more is given as any other
         return step
 
-    def _give(self, row: Row, pilot: str, step: Step) -> None:
+    def _assign(self, row: SliceRecord, pilot: str, step: AssignmentChanges) -> None:
         row.pilot = pilot
-        row.epoch = max(row.epoch + 1, self.least_epoch)
+        row.epoch = max(row.epoch + 1, self.min_epoch)
         row.version += 1
         row.levels = []  # levels are reset at a giving: the abort of a cut-off revoke
         step.changed.append(row)
@@ -183,7 +183,7 @@
         """When `step` may have something to do next (us)."""
         times = [holder.until for holder in self.holders.values()]
         times += [holder.since + self.back_after for holder in self.holders.values()]
-        times += [at + self.takeover for at in self.gone_since.values()]
+        times += [at + self.takeover for at in self.absent_since.values()]
         return min((at for at in times if at > now), default=now + self.lease)
 
     # ---- orders
@@ -204,7 +204,7 @@
             return "taken back"
         return ""
 
-    def write(self, slice_id: int, owner: Optional[str], levels: Optional[list[Any]]) -> Row:
+    def write(self, slice_id: int, owner: Optional[str], levels: Optional[list[Any]]) -> SliceRecord:
         """Takes an order that was not refused."""
         row = self.rows[slice_id]
         row.version += 1
--- a/cedarshift/judge/claims.py
+++ b/cedarshift/judge/claims.py
@@ -15,30 +15,30 @@
 from typing import Iterable, NamedTuple
 
 # Constants: unit, then the reason for the size.
-THINGS_MOST = (
+MAX_CLAIMS_PER_ASK = (
     256  # in one ask; so many endpoints cold at a time are a release, and the rest comes as these grow warm
 )
-LIVES_KEPT = (
+SILENT_LIFE_LEASES = (
     16  # leases that a silent life's newest number is remembered: what it sent is seconds late at most
 )
-ASKS_KEPT = 64  # asks of a holder that may still be answered; it makes some four a lease
+MAX_OPEN_ASKS = 64  # asks of a holder that may still be answered; it makes some four a lease
 
 
-class Wish(NamedTuple):
+class ClaimRequest(NamedTuple):
     """A thing that is asked for, and whether it is held now."""
 
-    thing: str
+    resource: str
     held: bool
 
 
 class Claim(NamedTuple):
     """`span` (us) counts from the asking."""
 
-    thing: str
-    span: int
+    resource: str
+    duration: int
 
 
-class Right(NamedTuple):
+class ClaimLease(NamedTuple):
     holder: str
     life: int
     until: int  # by the giver's clock
@@ -47,21 +47,21 @@
 # ---- giving
 
 
-class ClaimGiver:
+class ClaimGrantor:
     """`era` names this life of the giver. Nothing new is given before `quiet_until`."""
 
-    def __init__(self, lease: int, era: int, quiet_until: int) -> None:
+    def __init__(self, lease: int, era: int, recovery_until: int) -> None:
         assert lease > 0, "a claim without an end could never pass on"
         self.lease = lease
         self.era = era
-        self.quiet_until = quiet_until
-        self.rights: dict[str, Right] = {}
+        self.recovery_until = recovery_until
+        self.leases: dict[str, ClaimLease] = {}
         self.heard: dict[tuple[str, int], tuple[int, int]] = {}  # holder and life -> newest ask, and when
         self.swept_at = 0
         self.counts = {"given": 0, "refused": 0, "stray": 0, "late": 0}
 
     def ask(
-        self, now: int, holder: str, life: int, era: int, number: int, wishes: Iterable[Wish]
+        self, now: int, holder: str, life: int, era: int, number: int, requests: Iterable[ClaimRequest]
     ) -> list[Claim]:
         """What this life has from now on; all else that it had is free. Nothing for an ask of another era, or a late one."""
         if era != self.era:
@@ -70,56 +70,60 @@
             self.counts["late"] += 1
             return []
         self.heard[holder, life] = (number, now)
-        self._sweep(now)
-        wanted = list(wishes)[:THINGS_MOST]
-        self._free(holder, life, {wish.thing for wish in wanted})
-        given = [Claim(wish.thing, self.lease) for wish in wanted if self._may_have(now, holder, life, wish)]
+        self._remove_expired(now)
+        requested = list(requests)[:MAX_CLAIMS_PER_ASK]
+        self._release(holder, life, {request.resource for request in requested})
+        given = [
+            Claim(request.resource, self.lease)
+            for request in requested
+            if self._may_grant(now, holder, life, request)
+        ]
         for claim in given:
-            self.rights[claim.thing] = Right(holder, life, now + self.lease)
+            self.leases[claim.resource] = ClaimLease(holder, life, now + self.lease)
         self.counts["given"] += len(given)
-        self.counts["refused"] += len(wanted) - len(given)
+        self.counts["refused"] += len(requested) - len(given)
         return given
 
-    def _may_have(self, now: int, holder: str, life: int, wish: Wish) -> bool:
-        right = self.rights.get(wish.thing)
-        if right is not None and right.until > now:
-            mine = (right.holder, right.life) == (holder, life)
+    def _may_grant(self, now: int, holder: str, life: int, request: ClaimRequest) -> bool:
+        lease = self.leases.get(request.resource)
+        if lease is not None and lease.until > now:
+            own = (lease.holder, lease.life) == (holder, life)
             self.counts["stray"] += (
-                wish.held and not mine
+                request.held and not own
             )  # two that both say they hold it: a clock beyond the drift
-            return mine
-        return wish.held or now >= self.quiet_until
+            return own
+        return request.held or now >= self.recovery_until
 
     def leave(self, holder: str, life: int) -> None:
         """A life says that it uses nothing any more, and takes no answer any more."""
-        self._free(holder, life, set())
+        self._release(holder, life, set())
         self.heard[holder, life] = (1 << 62, self.heard.get((holder, life), (0, 0))[1])
 
-    def _free(self, holder: str, life: int, but: set[str]) -> None:
-        for thing in [
-            thing
-            for thing, right in self.rights.items()
-            if (right.holder, right.life) == (holder, life) and thing not in but
+    def _release(self, holder: str, life: int, kept: set[str]) -> None:
+        for resource in [
+            resource
+            for resource, lease in self.leases.items()
+            if (lease.holder, lease.life) == (holder, life) and resource not in kept
         ]:
-            del self.rights[thing]
+            del self.leases[resource]
 
-    def _sweep(self, now: int) -> None:
+    def _remove_expired(self, now: int) -> None:
         """Once a lease: what has ended, and lives long silent."""
         if now - self.swept_at < self.lease:
             return
         self.swept_at = now
-        self.rights = {thing: right for thing, right in self.rights.items() if right.until > now}
+        self.leases = {resource: lease for resource, lease in self.leases.items() if lease.until > now}
         self.heard = {
             one: (number, at)
             for one, (number, at) in self.heard.items()
-            if now - at < LIVES_KEPT * self.lease
+            if now - at < SILENT_LIFE_LEASES * self.lease
         }
 
     def shown(self, now: int) -> list[dict[str, object]]:
         return [
-            {"thing": thing, "holder": right.holder, "ends_in_us": right.until - now}
-            for thing, right in sorted(self.rights.items())
-            if right.until > now
+            {"thing": resource, "holder": lease.holder, "ends_in_us": lease.until - now}
+            for resource, lease in sorted(self.leases.items())
+            if lease.until > now
         ]
 
 
@@ -135,33 +139,33 @@
         self.until: dict[str, int] = {}
         self.asked: dict[int, int] = {}  # ask's number -> when
 
-    def ask(self, now: int, number: int, things: Iterable[str]) -> list[Wish]:
+    def ask(self, now: int, number: int, resources: Iterable[str]) -> list[ClaimRequest]:
         """Asks for these; what is not named any more is given up now, before it is said. `number` grows from ask to ask of a life."""
-        wanted = list(dict.fromkeys(things))[:THINGS_MOST]
-        self.since = {thing: self.since.get(thing, number) for thing in wanted}
-        self.until = {thing: until for thing, until in self.until.items() if thing in self.since}
+        requested = list(dict.fromkeys(resources))[:MAX_CLAIMS_PER_ASK]
+        self.since = {resource: self.since.get(resource, number) for resource in requested}
+        self.until = {resource: until for resource, until in self.until.items() if resource in self.since}
         self.asked[number] = now
-        self.asked.pop(number - ASKS_KEPT, None)
-        return [Wish(thing, now < self.until.get(thing, now)) for thing in wanted]
+        self.asked.pop(number - MAX_OPEN_ASKS, None)
+        return [ClaimRequest(resource, now < self.until.get(resource, now)) for resource in requested]
 
-    def hear(self, now: int, number: int, claims: Iterable[Claim]) -> None:
+    def on_answer(self, now: int, number: int, claims: Iterable[Claim]) -> None:
         """An answer of the present era; the first to an ask counts."""
         asked_at = self.asked.pop(number, None)
         if asked_at is None:
             return
         for claim in claims:
-            until = asked_at + int(claim.span * (1 - self.drift))
-            if number >= self.since.get(claim.thing, number + 1) and until > max(
-                now, self.until.get(claim.thing, 0)
+            until = asked_at + int(claim.duration * (1 - self.drift))
+            if number >= self.since.get(claim.resource, number + 1) and until > max(
+                now, self.until.get(claim.resource, 0)
             ):
-                self.until[claim.thing] = until
+                self.until[claim.resource] = until
 
     def lost(self) -> None:
         """No answer to what was asked counts any more: another life of the giver, or a stream that is gone."""
         self.asked.clear()
 
     def held(self, now: int) -> frozenset[str]:
-        return frozenset(thing for thing, until in self.until.items() if now < until)
+        return frozenset(resource for resource, until in self.until.items() if now < until)
 
     def next_end(self) -> int:
         """When the first of what is held ends, if nothing more is heard; beyond any time where nothing is."""
@@ -176,7 +180,7 @@
 # ---- who asks first
 
 
-class Turns:
+class ClaimSchedule:
     """Which things to ask for: all pilots see the same cold endpoints, and one has to be first. By lot among those that live; the next
     asks a step later, should the first be gone or want nothing. Rolls that differ make two ask at once, and the giver decides."""
 
@@ -185,21 +189,21 @@
         self.step = step
         self.seen: dict[str, int] = {}
 
-    def wishes(
-        self, now: int, things: Iterable[str], living: Iterable[str], held: frozenset[str]
+    def requests(
+        self, now: int, resources: Iterable[str], living: Iterable[str], held: frozenset[str]
     ) -> list[str]:
         names = {*living, self.me}
-        self.seen = {thing: self.seen.get(thing, now) for thing in sorted(things)}
+        self.seen = {resource: self.seen.get(resource, now) for resource in sorted(resources)}
         return [
-            thing
-            for thing, at in self.seen.items()
-            if thing in held or now - at >= self.step * self._place(thing, names)
+            resource
+            for resource, at in self.seen.items()
+            if resource in held or now - at >= self.step * self._rank(resource, names)
         ]
 
-    def _place(self, thing: str, names: set[str]) -> int:
-        mine = self._lot(thing, self.me)
-        return sum(self._lot(thing, name) > mine for name in names)
+    def _rank(self, resource: str, names: set[str]) -> int:
+        own = self._priority(resource, self.me)
+        return sum(self._priority(resource, name) > own for name in names)
 
     @staticmethod
-    def _lot(thing: str, name: str) -> tuple[bytes, str]:
-        return blake2b(f"{thing}/{name}".encode(), digest_size=8).digest(), name
+    def _priority(resource: str, name: str) -> tuple[bytes, str]:
+        return blake2b(f"{resource}/{name}".encode(), digest_size=8).digest(), name
--- a/cedarshift/judge/membership.py
+++ b/cedarshift/judge/membership.py
@@ -17,17 +17,19 @@
 from typing import NamedTuple, Optional
 
 # Constants: unit, then the reason for the size.
-SAME_WITHIN = (
+SAME_PROCESS_WITHIN_US = (
     10_000_000  # us of absence after which a return counts as another process, unless it acked meanwhile: a
 )
 # session is made anew within seconds of its expiry, a machine is not booted so soon
-SUMS_KEPT = 8  # newest sums of an endpoint: a few periods from a handful of zones
-SUMS_FRESH = 10_000_000  # us; older sums tell nothing of now
-LOSES = 0.5  # share of ops aborted from which a vanished endpoint counts as dead: half of its ops are lost
-LOSES_LEAST = 4  # ops; fewer are chance
-MASS_WITHIN = 2_000_000  # us within which endpoints vanish "together"
-MASS_LEAST = 3  # endpoints; two at once are chance
-MASS_SHARE = 0.2  # share of the listed; a rolling deploy takes fewer at a time
+MAX_OUTCOMES = 8  # newest sums of an endpoint: a few periods from a handful of zones
+OUTCOMES_FRESH_US = 10_000_000  # us; older sums tell nothing of now
+LOSS_SHARE = (
+    0.5  # share of ops aborted from which a vanished endpoint counts as dead: half of its ops are lost
+)
+MIN_LOSS_OPS = 4  # ops; fewer are chance
+MASS_WINDOW_US = 2_000_000  # us within which endpoints vanish "together"
+MIN_MASS_ENDPOINTS = 3  # endpoints; two at once are chance
+MIN_MASS_SHARE = 0.2  # share of the listed; a rolling deploy takes fewer at a time
 
 ON, FADING, OFF = "on", "fading", "off"
 
@@ -41,10 +43,10 @@
     zone: str
     start: str
     owner: int
-    born: int
+    created_zxid: int
 
 
-class Told(NamedTuple):
+class MemberEntry(NamedTuple):
     """An entry as it is told on. `process` is another text for each process; `late`: us for which the news was held back."""
 
     endpoint: str
@@ -55,15 +57,15 @@
     late: int = 0
 
 
-class Gone(NamedTuple):
+class VanishedEndpoint(NamedTuple):
     """An endpoint without a node: since when it was known, until when it is held, and its last entry."""
 
     since: int
     until: int
-    last: Told
+    last: MemberEntry
 
 
-class Mass(NamedTuple):
+class MassVanishing(NamedTuple):
     """Many that vanished together: how many, of how many listed, and what the data plane says of them since."""
 
     vanished: int
@@ -72,7 +74,7 @@
     losing: int
 
 
-class Endpoint:
+class EndpointHistory:
     """What is known of one endpoint beside its nodes."""
 
     def __init__(self) -> None:
@@ -80,67 +82,67 @@
         self.start = ""  # what its node said of it
         self.generation = 0
         self.owner = 0
-        self.left_at: Optional[int] = None  # when its last node left
-        self.sums: deque[tuple[int, int, int]] = deque(maxlen=SUMS_KEPT)  # (heard at, tries, aborted)
+        self.absent_since: Optional[int] = None  # when its last node left
+        self.outcomes: deque[tuple[int, int, int]] = deque(maxlen=MAX_OUTCOMES)  # (heard at, tries, aborted)
 
-    def acks(self, since: int) -> tuple[int, int]:
+    def outcomes_since(self, since: int) -> tuple[int, int]:
         """(tries, aborted) of the sums heard since."""
-        got = [one for one in self.sums if one[0] >= since]
+        got = [one for one in self.outcomes if one[0] >= since]
         return sum(one[1] for one in got), sum(one[2] for one in got)
 
 
 class Membership:
     """`hold` (us): how long a vanished node may stay untold. `pools`: whether each zone is a pool of its own."""
 
-    def __init__(self, hold: int, pools: bool = False) -> None:
-        self.hold = hold
-        self.pools = pools
+    def __init__(self, hold_us: int, zone_pools: bool = False) -> None:
+        self.hold_us = hold_us
+        self.zone_pools = zone_pools
         self.nodes: dict[str, Node] = {}  # by the node's name
-        self.of_endpoint: dict[str, set[str]] = {}
-        self.endpoints: dict[str, Endpoint] = {}
-        self.gone: dict[str, Gone] = {}  # held back, or in doubt
-        self.doubted: set[str] = set()  # those that stand only because their pool would be empty
-        self.told: dict[str, Told] = {}
+        self.nodes_by_endpoint: dict[str, set[str]] = {}
+        self.endpoints: dict[str, EndpointHistory] = {}
+        self.gone: dict[str, VanishedEndpoint] = {}  # held back, or in doubt
+        self.retained: set[str] = set()  # those that stand only because their pool would be empty
+        self.published: dict[str, MemberEntry] = {}
         self.counts = {"vanished": 0, "returned": 0, "told_gone": 0, "doubted": 0, "restarts": 0}
 
     # ---- what is learnt
 
     def on_nodes(self, now: int, seen: dict[str, Node], gone: set[str]) -> None:
         """Nodes that are new or differ, and nodes that are not there any more."""
-        touched = set()
-        for name, node in sorted(seen.items(), key=lambda row: row[1].born):
-            touched |= self._placed(now, name, node)
+        affected = set()
+        for name, node in sorted(seen.items(), key=lambda row: row[1].created_zxid):
+            affected |= self._add_node(now, name, node)
         for name in sorted(gone):
-            touched |= self._removed(name)
-        for endpoint in sorted(touched):
-            self._weigh(now, endpoint)
+            affected |= self._remove_node(name)
+        for endpoint in sorted(affected):
+            self._update_vanished(now, endpoint)
 
     def on_sums(self, now: int, endpoint: str, tries: int, aborted: int) -> None:
         if endpoint in self.endpoints and tries > 0:
-            self.endpoints[endpoint].sums.append((now, tries, aborted))
+            self.endpoints[endpoint].outcomes.append((now, tries, aborted))
 
-    def _placed(self, now: int, name: str, node: Node) -> set[str]:
+    def _add_node(self, now: int, name: str, node: Node) -> set[str]:
         before = self.nodes.get(name)
-        touched = {node.endpoint}
+        affected = {node.endpoint}
         if before is not None and before.endpoint != node.endpoint:
-            touched |= self._removed(name)
-        known = self.endpoints.setdefault(node.endpoint, Endpoint())
-        self._tell_process(now, known, node)
+            affected |= self._remove_node(name)
+        known = self.endpoints.setdefault(node.endpoint, EndpointHistory())
+        self._identify_process(now, known, node)
         self.nodes[name] = node
-        self.of_endpoint.setdefault(node.endpoint, set()).add(name)
-        return touched
+        self.nodes_by_endpoint.setdefault(node.endpoint, set()).add(name)
+        return affected
 
-    def _removed(self, name: str) -> set[str]:
+    def _remove_node(self, name: str) -> set[str]:
         node = self.nodes.pop(name, None)
         if node is None:
             return set()
-        names = self.of_endpoint[node.endpoint]
+        names = self.nodes_by_endpoint[node.endpoint]
         names.discard(name)
         if not names:
-            del self.of_endpoint[node.endpoint]
+            del self.nodes_by_endpoint[node.endpoint]
         return {node.endpoint}
 
-    def _tell_process(self, now: int, known: Endpoint, node: Node) -> None:
+    def _identify_process(self, now: int, known: EndpointHistory, node: Node) -> None:
         """Whether a node is of the process that was known. What the node says decides; then: two sessions at once are two
         processes, and a return is the same process if it is soon or if it acked all the while."""
         if not known.process:
@@ -150,141 +152,147 @@
             return
         alive = [
             self.nodes[n]
-            for n in self.of_endpoint.get(node.endpoint, ())
+            for n in self.nodes_by_endpoint.get(node.endpoint, ())
             if self.nodes[n].owner == known.owner
         ]
         if node.start or known.start:
-            other = node.start != known.start
+            restarted = node.start != known.start
         elif alive:
-            other = node.born > max(one.born for one in alive)
+            restarted = node.created_zxid > max(one.created_zxid for one in alive)
         else:
-            other = not self._same_after_absence(now, known)
-        if other:
+            restarted = not self._same_after_absence(now, known)
+        if restarted:
             known.generation += 1
             known.process = node.start or str(known.generation)
             self.counts["restarts"] += 1
         known.start, known.owner = node.start, node.owner
 
     @staticmethod
-    def _same_after_absence(now: int, known: Endpoint) -> bool:
-        left = known.left_at if known.left_at is not None else now
-        tries, aborted = known.acks(left)
-        if tries >= LOSES_LEAST:
-            return aborted < LOSES * tries
-        return now - left <= SAME_WITHIN
-
-    def _weigh(self, now: int, endpoint: str) -> None:
+    def _same_after_absence(now: int, known: EndpointHistory) -> bool:
+        left = known.absent_since if known.absent_since is not None else now
+        tries, aborted = known.outcomes_since(left)
+        if tries >= MIN_LOSS_OPS:
+            return aborted < LOSS_SHARE * tries
+        return now - left <= SAME_PROCESS_WITHIN_US
+
+    def _update_vanished(self, now: int, endpoint: str) -> None:
         """An endpoint's place after its nodes have changed: in force, held back or gone."""
         entry = self._entry(endpoint)
         if entry is not None and entry.phase != OFF:
             if self.gone.pop(endpoint, None) is not None:
                 self.counts["returned"] += 1
-            self.doubted.discard(endpoint)
-            self.endpoints[endpoint].left_at = None
+            self.retained.discard(endpoint)
+            self.endpoints[endpoint].absent_since = None
             return
-        last = self.told.get(endpoint)
+        last = self.published.get(endpoint)
         if last is None or last.phase == OFF or endpoint in self.gone:
             return
         self.counts["vanished"] += 1
         known = self.endpoints[endpoint]
-        known.left_at = now
+        known.absent_since = now
         # A node that says of itself that it is off, or that drained before, leaves no doubt.
-        held = self.hold if entry is None and last.phase == ON else 0
-        self.gone[endpoint] = Gone(now, now + held, last)
+        held = self.hold_us if entry is None and last.phase == ON else 0
+        self.gone[endpoint] = VanishedEndpoint(now, now + held, last)
 
-    def _entry(self, endpoint: str) -> Optional[Told]:
+    def _entry(self, endpoint: str) -> Optional[MemberEntry]:
         """By the newest of its nodes."""
-        names = self.of_endpoint.get(endpoint)
+        names = self.nodes_by_endpoint.get(endpoint)
         if not names:
             return None
-        node = max((self.nodes[name] for name in names), key=lambda one: one.born)
-        return Told(endpoint, node.phase, node.size, node.zone, self.endpoints[endpoint].process)
+        node = max((self.nodes[name] for name in names), key=lambda one: one.created_zxid)
+        return MemberEntry(endpoint, node.phase, node.size, node.zone, self.endpoints[endpoint].process)
 
-    def mass(self, now: int) -> Optional[Mass]:
+    def mass(self, now: int) -> Optional[MassVanishing]:
         """A vanishing that people should hear of, since no single cause can be read from it: a deploy, a cut between members
         and servers, and servers that forgot all sessions look alike by number. Who acks still tells them apart afterwards."""
         recent = [
             endpoint
             for endpoint, one in self.gone.items()
-            if now - one.since <= MASS_WITHIN and one.last.phase == ON
+            if now - one.since <= MASS_WINDOW_US and one.last.phase == ON
         ]
-        listed = sum(one.phase == ON for one in self.told.values())
-        if len(recent) < max(MASS_LEAST, MASS_SHARE * listed):
+        listed = sum(one.phase == ON for one in self.published.values())
+        if len(recent) < max(MIN_MASS_ENDPOINTS, MIN_MASS_SHARE * listed):
             return None
-        sums = [self.endpoints[endpoint].acks(self.gone[endpoint].since) for endpoint in recent]
-        losing = sum(tries >= LOSES_LEAST and aborted >= LOSES * tries for tries, aborted in sums)
-        acking = sum(tries >= LOSES_LEAST and aborted < LOSES * tries for tries, aborted in sums)
-        return Mass(len(recent), listed, acking, losing)
+        outcomes = [self.endpoints[endpoint].outcomes_since(self.gone[endpoint].since) for endpoint in recent]
+        losing = sum(tries >= MIN_LOSS_OPS and aborted >= LOSS_SHARE * tries for tries, aborted in outcomes)
+        acking = sum(tries >= MIN_LOSS_OPS and aborted < LOSS_SHARE * tries for tries, aborted in outcomes)
+        return MassVanishing(len(recent), listed, acking, losing)
 
     # ---- what is told
 
     def due(self) -> Optional[int]:
         """When to look again: the end of the next hold; those in doubt are looked at with each sum."""
-        return min((one.until for name, one in self.gone.items() if name not in self.doubted), default=None)
+        return min((one.until for name, one in self.gone.items() if name not in self.retained), default=None)
 
-    def take(self, now: int) -> list[Told]:
+    def take(self, now: int) -> list[MemberEntry]:
         """What has changed since the last call, for the module's list."""
         listed = {
-            endpoint: entry for endpoint in self.of_endpoint if (entry := self._entry(endpoint)) is not None
+            endpoint: entry
+            for endpoint in self.nodes_by_endpoint
+            if (entry := self._entry(endpoint)) is not None
         }
         for endpoint, one in sorted(self.gone.items()):
-            held = endpoint not in self.doubted and now < one.until and not self._loses(now, endpoint, one)
+            held = (
+                endpoint not in self.retained
+                and now < one.until
+                and not self._is_losing_ops(now, endpoint, one)
+            )
             if held:
                 listed[endpoint] = one.last
-        for endpoint in self._stand_in_doubt(now, listed):
+        for endpoint in self._retain_last_of_pool(now, listed):
             listed[endpoint] = self.gone[endpoint].last
         since: dict[str, int] = {}
         for endpoint in [
             name for name in sorted(self.gone) if name not in listed or listed[name].phase == OFF
         ]:
             since[endpoint] = self.gone.pop(endpoint).since
-            self.doubted.discard(endpoint)
+            self.retained.discard(endpoint)
             self.counts["told_gone"] += 1
         changed = [
             entry
             for endpoint, entry in sorted(listed.items())
-            if self.told.get(endpoint) != entry and (entry.phase != OFF or endpoint in self.told)
+            if self.published.get(endpoint) != entry and (entry.phase != OFF or endpoint in self.published)
         ]
         left = [
             entry._replace(phase=OFF)
-            for endpoint, entry in sorted(self.told.items())
+            for endpoint, entry in sorted(self.published.items())
             if endpoint not in listed and entry.phase != OFF
         ]
         for entry in changed + left:
-            self.told[entry.endpoint] = entry
+            self.published[entry.endpoint] = entry
         return changed + [entry._replace(late=now - since.get(entry.endpoint, now)) for entry in left]
 
-    def _loses(self, now: int, endpoint: str, one: Gone) -> bool:
-        tries, aborted = self.endpoints[endpoint].acks(max(one.since, now - SUMS_FRESH))
-        return tries >= LOSES_LEAST and aborted >= LOSES * tries
+    def _is_losing_ops(self, now: int, endpoint: str, one: VanishedEndpoint) -> bool:
+        tries, aborted = self.endpoints[endpoint].outcomes_since(max(one.since, now - OUTCOMES_FRESH_US))
+        return tries >= MIN_LOSS_OPS and aborted >= LOSS_SHARE * tries
 
-    def _pool(self, entry: Told) -> str:
-        return entry.zone if self.pools else ""
+    def _pool_of(self, entry: MemberEntry) -> str:
+        return entry.zone if self.zone_pools else ""
 
-    def _stand_in_doubt(self, now: int, listed: dict[str, Told]) -> list[str]:
+    def _retain_last_of_pool(self, now: int, listed: dict[str, MemberEntry]) -> list[str]:
         """The vanished endpoints of pools that would be empty without them, as long as the data plane acks there. One that
         drained is never among them: that it leaves was its own word."""
-        full = {self._pool(entry) for entry in listed.values() if entry.phase == ON}
+        full = {self._pool_of(entry) for entry in listed.values() if entry.phase == ON}
         found = []
         for endpoint, one in sorted(self.gone.items()):
             stands = (
                 endpoint not in listed
                 and one.last.phase == ON
-                and self._pool(one.last) not in full
-                and self._acks(now, endpoint, one)
+                and self._pool_of(one.last) not in full
+                and self._is_acking(now, endpoint, one)
             )
             if stands:
                 found.append(endpoint)
-        self.counts["doubted"] += len(set(found) - self.doubted)
-        self.doubted = set(found)
+        self.counts["doubted"] += len(set(found) - self.retained)
+        self.retained = set(found)
         return found
 
-    def _acks(self, now: int, endpoint: str, one: Gone) -> bool:
+    def _is_acking(self, now: int, endpoint: str, one: VanishedEndpoint) -> bool:
         """Heard acking lately; until the first sums from after the vanishing can be here, those of before count."""
-        tries, aborted = self.endpoints[endpoint].acks(max(one.since, now - SUMS_FRESH))
+        tries, aborted = self.endpoints[endpoint].outcomes_since(max(one.since, now - OUTCOMES_FRESH_US))
         if not tries:
-            tries, aborted = self.endpoints[endpoint].acks(now - SUMS_FRESH)
-        return tries > 0 and aborted < LOSES * tries
+            tries, aborted = self.endpoints[endpoint].outcomes_since(now - OUTCOMES_FRESH_US)
+        return tries > 0 and aborted < LOSS_SHARE * tries
 
 
-__all__ = ["Mass", "Membership", "Node", "Told"]
+__all__ = ["MassVanishing", "MemberEntry", "Membership", "Node"]
--- a/cedarshift/judge/overload.py
+++ b/cedarshift/judge/overload.py
@@ -16,60 +16,72 @@
 from typing import Iterable, NamedTuple, Optional, Sequence
 
 # Constants: unit, then the reason for the size.
-AIM = 0.3  # of the target; where endpoints never run dry and acks are in time with room for the unlucky
-ENGAGE = 0.5  # of the target; beyond it what comes is shed: acks of twice the middle's time are late then
-EASE = 0.2  # of the target; under it the endpoints run dry, and more is let in
-ENGAGE_LOOKS = 2  # looks in a row; one late sum sheds nothing
-ENGAGE_BLIND = 6  # looks in a row, while nothing was ever carried: the first ops of a start tell nothing
-JOIN_SHARE = 0.9  # of the others; a pilot that sees nothing by itself sheds with them
-ENGAGE_AT_ONCE = 0.65  # of the target; so much is no chance any more, and each half second counts
-GAIN_PART = 0.8  # of the target by the delay of what is told: at 1.6 (a quarter turn of lag) the answer would swing for ever
-GAIN_MOST = 1.5  # of what is carried, a target's length from the aim; more would empty the queues of endpoints that are well
-FAR = 1.0  # of the target from the aim; beyond it the answer is as strong as it gets
-RISE = 0.25  # of the known capacity a second, while endpoints run dry: all is back within four seconds
-FITS = 0.95  # of the known capacity; what comes then is tried whole, while nobody waits for long
-CALM_FOR = 3_000_000  # us that all fits before the limits are taken away
-SMOOTH = 0.5  # weight of a new look at what is acked: the chance of a hundred ops a second is a tenth
-FADE = 0.99  # a look; a capacity that was seen once is forgotten within a minute
-SHARE_LEAST = 0.05  # always let in: without any ack nothing would tell that the endpoints are back
+TARGET_PRESSURE = (
+    0.3  # of the target; where endpoints never run dry and acks are in time with room for the unlucky
+)
+ENGAGE_PRESSURE = (
+    0.5  # of the target; beyond it what comes is shed: acks of twice the middle's time are late then
+)
+EASE_PRESSURE = 0.2  # of the target; under it the endpoints run dry, and more is let in
+ENGAGE_STEPS = 2  # looks in a row; one late sum sheds nothing
+ENGAGE_STEPS_AT_START = (
+    6  # looks in a row, while nothing was ever carried: the first ops of a start tell nothing
+)
+JOIN_OTHERS_SHARE = 0.9  # of the others; a pilot that sees nothing by itself sheds with them
+ENGAGE_NOW_PRESSURE = 0.65  # of the target; so much is no chance any more, and each half second counts
+GAIN_FACTOR = 0.8  # of the target by the delay of what is told: at 1.6 (a quarter turn of lag) the answer would swing for ever
+MAX_GAIN = 1.5  # of what is carried, a target's length from the aim; more would empty the queues of endpoints that are well
+MAX_PRESSURE_ERROR = 1.0  # of the target from the aim; beyond it the answer is as strong as it gets
+RISE_PER_S = 0.25  # of the known capacity a second, while endpoints run dry: all is back within four seconds
+FITS_SHARE = 0.95  # of the known capacity; what comes then is tried whole, while nobody waits for long
+CALM_AFTER_US = 3_000_000  # us that all fits before the limits are taken away
+SMOOTHING = 0.5  # weight of a new look at what is acked: the chance of a hundred ops a second is a tenth
+CAPACITY_DECAY = 0.99  # a look; a capacity that was seen once is forgotten within a minute
+MIN_SHARE = 0.05  # always let in: without any ack nothing would tell that the endpoints are back
 FULL_PRESSURE = 1.5  # of the target; what an op counts for that an endpoint was too full to take
-PRESSURE_MOST = 4.0  # of the target; an endpoint that answers nothing tells no more
-ACKED_LEAST = 0.5  # acks within the view; with fewer one op under way would tell of a jam
-FRESH_FOR = 2_000_000  # us; a row younger than this counts whole
-STALE_AFTER = 8_000_000  # us; an older one counts for nothing
-CLAMP = 4.0  # times the middle row; beyond it a row is taken for nonsense, and cut
-CLAMP_ROWS = 3  # rows from which there is a middle to hold one against
-PULL = 0.3  # of the way to the middle of the others' shares: what differs by late rows does not stay apart
-GAP = 2_500_000  # us without a look, as after a stop: what was worked out before is worth nothing
-JAM_AFTER = 2_000_000  # us that what comes would fit and is not carried: longer than any burst's own queue takes to drain
-JAM_FITS = 0.9  # of the known capacity; fresh work under it ought to be carried
-JAM_CARRIES = (
+MAX_PRESSURE = 4.0  # of the target; an endpoint that answers nothing tells no more
+MIN_ACKED = 0.5  # acks within the view; with fewer one op under way would tell of a jam
+FRESH_FOR_US = 2_000_000  # us; a row younger than this counts whole
+STALE_AFTER_US = 8_000_000  # us; an older one counts for nothing
+OUTLIER_FACTOR = 4.0  # times the middle row; beyond it a row is taken for nonsense, and cut
+MIN_REPORTS_TO_CLAMP = 3  # rows from which there is a middle to hold one against
+CONSENSUS_PULL = (
+    0.3  # of the way to the middle of the others' shares: what differs by late rows does not stay apart
+)
+RESTART_GAP_US = 2_500_000  # us without a look, as after a stop: what was worked out before is worth nothing
+JAM_AFTER_US = 2_000_000  # us that what comes would fit and is not carried: longer than any burst's own queue takes to drain
+JAM_OFFERED_SHARE = 0.9  # of the known capacity; fresh work under it ought to be carried
+JAM_CARRIED_SHARE = (
     0.3  # of the known capacity; queues that are full, and ops that come to nothing, leave more than that
 )
-JAM_SHARE = (
+JAM_LIMIT_SHARE = (
     0.5  # of the known capacity, while a jam is ended: queues drain in the time that they took to fill
 )
-JAM_MOST = 8_000_000  # us; then it is no jam but less capacity, and is answered as that
-JAM_AGAIN = 20_000_000  # us before another may be found: the way out must not become a habit
-AGAIN = 0.1  # repeats for each fresh op, in peace
-WAIT = {"calm": 200_000, "limited": 1_000_000, "jam": 2_000_000}  # us that a rejected client is asked to wait
-LANE_LEAST, LANE_MOST = (
+MAX_JAM_US = 8_000_000  # us; then it is no jam but less capacity, and is answered as that
+JAM_COOLDOWN_US = 20_000_000  # us before another may be found: the way out must not become a habit
+MAX_REPEAT_RATIO = 0.1  # repeats for each fresh op, in peace
+REJECT_WAIT_US = {
+    "calm": 200_000,
+    "limited": 1_000_000,
+    "jam": 2_000_000,
+}  # us that a rejected client is asked to wait
+MIN_SHARE_FACTOR, MAX_SHARE_FACTOR = (
     0.1,
     3.0,
 )  # times the fleet's share that an endpoint's own may be; more comes of too few ops
-LANE_SMOOTH = (
+SHARE_FACTOR_SMOOTHING = (
     0.7  # weight of a new look; what was acked is smooth already, and what is under way is told exactly
 )
-LANE_OPS = 8.0  # ops behind an endpoint's own share, at least
-LANE_RISE = (
+MIN_ENDPOINT_OPS = 8.0  # ops behind an endpoint's own share, at least
+SHARE_FACTOR_GROWTH = (
     1.5  # a look, of an endpoint that was spared while the fleet is calm: it has all again within two seconds
 )
-LANE_LOOKS = 4  # looks in a row before an endpoint is spared while the fleet is calm: a jam of all is the fleet's to answer
+OVERLOADED_STEPS = 4  # looks in a row before an endpoint is spared while the fleet is calm: a jam of all is the fleet's to answer
 STATES = ("calm", "limited", "jam")
-RATE_MOST = 1e7  # a second; no fleet of this kind comes near
+MAX_RATE = 1e7  # a second; no fleet of this kind comes near
 
 
-class Worth(NamedTuple):
+class OpValue(NamedTuple):
     """An op type: what an ack in time earns, and the work it takes against the others."""
 
     name: str
@@ -89,7 +101,7 @@
     took: float = 0.0
 
 
-class Row(NamedTuple):
+class LoadReport(NamedTuple):
     """What one pilot tells. `at`: when it held, by the hearer's clock. `ops`: behind the pressure, a second. `share`: its answer."""
 
     start: int
@@ -126,24 +138,24 @@
     wait: int
 
 
-CALM = Answer("calm", 1.0, (), (), AGAIN, WAIT["calm"])
+CALM = Answer("calm", 1.0, (), (), MAX_REPEAT_RATIO, REJECT_WAIT_US["calm"])
 
 
-def sound(row: Row, kinds: int) -> bool:
+def is_plausible(row: LoadReport, kinds: int) -> bool:
     """Whether a row may be counted at all: its figures are numbers within what can be."""
     figures = [value for flow in row.flows for value in flow[:6]] + [row.ops]
     times = [flow.took for flow in row.flows]
     return (
         len(row.flows) == kinds
         and row.state in STATES
-        and all(0 <= value <= RATE_MOST for value in figures)
+        and all(0 <= value <= MAX_RATE for value in figures)
         and all(0 <= value < math.inf for value in times)
         and 0 <= row.pressure < math.inf
         and 0 <= row.share <= 1
     )
 
 
-def weighted_middle(values: Iterable[tuple[float, float]]) -> float:
+def weighted_median(values: Iterable[tuple[float, float]]) -> float:
     """The middle of (value, weight); 0 of nothing."""
     rows = sorted((value, weight) for value, weight in values if weight > 0)
     half, seen = sum(weight for _, weight in rows) / 2, 0.0
@@ -154,17 +166,17 @@
     return 0.0
 
 
-class Picture:
+class FleetLoad:
     """The newest row of each pilot."""
 
-    def __init__(self, me: str, worths: Sequence[Worth]) -> None:
+    def __init__(self, me: str, op_values: Sequence[OpValue]) -> None:
         self.me = me
-        self.worths = list(worths)
-        self.rows: dict[str, Row] = {}
+        self.op_values = list(op_values)
+        self.rows: dict[str, LoadReport] = {}
 
-    def hear(self, pilot: str, row: Row) -> bool:
+    def add_report(self, pilot: str, row: LoadReport) -> bool:
         """Whether it is newer than what is held, and can be at all."""
-        if not sound(row, len(self.worths)):
+        if not is_plausible(row, len(self.op_values)):
             return False
         held = self.rows.get(pilot)
         if held is not None and (row.start, row.seq) <= (held.start, held.seq):
@@ -175,27 +187,33 @@
     def weight(self, pilot: str, now: int) -> float:
         """How much a row still counts: whole while it is fresh, then less with its age."""
         age = now - self.rows[pilot].at
-        return 1.0 if age <= FRESH_FOR else max(0.0, 1.0 - (age - FRESH_FOR) / (STALE_AFTER - FRESH_FOR))
+        return (
+            1.0
+            if age <= FRESH_FOR_US
+            else max(0.0, 1.0 - (age - FRESH_FOR_US) / (STALE_AFTER_US - FRESH_FOR_US))
+        )
 
     def totals(self, now: int, gone: Iterable[str] = ()) -> Totals:
         """`gone`: pilots that left, or that most hold for dead; their proxies' ops come to others now."""
         left = set(gone) - {self.me}
         known = {name: self.weight(name, now) for name in self.rows if name not in left}
-        flows = self._cut([(self.rows[name].flows, weight) for name, weight in sorted(known.items())])
-        middle = [self._of_middle(kind, flows) for kind in range(len(self.worths))]
+        flows = self._clamp_outliers(
+            [(self.rows[name].flows, weight) for name, weight in sorted(known.items())]
+        )
+        median = [self._median_flow(kind, flows) for kind in range(len(self.op_values))]
         summed = [
             Flow._make(
                 [
                     *(
-                        sum(weight * flow[kind][n] + (1 - weight) * middle[kind][n] for flow, weight in flows)
+                        sum(weight * flow[kind][n] + (1 - weight) * median[kind][n] for flow, weight in flows)
                         for n in range(6)
                     ),
                     0.0,
                 ]
             )
-            for kind in range(len(self.worths))
+            for kind in range(len(self.op_values))
         ]
-        costs = [worth.cost for worth in self.worths]
+        costs = [op_value.cost for op_value in self.op_values]
         work = [cost * flow.fresh for cost, flow in zip(costs, summed)]
         offered = sum(work)
         return Totals(
@@ -207,13 +225,18 @@
             repeats=sum(flow.repeats for flow in summed),
         )
 
-    def _cut(self, rows: list[tuple[tuple[Flow, ...], float]]) -> list[tuple[tuple[Flow, ...], float]]:
+    def _clamp_outliers(
+        self, rows: list[tuple[tuple[Flow, ...], float]]
+    ) -> list[tuple[tuple[Flow, ...], float]]:
         """Rows far above the middle are cut to a multiple of it, figure by figure: one that reports nonsense moves little."""
-        if len(rows) < CLAMP_ROWS:
+        if len(rows) < MIN_REPORTS_TO_CLAMP:
             return rows
         tops = [
-            [CLAMP * weighted_middle((flows[kind][n], weight) for flows, weight in rows) for n in range(6)]
-            for kind in range(len(self.worths))
+            [
+                OUTLIER_FACTOR * weighted_median((flows[kind][n], weight) for flows, weight in rows)
+                for n in range(6)
+            ]
+            for kind in range(len(self.op_values))
         ]
         return [
             (
@@ -232,38 +255,42 @@
         ]
 
     @staticmethod
-    def _of_middle(kind: int, rows: list[tuple[tuple[Flow, ...], float]]) -> Flow:
+    def _median_flow(kind: int, rows: list[tuple[tuple[Flow, ...], float]]) -> Flow:
         """What stands for a pilot whose row has faded: neither nought nor its last word."""
         return Flow._make(
-            [*(weighted_middle((flows[kind][n], weight) for flows, weight in rows) for n in range(6)), 0.0]
+            [*(weighted_median((flows[kind][n], weight) for flows, weight in rows) for n in range(6)), 0.0]
         )
 
     def _pressure(self, known: dict[str, float]) -> float:
         """The middle of the pilots' pressures by the ops behind each, none for more than the middle: so one alone is never half of them."""
-        told = [(self.rows[name].pressure, weight, self.rows[name].ops) for name, weight in known.items()]
-        most = weighted_middle((ops, weight) for _, weight, ops in told)
-        return weighted_middle((pressure, weight * min(ops, most or ops)) for pressure, weight, ops in told)
+        reported = [(self.rows[name].pressure, weight, self.rows[name].ops) for name, weight in known.items()]
+        most = weighted_median((ops, weight) for _, weight, ops in reported)
+        return weighted_median(
+            (pressure, weight * min(ops, most or ops)) for pressure, weight, ops in reported
+        )
 
     def others_share(self, now: int, gone: Iterable[str] = ()) -> Optional[float]:
         """The middle of the other pilots' shares, of two the larger; None without a row that still counts."""
         left = {*gone, self.me}
-        told = [(row.share, self.weight(name, now)) for name, row in self.rows.items() if name not in left]
+        reported = [
+            (row.share, self.weight(name, now)) for name, row in self.rows.items() if name not in left
+        ]
         return (
-            1.0 - weighted_middle((1.0 - share, weight) for share, weight in told)
-            if any(weight > 0 for _, weight in told)
+            1.0 - weighted_median((1.0 - share, weight) for share, weight in reported)
+            if any(weight > 0 for _, weight in reported)
             else None
         )
 
 
-def gain_for(target: int, delay: int) -> float:
+def gain_for_delay(target: int, delay: int) -> float:
     """How much of what is carried a target's length of waiting takes away, where what is told is `delay` us old: the more in step the less
     the wait that is aimed at can be kept."""
-    return min(GAIN_MOST, GAIN_PART * target / max(1, delay))
+    return min(MAX_GAIN, GAIN_FACTOR * target / max(1, delay))
 
 
-def merit(worths: Sequence[Worth]) -> tuple[int, ...]:
+def merit_order(op_values: Sequence[OpValue]) -> tuple[int, ...]:
     """Places of the op types, those that earn most for their cost first; ties by place."""
-    return tuple(sorted(range(len(worths)), key=lambda n: (-worths[n].earnings / worths[n].cost, n)))
+    return tuple(sorted(range(len(op_values)), key=lambda n: (-op_values[n].earnings / op_values[n].cost, n)))
 
 
 def shares(share: float, order: Sequence[int], mix: Sequence[float]) -> list[float]:
@@ -290,13 +317,13 @@
 
 
 @dataclass
-class Governor:
+class OverloadController:
     """Turns what the fleet carries into the share that is let in. One in each pilot; the same totals give the same answer.
 
     While endpoints are busy what is acked *is* what they can carry, so the share follows it and the pressure's distance from the aim;
     while they run dry more is let in step by step, up to what was carried before."""
 
-    worths: list[Worth]
+    op_values: list[OpValue]
     now: int
     gain: float = 1.0  # as `gain_for` tells
     state: str = "calm"
@@ -304,8 +331,8 @@
     carried: float = 0.0  # work acked a second, smoothed
     known: float = 0.0  # work a second that was carried in time, lately
     limit: float = 0.0  # work a second that is let in while limited
-    high: int = 0  # looks in a row with the pressure beyond
-    join: int = 0  # looks in a row in which the others shed
+    steps_above: int = 0  # looks in a row with the pressure beyond
+    steps_others_shed: int = 0  # looks in a row in which the others shed
     fits_since: Optional[int] = None
     stuck_since: Optional[int] = None
     jam_until: int = 0
@@ -314,134 +341,152 @@
     order: tuple[int, ...] = field(default=())
 
     def __post_init__(self) -> None:
-        self.order = merit(self.worths)
+        self.order = merit_order(self.op_values)
 
     def step(self, now: int, seen: Totals, others: Optional[float] = None) -> Answer:
         """`others`: the middle of what the other pilots answer."""
-        span, self.now = now - self.now, now
-        if span > GAP:  # stopped meanwhile: the others' answer holds until there is one of its own
-            self._begin_anew(seen, 1.0 if others is None else others)
+        elapsed, self.now = now - self.now, now
+        if (
+            elapsed > RESTART_GAP_US
+        ):  # stopped meanwhile: the others' answer holds until there is one of its own
+            self._restart(seen, 1.0 if others is None else others)
             return self._answer(seen)
-        self.carried += SMOOTH * (seen.acked - self.carried) if self.carried else seen.acked
-        if seen.pressure <= ENGAGE:
+        self.carried += SMOOTHING * (seen.acked - self.carried) if self.carried else seen.acked
+        if seen.pressure <= ENGAGE_PRESSURE:
             self.known = max(self.known, self.carried)
         elif self.state == "limited":  # busy, and yet less is carried: that is what there is
-            self.known = max(self.carried, FADE * self.known)
-        self.high = self.high + 1 if seen.pressure > ENGAGE else 0
-        looks = ENGAGE_BLIND if not self.known else 1 if seen.pressure > ENGAGE_AT_ONCE else ENGAGE_LOOKS
-        self.join = self.join + 1 if others is not None and others < JOIN_SHARE else 0
-        if self.state == "calm" and self.high >= looks:
+            self.known = max(self.carried, CAPACITY_DECAY * self.known)
+        self.steps_above = self.steps_above + 1 if seen.pressure > ENGAGE_PRESSURE else 0
+        looks = (
+            ENGAGE_STEPS_AT_START
+            if not self.known
+            else 1
+            if seen.pressure > ENGAGE_NOW_PRESSURE
+            else ENGAGE_STEPS
+        )
+        self.steps_others_shed = (
+            self.steps_others_shed + 1 if others is not None and others < JOIN_OTHERS_SHARE else 0
+        )
+        if self.state == "calm" and self.steps_above >= looks:
             self._enter("limited", f"ops take {seen.pressure:.2f} of the target")
-            self.limit = self._carriable(seen)
-        elif self.state == "calm" and self.join >= ENGAGE_LOOKS and others is not None:
+            self.limit = self._sustainable(seen)
+        elif self.state == "calm" and self.steps_others_shed >= ENGAGE_STEPS and others is not None:
             self._enter("limited", f"the others let {others:.2f} in")
             self.limit = others * seen.offered
         elif self.state == "limited":
-            self._follow(now, span, seen)
+            self._adjust_limit(now, elapsed, seen)
         elif self.state == "jam":
-            self._end_jam(now, seen)
-        self._look_for_jam(now, seen)
+            self._leave_jam(now, seen)
+        self._detect_jam(now, seen)
         own = (
             1.0
             if self.state == "calm"
-            else min(1.0, max(SHARE_LEAST, self.limit / seen.offered if seen.offered else 1.0))
+            else min(1.0, max(MIN_SHARE, self.limit / seen.offered if seen.offered else 1.0))
         )
         if others is not None and self.state != "calm":
-            own += PULL * (others - own)
+            own += CONSENSUS_PULL * (others - own)
         self.share = own
         return self._answer(seen)
 
-    def _begin_anew(self, seen: Totals, share: float) -> None:
+    def _restart(self, seen: Totals, share: float) -> None:
         self._enter("limited" if share < 1.0 else "calm", "this pilot stood still")
         self.share, self.limit = share, share * seen.offered
         self.carried, self.known = 0.0, 0.0
 
-    def _carriable(self, seen: Totals) -> float:
-        return self.carried * max(0.0, 1 + self.gain * max(-FAR, AIM - seen.pressure))
+    def _sustainable(self, seen: Totals) -> float:
+        return self.carried * max(
+            0.0, 1 + self.gain * max(-MAX_PRESSURE_ERROR, TARGET_PRESSURE - seen.pressure)
+        )
 
-    def _follow(self, now: int, span: int, seen: Totals) -> None:
-        fits = seen.pressure < ENGAGE and seen.offered < FITS * self.known
+    def _adjust_limit(self, now: int, elapsed: int, seen: Totals) -> None:
+        fits = seen.pressure < ENGAGE_PRESSURE and seen.offered < FITS_SHARE * self.known
         if (
-            seen.pressure < EASE or fits
+            seen.pressure < EASE_PRESSURE or fits
         ):  # an op may take long though nothing waits: what was carried before is let in again
-            self.limit = max(self.limit, self.carried) + RISE * max(self.known, self.carried) * span / 1e6
-        elif seen.pressure < AIM:  # nobody waits for long: what falls is what comes, not what can be carried
-            self.limit = max(self._carriable(seen), self.limit)
+            self.limit = (
+                max(self.limit, self.carried) + RISE_PER_S * max(self.known, self.carried) * elapsed / 1e6
+            )
+        elif (
+            seen.pressure < TARGET_PRESSURE
+        ):  # nobody waits for long: what falls is what comes, not what can be carried
+            self.limit = max(self._sustainable(seen), self.limit)
         else:
-            self.limit = self._carriable(seen)
-        self.limit = max(self.limit, SHARE_LEAST * seen.offered)
+            self.limit = self._sustainable(seen)
+        self.limit = max(self.limit, MIN_SHARE * seen.offered)
         if self.limit < seen.offered:
             self.fits_since = None
         elif self.fits_since is None:
             self.fits_since = now
-        elif now - self.fits_since >= CALM_FOR:
+        elif now - self.fits_since >= CALM_AFTER_US:
             self._enter("calm", "all that comes fits")
 
-    def _look_for_jam(self, now: int, seen: Totals) -> None:
+    def _detect_jam(self, now: int, seen: Totals) -> None:
         """What comes would fit into what was carried before, and yet the endpoints are behind: the jam keeps itself up."""
         stuck = (
             self.state != "jam"
-            and seen.offered < JAM_FITS * self.known
-            and seen.pressure > ENGAGE
-            and self.carried > JAM_CARRIES * self.known
+            and seen.offered < JAM_OFFERED_SHARE * self.known
+            and seen.pressure > ENGAGE_PRESSURE
+            and self.carried > JAM_CARRIED_SHARE * self.known
         )  # where next to nothing is carried the cause is still there
         if not stuck:
             self.stuck_since = None
         elif self.stuck_since is None:
             self.stuck_since = now
-        elif now - self.stuck_since >= JAM_AFTER and now >= self.jam_not_before:
+        elif now - self.stuck_since >= JAM_AFTER_US and now >= self.jam_not_before:
             self._enter(
                 "jam",
                 f"{seen.offered:.0f} of work a second come, {self.known:.0f} were carried, {self.carried:.0f} are",
             )
-            self.jam_until, self.jam_not_before = now + JAM_MOST, now + JAM_MOST + JAM_AGAIN
-            self.limit = JAM_SHARE * self.known
+            self.jam_until, self.jam_not_before = now + MAX_JAM_US, now + MAX_JAM_US + JAM_COOLDOWN_US
+            self.limit = JAM_LIMIT_SHARE * self.known
 
-    def _end_jam(self, now: int, seen: Totals) -> None:
-        if seen.pressure < EASE:
+    def _leave_jam(self, now: int, seen: Totals) -> None:
+        if seen.pressure < EASE_PRESSURE:
             self._enter("limited", "the queues are empty again")
-            self.limit = max(self.carried, JAM_SHARE * self.known)
+            self.limit = max(self.carried, JAM_LIMIT_SHARE * self.known)
         elif now >= self.jam_until:
             self._enter("limited", "it was no jam: less can be carried than before")
             self.known = self.carried
-            self.limit = self._carriable(seen)
+            self.limit = self._sustainable(seen)
 
     def _enter(self, state: str, why: str) -> None:
         self.state, self.why = state, why
-        self.fits_since, self.stuck_since, self.high, self.join = None, None, 0, 0
+        self.fits_since, self.stuck_since, self.steps_above, self.steps_others_shed = None, None, 0, 0
 
     def _answer(self, seen: Totals) -> Answer:
         if self.state == "calm" or not seen.mix:
-            return CALM._replace(state=self.state, order=self.order, mix=seen.mix, wait=WAIT[self.state])
-        again = 0.0 if self.state == "jam" else AGAIN * self.share
-        return Answer(self.state, self.share, self.order, seen.mix, again, WAIT[self.state])
+            return CALM._replace(
+                state=self.state, order=self.order, mix=seen.mix, wait=REJECT_WAIT_US[self.state]
+            )
+        again = 0.0 if self.state == "jam" else MAX_REPEAT_RATIO * self.share
+        return Answer(self.state, self.share, self.order, seen.mix, again, REJECT_WAIT_US[self.state])
 
 
 @dataclass
-class Lane:
+class EndpointLoad:
     """One endpoint as this pilot's proxies meet it; amounts fall away with time."""
 
     tries: float = 0.0
     acked: float = 0.0
     full: float = 0.0
     came: float = 0.0  # ops for its slices, the rejected too
-    open: float = 0.0  # under way, as proxies told last
-    trim: float = 1.0  # its share against the fleet's
-    behind: int = 0  # looks in a row with its pressure beyond
+    in_flight: float = 0.0  # under way, as proxies told last
+    share_factor: float = 1.0  # its share against the fleet's
+    looks_overloaded: int = 0  # looks in a row with its pressure beyond
 
 
-class Lanes:
+class EndpointLoads:
     """Endpoints by what was met there, over the last `span` us or so. They give the pressure, and each endpoint's own share: where
     one is behind and another runs dry, the fleet's one share would drown the first and waste the second.
 
     A thousand proxies tell of hundreds of endpoints twice a second: what they tell is added up as it comes, and falls away at the looks."""
 
-    def __init__(self, target: int, span: int, gain: float = 1.0) -> None:
+    def __init__(self, target: int, elapsed: int, gain: float = 1.0) -> None:
         self.target = target
         self.gain = gain
-        self.span = span
-        self.settled_at = 0
-        self.lanes: defaultdict[str, Lane] = defaultdict(Lane)
+        self.elapsed = elapsed
+        self.decayed_at = 0
+        self.lanes: defaultdict[str, EndpointLoad] = defaultdict(EndpointLoad)
         self.held: dict[str, dict[str, float]] = {}  # by who told: what it has under way at each endpoint
 
     def met(self, endpoint: str, tries: float, aborted: float, full: float = 0.0) -> None:
@@ -454,19 +499,19 @@
     def came(self, endpoint: str, ops: float) -> None:
         self.lanes[endpoint].came += ops
 
-    def holds(self, who: str, under_way: dict[str, float]) -> None:
+    def set_in_flight(self, who: str, under_way: dict[str, float]) -> None:
         """What `who` has under way now, in the place of what it told before; nothing, of one that has left."""
         for endpoint, count in self.held.pop(who, {}).items():
             lane = self.lanes[endpoint]
-            lane.open = max(0.0, lane.open - count)
+            lane.in_flight = max(0.0, lane.in_flight - count)
         if under_way:
             self.held[who] = under_way
         for endpoint, count in under_way.items():
-            self.lanes[endpoint].open += count
+            self.lanes[endpoint].in_flight += count
 
-    def _settle(self, now: int) -> None:
-        left = math.exp((self.settled_at - now) / self.span) if now > self.settled_at else 1.0
-        self.settled_at = max(now, self.settled_at)
+    def _decay(self, now: int) -> None:
+        left = math.exp((self.decayed_at - now) / self.elapsed) if now > self.decayed_at else 1.0
+        self.decayed_at = max(now, self.decayed_at)
         for lane in self.lanes.values() if left < 1.0 else ():
             lane.tries, lane.acked, lane.full, lane.came = (
                 lane.tries * left,
@@ -475,56 +520,70 @@
                 lane.came * left,
             )
 
-    def _pressure(self, lane: Lane) -> Optional[float]:
-        if lane.acked + lane.full + lane.open < 1:
+    def _pressure(self, lane: EndpointLoad) -> Optional[float]:
+        if lane.acked + lane.full + lane.in_flight < 1:
             return None
-        waits = lane.open / max(ACKED_LEAST, lane.acked) * self.span / self.target
-        return min(PRESSURE_MOST, waits + FULL_PRESSURE * lane.full / max(1.0, lane.acked + lane.full))
+        waits = lane.in_flight / max(MIN_ACKED, lane.acked) * self.elapsed / self.target
+        return min(MAX_PRESSURE, waits + FULL_PRESSURE * lane.full / max(1.0, lane.acked + lane.full))
 
     def look(self, now: int) -> tuple[float, float]:
         """The pressure and the ops a second behind it. An endpoint counts by what it answers, so one that answers nothing counts little
         beside others; where none answers anything they all count by what is under way."""
-        self._settle(now)
-        told = []
+        self._decay(now)
+        reported = []
         for endpoint, lane in list(self.lanes.items()):
             pressure = self._pressure(lane)
             if pressure is not None:
-                told.append((pressure, lane.acked + lane.full))
-            elif lane.tries + lane.came + lane.open < 0.01:
+                reported.append((pressure, lane.acked + lane.full))
+            elif lane.tries + lane.came + lane.in_flight < 0.01:
                 del self.lanes[endpoint]
-        if told and not any(ops > ACKED_LEAST for _, ops in told):
-            told = [
-                (pressure, lane.open)
+        if reported and not any(ops > MIN_ACKED for _, ops in reported):
+            reported = [
+                (pressure, lane.in_flight)
                 for lane in self.lanes.values()
                 if (pressure := self._pressure(lane)) is not None
             ]
-        return weighted_middle(told), sum(ops for _, ops in told) * 1e6 / self.span
+        return weighted_median(reported), sum(ops for _, ops in reported) * 1e6 / self.elapsed
 
     def shares(self, now: int, share: float) -> dict[str, float]:
         """Of endpoints at which another share than the fleet's is let in. While the fleet sheds they only move it: what is let in at one
         endpoint more is let in at others less. While it does not, an endpoint that stays behind is spared alone."""
-        self._settle(now)
+        self._decay(now)
         wanted = {endpoint: self._wanted(lane) for endpoint, lane in self.lanes.items()}
-        told = [(part, self.lanes[endpoint].came) for endpoint, part in wanted.items() if part is not None]
-        came = sum(ops for _, ops in told)
-        usual = sum(part * ops for part, ops in told) / came if came else 0.0
+        reported = [
+            (part, self.lanes[endpoint].came) for endpoint, part in wanted.items() if part is not None
+        ]
+        came = sum(ops for _, ops in reported)
+        usual = sum(part * ops for part, ops in reported) / came if came else 0.0
         for endpoint, part in wanted.items():
             lane = self.lanes[endpoint]
-            pressed = (self._pressure(lane) or 0.0) > ENGAGE
-            lane.behind = lane.behind + 1 if pressed else 0
-            if part is None or not usual or (share >= 1.0 and lane.trim >= 1.0 and lane.behind < LANE_LOOKS):
-                lane.trim = 1.0
+            pressed = (self._pressure(lane) or 0.0) > ENGAGE_PRESSURE
+            lane.looks_overloaded = lane.looks_overloaded + 1 if pressed else 0
+            if (
+                part is None
+                or not usual
+                or (share >= 1.0 and lane.share_factor >= 1.0 and lane.looks_overloaded < OVERLOADED_STEPS)
+            ):
+                lane.share_factor = 1.0
                 continue
-            to = part / usual if share < 1.0 else part if pressed else lane.trim * LANE_RISE
-            lane.trim += LANE_SMOOTH * (min(LANE_MOST, max(LANE_LEAST, to)) - lane.trim)
+            to = part / usual if share < 1.0 else part if pressed else lane.share_factor * SHARE_FACTOR_GROWTH
+            lane.share_factor += SHARE_FACTOR_SMOOTHING * (
+                min(MAX_SHARE_FACTOR, max(MIN_SHARE_FACTOR, to)) - lane.share_factor
+            )
         found = {
-            endpoint: min(1.0, share * lane.trim) for endpoint, lane in self.lanes.items() if lane.trim != 1.0
+            endpoint: min(1.0, share * lane.share_factor)
+            for endpoint, lane in self.lanes.items()
+            if lane.share_factor != 1.0
         }
         return {endpoint: own for endpoint, own in found.items() if abs(own - share) > 0.01 * share}
 
-    def _wanted(self, lane: Lane) -> Optional[float]:
+    def _wanted(self, lane: EndpointLoad) -> Optional[float]:
         """What part of all that comes for it an endpoint could do; None where too little came to tell."""
         pressure = self._pressure(lane)
-        if pressure is None or lane.came < LANE_OPS:
+        if pressure is None or lane.came < MIN_ENDPOINT_OPS:
             return None
-        return lane.acked / lane.came * max(LANE_LEAST, 1 + self.gain * max(-FAR, AIM - pressure))
+        return (
+            lane.acked
+            / lane.came
+            * max(MIN_SHARE_FACTOR, 1 + self.gain * max(-MAX_PRESSURE_ERROR, TARGET_PRESSURE - pressure))
+        )
--- a/cedarshift/judge/redial.py
+++ b/cedarshift/judge/redial.py
@@ -9,26 +9,30 @@
 
 from typing import Callable
 
-ASKED_MOST = 10_000_000  # us; no peer may send anyone away for longer
-GROWS = 3  # times the last wait; the mean of a wait is then twice the last one's
+MAX_REQUESTED_WAIT_US = 10_000_000  # us; no peer may send anyone away for longer
+GROWTH_FACTOR = 3  # times the last wait; the mean of a wait is then twice the last one's
 
 
-class Redial:
+class Backoff:
     """`first` and `most` in us: the least wait, and what none passes. `chance()` draws from 0 to 1."""
 
-    def __init__(self, first: int, most: int, chance: Callable[[], float]) -> None:
-        assert 0 < first <= most, "a wait of nothing is a loop that spins"
-        self.first = first
-        self.most = most
-        self.chance = chance
-        self.last = first
+    def __init__(self, minimum: int, maximum: int, random: Callable[[], float]) -> None:
+        assert 0 < minimum <= maximum, "a wait of nothing is a loop that spins"
+        self.minimum = minimum
+        self.maximum = maximum
+        self.random = random
+        self.previous = minimum
 
-    def well(self) -> None:
+    def reset(self) -> None:
         """A try was good, and lasted: the next failure is a first one."""
-        self.last = self.first
+        self.previous = self.minimum
 
-    def wait(self, asked: int = 0) -> int:
+    def wait(self, requested: int = 0) -> int:
         """us until the next try. `asked`: what the other side has asked for, which is kept to and spread by a half more."""
-        widest = min(self.most, GROWS * self.last)
-        self.last = self.first + int(self.chance() * (widest - self.first))
-        return max(self.last, int(min(asked, ASKED_MOST) * (1 + self.chance() / 2))) if asked else self.last
+        upper = min(self.maximum, GROWTH_FACTOR * self.previous)
+        self.previous = self.minimum + int(self.random() * (upper - self.minimum))
+        return (
+            max(self.previous, int(min(requested, MAX_REQUESTED_WAIT_US) * (1 + self.random() / 2)))
+            if requested
+            else self.previous
+        )
--- a/cedarshift/judge/roll.py
+++ b/cedarshift/judge/roll.py
@@ -20,30 +20,36 @@
 from typing import Callable, Iterable, NamedTuple, Optional
 
 # Constants: unit, then the reason for the size.
-OBSERVERS = 8  # observers of a member: one or two slow or dead ones among them decide nothing
-SHARE_LEAST = 0.6  # of a subject's sound observers that must report it, however long one waits
-PATIENCE_FIRST = (
+OBSERVERS_PER_MEMBER = 8  # observers of a member: one or two slow or dead ones among them decide nothing
+MIN_REPORTER_SHARE = 0.6  # of a subject's sound observers that must report it, however long one waits
+BASE_PATIENCE_PERIODS = (
     1.0  # periods from the first report until a verdict when every observer reports: vouchers take as long
 )
-PATIENCE_MORE = 8.0  # periods more for all observers that do not report, in proportion
-SETTLED = 0.75  # periods without a new report of anyone: what fails together is judged together
-SETTLED_MOST = 4.0  # periods from a subject's first report after which it is judged though others keep coming
-SETTLED_FEW = 2.0  # the same where few are reported: a cut's silences are found within a period of each other, and told in one more
-FEW_PART = 0.2  # of the configured; while no more are reported and vouched for by nobody, what still comes turns no majority
-VOUCHER_FOR = 5.0  # periods that a proof of life stands against reports
-CUT_AFTER = 2.0  # periods of reports and vouchers side by side after which a member counts as cut
-TORN_PART = (
+EXTRA_PATIENCE_PERIODS = 8.0  # periods more for all observers that do not report, in proportion
+QUIESCENT_PERIODS = 0.75  # periods without a new report of anyone: what fails together is judged together
+MAX_QUIESCENT_WAIT_PERIODS = (
+    4.0  # periods from a subject's first report after which it is judged though others keep coming
+)
+MAX_QUIESCENT_WAIT_FEW_PERIODS = 2.0  # the same where few are reported: a cut's silences are found within a period of each other, and told in one more
+FEW_SUSPECTS_SHARE = 0.2  # of the configured; while no more are reported and vouched for by nobody, what still comes turns no majority
+VOUCHER_PERIODS = 5.0  # periods that a proof of life stands against reports
+CUT_AFTER_PERIODS = 2.0  # periods of reports and vouchers side by side after which a member counts as cut
+PARTITION_SHARE = (
     1 / 3
 )  # of the usable members that some hear and others don't: then news travels by few links, and slowly
-TORN_LEAST = 3  # members, so that a single link that fails is none of it
-TORN_PATIENCE = 4.0  # times the patience while it is so
-TORN_VOUCHER = 2.5  # times that a proof of life stands: it is that much older when it has come by many hands
-UPGRADE_AFTER = 6.0  # periods that a side has to be most before what it found as a minority counts as agreed
-WEAK_AFTER = 2.0  # periods of reports and no voucher after which a member's own reports count for nothing, however few say so
-HEARD_WITHIN = 2.0  # periods beyond its patience that one waits to hear most of its own subjects, before it speaks for few only
-STEADY = 2.0  # periods that a side has to be most before its verdict counts: after a heal all are to be probed first
-SAMPLE_PART = 0.7  # of its subjects, where they are a sample of a larger fleet: half a fleet's sample rarely shows so many
-REPORTS_LEAST = 2  # observers, where there are so many: one alone may be the faulty one
+MIN_PARTITION_MEMBERS = 3  # members, so that a single link that fails is none of it
+PARTITION_PATIENCE_FACTOR = 4.0  # times the patience while it is so
+PARTITION_VOUCHER_FACTOR = (
+    2.5  # times that a proof of life stands: it is that much older when it has come by many hands
+)
+UPGRADE_AFTER_PERIODS = (
+    6.0  # periods that a side has to be most before what it found as a minority counts as agreed
+)
+UNRELIABLE_AFTER_PERIODS = 2.0  # periods of reports and no voucher after which a member's own reports count for nothing, however few say so
+MAJORITY_WAIT_PERIODS = 2.0  # periods beyond its patience that one waits to hear most of its own subjects, before it speaks for few only
+STABLE_MAJORITY_PERIODS = 2.0  # periods that a side has to be most before its verdict counts: after a heal all are to be probed first
+MIN_ANSWERED_SHARE = 0.7  # of its subjects, where they are a sample of a larger fleet: half a fleet's sample rarely shows so many
+MIN_REPORTERS = 2  # observers, where there are so many: one alone may be the faulty one
 
 ALIVE, SUSPECT, CUT, DEAD, LEFT, UNHEARD = "alive", "suspect", "cut", "dead", "left", "unheard"
 USABLE = (ALIVE, SUSPECT, CUT)
@@ -106,7 +112,7 @@
     Small fleets observe each other all. The same names give the same rings everywhere, and whoever is the observer of a subject
     has it among its subjects."""
 
-    def __init__(self, names: Iterable[str], count: int = OBSERVERS) -> None:
+    def __init__(self, names: Iterable[str], count: int = OBSERVERS_PER_MEMBER) -> None:
         names = sorted(names)
         self.names = names
         self.count = min(count, max(0, len(names) - 1))
@@ -137,7 +143,7 @@
         return self._next(name, usable, -1)
 
 
-class Roll:
+class MemberTable:
     """`period` in us. `health` of the one who keeps it, 0 for well, lengthens its patience."""
 
     def __init__(self, me: str, names: Iterable[str], period: int) -> None:
@@ -148,18 +154,18 @@
         self.words: dict[str, Word] = {}
         self.edges: dict[str, dict[str, Edge]] = {}  # subject -> observer -> edge
         self.verdicts: dict[str, Verdict] = {}
-        self.doomed: dict[
+        self.minority_verdicts: dict[
             str, Verdict
         ] = {}  # what this side found while it was no majority; told to nobody else
         self.states = {name: UNHEARD for name in self.names}
         self.since: dict[str, int] = {}  # when the first of the standing reports of a subject was learnt
         self.changed_at: dict[str, int] = {}  # when a member came to its state
-        self.newest_report = -(10**18)
+        self.last_report_at = -(10**18)
         self.digest = 0  # of all words and verdicts
-        self.silences = 0  # of all silent edges that stand, as of the last look
-        self.doubted = 0  # members reported and vouched for by nobody, at the last look
-        self.most_since: Optional[int] = None  # since when this side is most of the configured
-        self.stale = True  # something was merged since the last look
+        self.silence_digest = 0  # of all silent edges that stand, as of the last look
+        self.disputed_members = 0  # members reported and vouched for by nobody, at the last look
+        self.majority_since: Optional[int] = None  # since when this side is most of the configured
+        self.needs_update = True  # something was merged since the last look
         self.look_at = 0
 
     # ---- merging: commutative, associative, idempotent
@@ -168,14 +174,14 @@
         known = self.words.get(name)
         if name not in self.states or (known is not None and word <= known):
             return False
-        self._fold(name, known)
-        self._fold(name, word)
+        self._toggle_digest(name, known)
+        self._toggle_digest(name, word)
         self.words[name] = word
         verdict = self.verdicts.get(name)
-        if verdict is not None and self._past(verdict, word):
-            self._fold(name, self.verdicts.pop(name))
-        self.doomed.pop(name, None)
-        self.stale = True
+        if verdict is not None and self._answers_verdict(verdict, word):
+            self._toggle_digest(name, self.verdicts.pop(name))
+        self.minority_verdicts.pop(name, None)
+        self.needs_update = True
         return True
 
     def merge_edge(self, now: int, observer: str, subject: str, edge: Edge) -> bool:
@@ -189,8 +195,8 @@
             return False
         self.edges.setdefault(subject, {})[observer] = edge
         if not edge.hears and (known is None or known.hears or known[4:] != edge[4:]):
-            self.newest_report = now
-        self.stale = True
+            self.last_report_at = now
+        self.needs_update = True
         return True
 
     def merge_verdict(self, name: str, verdict: Verdict) -> bool:
@@ -202,32 +208,32 @@
             or (known is not None and verdict <= known)
         ):
             return False
-        if word is not None and self._past(verdict, word):
+        if word is not None and self._answers_verdict(verdict, word):
             return False
-        self._fold(name, known)
-        self._fold(name, verdict)
+        self._toggle_digest(name, known)
+        self._toggle_digest(name, verdict)
         self.verdicts[name] = verdict
-        self.stale = True
+        self.needs_update = True
         return True
 
     @staticmethod
-    def _past(verdict: Verdict, word: Word) -> bool:
+    def _answers_verdict(verdict: Verdict, word: Word) -> bool:
         """Whether the word answers the verdict: by a later life or incarnation, or by having left."""
         return verdict[:2] < (word.start, word.incarnation) or (word.left and verdict.start <= word.start)
 
     def dead(self, name: str) -> Optional[Verdict]:
         """The verdict that stands on a member as it is now."""
         word = self.words.get(name)
-        for verdict in (self.verdicts.get(name), self.doomed.get(name)):
+        for verdict in (self.verdicts.get(name), self.minority_verdicts.get(name)):
             if verdict is not None and word is not None and verdict[:2] == (word.start, word.incarnation):
                 return verdict
         return None
 
-    def _fold(self, name: str, said: Optional[tuple]) -> None:
+    def _toggle_digest(self, name: str, record: Optional[tuple]) -> None:
         """Two members with the same digest hold the same words and verdicts. A verdict's side is left out: it is told once."""
-        if said is not None:
+        if record is not None:
             self.digest ^= _hashed(
-                f"{name} {said[:2] if isinstance(said, Verdict) else tuple(said)} {type(said).__name__}"
+                f"{name} {record[:2] if isinstance(record, Verdict) else tuple(record)} {type(record).__name__}"
             )
 
     # ---- what follows
@@ -258,68 +264,72 @@
             and self.states[observer] in USABLE
         )
 
-    def look(
+    def update_states(
         self, now: int, health: int = 0, heard: Callable[[str], Optional[int]] = lambda name: 1 << 62
     ) -> list[Change]:
         """Brings the states up to now; what changed. Nothing is looked at again before something was merged or is due.
         `heard`: when a probe of one's own to a subject was sent that was answered, the newest."""
-        if not self.stale and now < self.look_at:
+        if not self.needs_update and now < self.look_at:
             return []
-        self.stale, self.look_at = False, now + 10**12
+        self.needs_update, self.look_at = False, now + 10**12
         before = dict(self.states)
         standing = {name: found for name in self.names if (found := self.standing(name))}
         silent = {
             name: {o for o, edge in found.items() if not edge.hears} for name, found in standing.items()
         }
 
-        def fresh(torn: bool) -> dict[str, set[str]]:
+        def fresh(partitioned: bool) -> dict[str, set[str]]:
             return {
                 name: {
                     o
                     for o, edge in found.items()
-                    if edge.hears and now - edge.at <= self._good_for(name, edge, torn)
+                    if edge.hears and now - edge.at <= self._voucher_lifetime(name, edge, partitioned)
                 }
                 for name, found in standing.items()
             }
 
         here = [name for name in self.names if self.usable(name) or name == self.me]
         vouched = fresh(True)
-        mixed = sum(bool(silent.get(name)) and bool(vouched.get(name)) for name in here)
-        torn = mixed >= max(TORN_LEAST, TORN_PART * len(here))
-        vouched = fresh(torn)
-        weak = {
+        disputed = sum(bool(silent.get(name)) and bool(vouched.get(name)) for name in here)
+        partitioned = disputed >= max(MIN_PARTITION_MEMBERS, PARTITION_SHARE * len(here))
+        vouched = fresh(partitioned)
+        unreliable = {
             name
             for name, some in silent.items()
             if not vouched[name]
-            and len(some) >= REPORTS_LEAST
+            and len(some) >= MIN_REPORTERS
             and (
                 2 * len(some) >= len(self.rings.observers(name, self.usable))
-                or now - self.since.get(name, now) >= WEAK_AFTER * self.period
+                or now - self.since.get(name, now) >= UNRELIABLE_AFTER_PERIODS * self.period
             )
         }
-        reported = {name: some - weak for name, some in silent.items()}
+        reported = {name: some - unreliable for name, some in silent.items()}
         # Who is reported and vouched for by nobody may be on the other side of a cut that is just being found.
         side = sum(name == self.me or not silent.get(name) or bool(vouched.get(name)) for name in here)
-        self.doubted = len(here) - side
-        self.most_since = (
-            (now if self.most_since is None else self.most_since) if 2 * side > len(self.names) else None
+        self.disputed_members = len(here) - side
+        self.majority_since = (
+            (now if self.majority_since is None else self.majority_since)
+            if 2 * side > len(self.names)
+            else None
         )
-        slowly = (1 + health / 2) * (TORN_PATIENCE if torn else 1.0)
+        patience_factor = (1 + health / 2) * (PARTITION_PATIENCE_FACTOR if partitioned else 1.0)
         evidence: dict[str, tuple[tuple[str, ...], tuple[str, ...]]] = {}
         for name in self.names:
             reporters, vouchers = reported.get(name, set()), vouched.get(name, set())
             if name != self.me and reporters | vouchers:
                 evidence[name] = (tuple(sorted(reporters)), tuple(sorted(vouchers)))
-                self._judge(now, name, reporters, vouchers, weak, side, slowly, torn, heard)
+                self._judge(
+                    now, name, reporters, vouchers, unreliable, side, patience_factor, partitioned, heard
+                )
             self.states[name] = self._state(now, name, reporters, vouchers)
         for name in self.names:
             if self.states[name] != before[name]:
                 self.changed_at[name] = now
-        self._tidy()
-        self.silences = 0
+        self._drop_outdated_edges()
+        self.silence_digest = 0
         for name, some in silent.items():
             for observer in some:
-                self.silences ^= _hashed(f"{observer} {name} {standing[name][observer][:2]}")
+                self.silence_digest ^= _hashed(f"{observer} {name} {standing[name][observer][:2]}")
         return [
             Change(
                 name,
@@ -340,10 +350,10 @@
         name: str,
         reporters: set[str],
         vouchers: set[str],
-        weak: set[str],
+        unreliable: set[str],
         side: int,
-        slowly: float,
-        torn: bool,
+        patience_factor: float,
+        partitioned: bool,
         heard: Callable[[str], Optional[int]],
     ) -> None:
         """Finds a verdict where the reports are enough, in time, and nobody sound vouches. A minority's verdict becomes one of
@@ -360,58 +370,67 @@
             return
         if (
             dead is not None
-            and self.most_since is not None
-            and now - self.most_since < UPGRADE_AFTER * self.period
+            and self.majority_since is not None
+            and now - self.majority_since < UPGRADE_AFTER_PERIODS * self.period
         ):
-            self._look_again(math.ceil(self.most_since + UPGRADE_AFTER * self.period))
+            self._schedule_update(math.ceil(self.majority_since + UPGRADE_AFTER_PERIODS * self.period))
             return
         first = self.since.setdefault(name, now)
-        observers = set(self.rings.observers(name, self.usable)) - weak | reporters
+        observers = set(self.rings.observers(name, self.usable)) - unreliable | reporters
         share = len(reporters) / len(observers)
-        patience = self.period * (PATIENCE_FIRST + PATIENCE_MORE * (1 - share)) * slowly
-        most = SETTLED_FEW if self.doubted <= FEW_PART * len(self.names) else SETTLED_MOST
-        settled = min(self.newest_report + SETTLED * self.period, first + most * self.period)
+        patience = (
+            self.period * (BASE_PATIENCE_PERIODS + EXTRA_PATIENCE_PERIODS * (1 - share)) * patience_factor
+        )
+        most = (
+            MAX_QUIESCENT_WAIT_FEW_PERIODS
+            if self.disputed_members <= FEW_SUSPECTS_SHARE * len(self.names)
+            else MAX_QUIESCENT_WAIT_PERIODS
+        )
+        settled = min(self.last_report_at + QUIESCENT_PERIODS * self.period, first + most * self.period)
         due = math.ceil(max(first + patience, settled))
         others = sum(self.usable(one) for one in self.names if one not in (name, self.me)) + 1
         if vouchers:
             ends = [
-                edge.at + self._good_for(name, edge, torn)
+                edge.at + self._voucher_lifetime(name, edge, partitioned)
                 for edge in map(self.edges[name].get, vouchers)
                 if edge is not None
             ]
             due = max(due, math.ceil(max(ends)) + 1)
-        if share < SHARE_LEAST or len(reporters) < min(REPORTS_LEAST, others):
-            self._look_again(math.ceil(now + self.period))
+        if share < MIN_REPORTER_SHARE or len(reporters) < min(MIN_REPORTERS, others):
+            self._schedule_update(math.ceil(now + self.period))
         elif now >= due:
-            steady = self.most_since is not None and now - self.most_since >= STEADY * self.period
-            if agreed and not (steady and self._hears_most(first, heard)):
-                if now < due + HEARD_WITHIN * self.period:
-                    self._look_again(math.ceil(now + self.period / 4))
+            steady = (
+                self.majority_since is not None
+                and now - self.majority_since >= STABLE_MAJORITY_PERIODS * self.period
+            )
+            if agreed and not (steady and self._hears_majority(first, heard)):
+                if now < due + MAJORITY_WAIT_PERIODS * self.period:
+                    self._schedule_update(math.ceil(now + self.period / 4))
                     return
                 agreed, side = False, len(self.names) // 2
             verdict = Verdict(word.start, word.incarnation, side)
             if agreed:
-                self._fold(name, self.verdicts.get(name))
-                self._fold(name, verdict)
+                self._toggle_digest(name, self.verdicts.get(name))
+                self._toggle_digest(name, verdict)
                 self.verdicts[name] = verdict
             else:
-                self.doomed[name] = verdict
+                self.minority_verdicts[name] = verdict
         else:
-            self._look_again(due)
+            self._schedule_update(due)
 
-    def _hears_most(self, since: int, heard: Callable[[str], Optional[int]]) -> bool:
+    def _hears_majority(self, since: int, heard: Callable[[str], Optional[int]]) -> bool:
         """Whether most of one's own subjects, oneself among them, have answered since then. While a cut is being found, those
         beyond it of whom no silence was told yet would count for this side; one's own ears tell sooner."""
         subjects = self.subjects()
         answered = 1 + sum((at := heard(name)) is not None and at >= since for name in subjects)
-        if 2 * len(self.names) <= 3 * OBSERVERS:
+        if 2 * len(self.names) <= 3 * OBSERVERS_PER_MEMBER:
             return 2 * answered > len(self.names)
-        return answered >= SAMPLE_PART * (len(subjects) + 1)
+        return answered >= MIN_ANSWERED_SHARE * (len(subjects) + 1)
 
-    def _good_for(self, name: str, edge: Edge, torn: bool) -> float:
+    def _voucher_lifetime(self, name: str, edge: Edge, partitioned: bool) -> float:
         """How long (us) a voucher stands: longer where it answers reports that stood already, as the next may be slow to come."""
-        longer = torn or edge.at >= self.since.get(name, math.inf)
-        return VOUCHER_FOR * self.period * (TORN_VOUCHER if longer else 1.0)
+        longer = partitioned or edge.at >= self.since.get(name, math.inf)
+        return VOUCHER_PERIODS * self.period * (PARTITION_VOUCHER_FACTOR if longer else 1.0)
 
     def _state(self, now: int, name: str, reporters: set[str], vouchers: set[str]) -> str:
         word = self.words.get(name)
@@ -424,32 +443,32 @@
         if not reporters:
             return ALIVE
         if self.states[name] == CUT or (
-            vouchers and now - self.since.get(name, now) >= CUT_AFTER * self.period
+            vouchers and now - self.since.get(name, now) >= CUT_AFTER_PERIODS * self.period
         ):
             return CUT
-        self._look_again(math.ceil(self.since.get(name, now) + CUT_AFTER * self.period))
+        self._schedule_update(math.ceil(self.since.get(name, now) + CUT_AFTER_PERIODS * self.period))
         return SUSPECT
 
-    def _look_again(self, at: int) -> None:
+    def _schedule_update(self, at: int) -> None:
         self.look_at = min(self.look_at, at)
 
     def _life(self, name: str) -> tuple[int, int]:
         word = self.words.get(name)
         return (word.start, word.incarnation) if word is not None else (0, 0)
 
-    def _tidy(self) -> None:
+    def _drop_outdated_edges(self) -> None:
         """Edges that have lost their ground are dropped: a newer word or verdict stands against them for good."""
         for subject in list(self.edges):
             word = self.words.get(subject)
-            kept = {
+            remaining = {
                 o: e
                 for o, e in self.edges[subject].items()
                 if word is None or (e.start, e.incarnation) >= (word.start, word.incarnation)
             }
             if word is not None and word.left:
-                kept = {}
-            if kept:
-                self.edges[subject] = kept
+                remaining = {}
+            if remaining:
+                self.edges[subject] = remaining
             else:
                 del self.edges[subject]
                 self.since.pop(subject, None)
--- a/cedarshift/judge/trials.py
+++ b/cedarshift/judge/trials.py
@@ -16,23 +16,23 @@
 from hashlib import blake2b
 from typing import Iterable, NamedTuple, Optional
 
-from cedarshift.judge.chance import Lcg
+from cedarshift.judge.rng import Lcg
 
 # Constants: unit, then the reason for the size.
-SHUN_PART = 0.2  # of the fleet's proxies; fewer may have a bad way to it
-SHUN_LEAST = 2  # proxies, where there are so many
-PROBE_EVERY = (
+MIN_SHUN_SHARE = 0.2  # of the fleet's proxies; fewer may have a bad way to it
+MIN_SHUNNING_PROXIES = 2  # proxies, where there are so many
+PROBE_INTERVAL_US = (
     1_000_000  # us between two probes of the whole fleet; doubled each time that it was shut again soon
 )
-PROBE_MOST = 8_000_000  # us
-PROBE_WITHIN = 3_000_000  # us for a probe to be told, made and reported
-GOOD_PROBES = 3  # in a row; what fails every second op passes one in eight times
-RAMP_FROM = 1 / 16  # of its share
-RAMP_EVERY = 1_000_000  # us until that is doubled: sums of the step before have come by then
-RAMP_TRIES = 4  # of a step, before its failures count
-RAMP_FAILS = 0.4  # share of them aborted
-REMEMBERED = 60_000_000  # us that a strike counts after an endpoint was well again
-TRIALS_MOST = 8  # told between pilots; more at a time are no single endpoints' matter
+MAX_PROBE_INTERVAL_US = 8_000_000  # us
+PROBE_TIMEOUT_US = 3_000_000  # us for a probe to be told, made and reported
+PROBES_TO_RAMP = 3  # in a row; what fails every second op passes one in eight times
+RAMP_INITIAL_SHARE = 1 / 16  # of its share
+RAMP_INTERVAL_US = 1_000_000  # us until that is doubled: sums of the step before have come by then
+MIN_RAMP_TRIES = 4  # of a step, before its failures count
+MAX_RAMP_ABORT_SHARE = 0.4  # share of them aborted
+STRIKE_MEMORY_US = 60_000_000  # us that a strike counts after an endpoint was well again
+MAX_REPORTED_TRIALS = 8  # told between pilots; more at a time are no single endpoints' matter
 
 
 @lru_cache(maxsize=1 << 16)
@@ -41,7 +41,7 @@
     return int.from_bytes(blake2b(endpoint.encode(), digest_size=4).digest(), "big")
 
 
-class Word(NamedTuple):
+class TrialReport(NamedTuple):
     """What a pilot tells: how many proxies it has, by tag how many of them shun an endpoint, and the share and strikes of those that it tries."""
 
     proxies: int
@@ -57,7 +57,7 @@
     strikes: int
     since: int
     next_at: int
-    good: int = 0
+    good_probes: int = 0
     prober: str = ""
     asked_at: int = 0
     tries: int = 0
@@ -69,11 +69,11 @@
 
     def __init__(self, me: str, seed: int) -> None:
         self.me = me
-        self.chance = Lcg(seed)
+        self.rng = Lcg(seed)
         self.shuns: dict[str, frozenset[str]] = {}  # by proxy
-        self.words: dict[str, Word] = {}  # by other pilot
-        self.mine: dict[str, Trial] = {}
-        self.struck: dict[str, tuple[int, int]] = {}  # endpoint -> strikes, until when they count
+        self.reports: dict[str, TrialReport] = {}  # by other pilot
+        self.own_trials: dict[str, Trial] = {}
+        self.strikes_until: dict[str, tuple[int, int]] = {}  # endpoint -> strikes, until when they count
 
     # ---- what is known
 
@@ -83,12 +83,12 @@
     def on_left(self, proxy: str) -> None:
         self.shuns.pop(proxy, None)
 
-    def on_word(self, pilot: str, word: Word) -> None:
-        self.words[pilot] = word
+    def on_report(self, pilot: str, report: TrialReport) -> None:
+        self.reports[pilot] = report
 
     def on_met(self, now: int, proxy: str, endpoint: str, tries: int, aborted: int) -> None:
         """What a proxy met there. While it is shut only the one that was asked counts: others' tries began before."""
-        trial = self.mine.get(endpoint)
+        trial = self.own_trials.get(endpoint)
         if trial is None or not tries:
             return
         if trial.share:
@@ -96,7 +96,7 @@
             trial.failed += aborted
         elif proxy == trial.prober:
             trial.prober = ""
-            trial.good = 0 if aborted else trial.good + 1
+            trial.good_probes = 0 if aborted else trial.good_probes + 1
 
     # ---- what follows
 
@@ -105,7 +105,7 @@
         able = [
             name
             for name in living
-            if (len(self.shuns) if name == self.me else name in self.words and self.words[name].proxies)
+            if (len(self.shuns) if name == self.me else name in self.reports and self.reports[name].proxies)
         ]
         return max(
             able,
@@ -115,96 +115,126 @@
 
     def step(self, now: int, endpoints: Iterable[str], living: Iterable[str]) -> dict[str, float]:
         """Shares of endpoints that are on trial, here or at another pilot, 0 for shut; absent: as ever. `living`: this one among them."""
-        alive = set(living) | {self.me}
+        living_pilots = set(living) | {self.me}
         found: dict[str, float] = {}
-        counts = self._shunned(alive)
-        proxies = len(self.shuns) + sum(word.proxies for name, word in self.words.items() if name in alive)
-        enough = min(max(SHUN_LEAST, SHUN_PART * proxies), max(1, proxies))
+        counts = self._shunned(living_pilots)
+        proxies = len(self.shuns) + sum(
+            report.proxies for name, report in self.reports.items() if name in living_pilots
+        )
+        enough = min(max(MIN_SHUNNING_PROXIES, MIN_SHUN_SHARE * proxies), max(1, proxies))
         listed = list(endpoints)
-        self.mine = {endpoint: self.mine[endpoint] for endpoint in listed if endpoint in self.mine}
-        told = {tag for name, word in self.words.items() if name in alive for tag in word.trials}
+        self.own_trials = {
+            endpoint: self.own_trials[endpoint] for endpoint in listed if endpoint in self.own_trials
+        }
+        remote_tags = {
+            tag for name, report in self.reports.items() if name in living_pilots for tag in report.trials
+        }
         for endpoint in listed:
             tag = tag_of(endpoint)
-            if tag not in counts and tag not in told and endpoint not in self.mine:
+            if tag not in counts and tag not in remote_tags and endpoint not in self.own_trials:
                 continue  # most are well: nobody has to be found for them
-            owner = self.owner(endpoint, alive)
+            owner = self.owner(endpoint, living_pilots)
             if owner != self.me:
-                self.mine.pop(endpoint, None)
-                theirs = self.words[owner].trials.get(tag)
-                if theirs is not None:
-                    found[endpoint] = theirs[0]
+                self.own_trials.pop(endpoint, None)
+                remote = self.reports[owner].trials.get(tag)
+                if remote is not None:
+                    found[endpoint] = remote[0]
                 continue
-            trial = self.mine.get(endpoint)
+            trial = self.own_trials.get(endpoint)
             if trial is None and counts.get(tag, 0) >= enough:
-                self.mine[endpoint] = trial = self._shut(now, endpoint, self._inherited(tag))
+                self.own_trials[endpoint] = trial = self._shut(now, endpoint, self._inherited_strikes(tag))
             if trial is not None:
-                self._go_on(now, endpoint, trial)
-                if endpoint in self.mine:
-                    found[endpoint] = self.mine[endpoint].share
+                self._advance(now, endpoint, trial)
+                if endpoint in self.own_trials:
+                    found[endpoint] = self.own_trials[endpoint].share
         return found
 
     def _own_shuns(self) -> dict[int, int]:
         """How many of this pilot's proxies shun an endpoint, by tag."""
         return dict(Counter(tag_of(endpoint) for shunned in self.shuns.values() for endpoint in shunned))
 
-    def _shunned(self, alive: set[str]) -> dict[int, int]:
+    def _shunned(self, living_pilots: set[str]) -> dict[int, int]:
         counts = self._own_shuns()
-        for name, word in self.words.items():
-            for tag, count in word.shuns.items() if name in alive else ():
+        for name, report in self.reports.items():
+            for tag, count in report.shuns.items() if name in living_pilots else ():
                 counts[tag] = counts.get(tag, 0) + count
         return counts
 
-    def _inherited(self, tag: int) -> int:
+    def _inherited_strikes(self, tag: int) -> int:
         """Strikes that a former owner of the trial told of."""
-        return max((word.trials[tag][1] for word in self.words.values() if tag in word.trials), default=0)
+        return max(
+            (report.trials[tag][1] for report in self.reports.values() if tag in report.trials), default=0
+        )
 
     def _shut(self, now: int, endpoint: str, strikes: int) -> Trial:
-        known, until = self.struck.get(endpoint, (0, 0))
+        known, until = self.strikes_until.get(endpoint, (0, 0))
         strikes = max(strikes, known + 1 if now < until else 0)
-        self.struck[endpoint] = (strikes, now + REMEMBERED)
-        return Trial(0.0, strikes, now, now + self._every(strikes))
+        self.strikes_until[endpoint] = (strikes, now + STRIKE_MEMORY_US)
+        return Trial(0.0, strikes, now, now + self._probe_interval(strikes))
 
     @staticmethod
-    def _every(strikes: int) -> int:
-        return int(min(PROBE_MOST, PROBE_EVERY * 2 ** min(strikes, 10)))
+    def _probe_interval(strikes: int) -> int:
+        return int(min(MAX_PROBE_INTERVAL_US, PROBE_INTERVAL_US * 2 ** min(strikes, 10)))
 
-    def _go_on(self, now: int, endpoint: str, trial: Trial) -> None:
+    def _advance(self, now: int, endpoint: str, trial: Trial) -> None:
         if trial.share:
-            self._grow(now, endpoint, trial)
-        elif trial.good >= GOOD_PROBES:
-            trial.share, trial.next_at, trial.tries, trial.failed = RAMP_FROM, now + RAMP_EVERY, 0, 0
-        elif trial.prober and now - trial.asked_at >= PROBE_WITHIN:
-            trial.prober, trial.good = "", 0  # no word of it: the proxy had no op to try it with, or has left
-
-    def _grow(self, now: int, endpoint: str, trial: Trial) -> None:
-        if trial.tries >= RAMP_TRIES and trial.failed > RAMP_FAILS * trial.tries:
-            self.mine[endpoint] = self._shut(now, endpoint, trial.strikes)
+            self._ramp(now, endpoint, trial)
+        elif trial.good_probes >= PROBES_TO_RAMP:
+            trial.share, trial.next_at, trial.tries, trial.failed = (
+                RAMP_INITIAL_SHARE,
+                now + RAMP_INTERVAL_US,
+                0,
+                0,
+            )
+        elif trial.prober and now - trial.asked_at >= PROBE_TIMEOUT_US:
+            trial.prober, trial.good_probes = (
+                "",
+                0,
+            )  # no word of it: the proxy had no op to try it with, or has left
+
+    def _ramp(self, now: int, endpoint: str, trial: Trial) -> None:
+        if trial.tries >= MIN_RAMP_TRIES and trial.failed > MAX_RAMP_ABORT_SHARE * trial.tries:
+            self.own_trials[endpoint] = self._shut(now, endpoint, trial.strikes)
         elif now >= trial.next_at:
-            trial.share, trial.next_at, trial.tries, trial.failed = 2 * trial.share, now + RAMP_EVERY, 0, 0
+            trial.share, trial.next_at, trial.tries, trial.failed = (
+                2 * trial.share,
+                now + RAMP_INTERVAL_US,
+                0,
+                0,
+            )
             if trial.share >= 1.0:
-                del self.mine[endpoint]
-                self.struck[endpoint] = (trial.strikes, now + REMEMBERED)
+                del self.own_trials[endpoint]
+                self.strikes_until[endpoint] = (trial.strikes, now + STRIKE_MEMORY_US)
 
     def probe(self, now: int, proxy: str) -> Optional[str]:
         """An endpoint that this proxy may try once now, chosen by lot among the proxies as they beat."""
-        for endpoint, trial in self.mine.items():
+        for endpoint, trial in self.own_trials.items():
             if (
                 not trial.share
                 and not trial.prober
                 and now >= trial.next_at
-                and (self.chance.draw(max(1, len(self.shuns))) == 0 or now >= trial.next_at + PROBE_EVERY)
+                and (self.rng.draw(max(1, len(self.shuns))) == 0 or now >= trial.next_at + PROBE_INTERVAL_US)
             ):
-                trial.prober, trial.asked_at, trial.next_at = proxy, now, now + self._every(trial.strikes)
+                trial.prober, trial.asked_at, trial.next_at = (
+                    proxy,
+                    now,
+                    now + self._probe_interval(trial.strikes),
+                )
                 return endpoint
         return None
 
-    def word(self) -> Word:
+    def report(self) -> TrialReport:
         """What the other pilots are to know."""
         counts = self._own_shuns()
-        most = sorted(counts, key=lambda tag: (-counts[tag], tag))[:TRIALS_MOST]
-        mine = sorted(self.mine, key=lambda endpoint: (self.mine[endpoint].since, endpoint))[:TRIALS_MOST]
-        return Word(
+        most = sorted(counts, key=lambda tag: (-counts[tag], tag))[:MAX_REPORTED_TRIALS]
+        own_trials = sorted(
+            self.own_trials, key=lambda endpoint: (self.own_trials[endpoint].since, endpoint)
+        )[:MAX_REPORTED_TRIALS]
+        return TrialReport(
             len(self.shuns),
             {tag: counts[tag] for tag in most},
-            {tag_of(endpoint): (self.mine[endpoint].share, self.mine[endpoint].strikes) for endpoint in mine},
+            {
+                tag_of(endpoint): (self.own_trials[endpoint].share, self.own_trials[endpoint].strikes)
+                for endpoint in own_trials
+            },
         )
--- a/cedarshift/judge/trust.py
+++ b/cedarshift/judge/trust.py
@@ -14,27 +14,33 @@
 from typing import NamedTuple, Optional
 
 # Constants: unit, then the reason for the size.
-GOOD_HALF_LIFE = (
+GOOD_HALF_LIFE_US = (
     10_000_000  # us; a list is confirmed every few seconds, so good news of 10 s ago is half a guess
 )
-BAD_HALF_LIFE = (
+BAD_HALF_LIFE_US = (
     60_000_000  # us; believing for too long that an endpoint is bad costs room, the reverse costs rules
 )
-SICK_HALF_LIFE = 30_000_000  # us; the module's own hold on a sick endpoint is 15 s, doubled with each strike
-HOP_SHARE = 0.7  # of the weight left by each borrowing: every hand is one that may have erred
-USE_GOOD = 0.5  # weight from which good news counts: fresh, and first-hand at the lender or nearly so
-USE_BAD = 0.1  # weight from which bad news counts: an old warning is still one
-UNSOUND_SHARE = 0.5  # of the weight of good news left when the lender is cut off: bad news keeps its own
-LIST_LATE = 6_000_000  # us without a word from its list after which a lender counts as cut off from it
-DRIFT = 0.01  # share by which a clock elsewhere may run slow
-DOUBT_MOST = 0.34  # share of the endpoints on this pilot's list that lenders may talk it out of: a lender
+SICK_HALF_LIFE_US = (
+    30_000_000  # us; the module's own hold on a sick endpoint is 15 s, doubled with each strike
+)
+HOP_FACTOR = 0.7  # of the weight left by each borrowing: every hand is one that may have erred
+MIN_GOOD_WEIGHT = 0.5  # weight from which good news counts: fresh, and first-hand at the lender or nearly so
+MIN_BAD_WEIGHT = 0.1  # weight from which bad news counts: an old warning is still one
+UNSOUND_FACTOR = 0.5  # of the weight of good news left when the lender is cut off: bad news keeps its own
+LIST_STALE_AFTER_US = (
+    6_000_000  # us without a word from its list after which a lender counts as cut off from it
+)
+CLOCK_DRIFT = 0.01  # share by which a clock elsewhere may run slow
+MAX_WARNED_SHARE = (
+    0.34  # share of the endpoints on this pilot's list that lenders may talk it out of: a lender
+)
 # that calls more of them bad is wrong or lies, and must not empty a pool
-HOPS_MOST = 4  # a fact handed on more often is not taken: its weight is under a quarter
+MAX_HOPS = 4  # a fact handed on more often is not taken: its weight is under a quarter
 
 ON, BAD = "on", ("fading", "off")
 
 
-class Word(NamedTuple):
+class PhaseReport(NamedTuple):
     """What one source said of an endpoint's phase, ordered: newer revision, newer time, then the worse, then by name."""
 
     rev: int
@@ -46,7 +52,7 @@
     origin: str
 
 
-class Ill(NamedTuple):
+class SicknessReport(NamedTuple):
     """Found sick by a pilot's sums: until when, told when."""
 
     until: int
@@ -55,7 +61,7 @@
     origin: str
 
 
-class Own(NamedTuple):
+class OwnEntry(NamedTuple):
     """This pilot's own entry: what its list says, and when that list last answered."""
 
     phase: str
@@ -70,19 +76,19 @@
     return max(0, now - heard)
 
 
-def heard_at(asked: int, stated_age: int) -> int:
+def oldest_heard_at(asked: int, stated_age: int) -> int:
     """The oldest time at which it can have been heard: the age, with a slow clock's part, before the asking."""
-    return asked - stated_age - int(stated_age * DRIFT)
+    return asked - stated_age - int(stated_age * CLOCK_DRIFT)
 
 
-def started_by(received: int, stated_age: int) -> int:
+def latest_start(received: int, stated_age: int) -> int:
     """The latest time at which a process of that age can have started: the answer may have been written just now, and the
     clock that measured the age may run fast. A cold endpoint must not pass for a warm one while its facts travel."""
-    return received - stated_age + int(stated_age * DRIFT)
+    return received - stated_age + int(stated_age * CLOCK_DRIFT)
 
 
-def weight(age: int, hops: int, half_life: int, sound: float = 1.0) -> float:
-    return 0.5 ** (age / half_life) * HOP_SHARE**hops * sound
+def weight(age: int, hops: int, half_life: int, lender_soundness: float = 1.0) -> float:
+    return 0.5 ** (age / half_life) * HOP_FACTOR**hops * lender_soundness
 
 
 class Lender(NamedTuple):
@@ -94,32 +100,34 @@
 
     def soundness(self, now: int) -> float:
         """Believed by its ages, whatever else it claims."""
-        return 1.0 if age_of(self.list_heard, now) <= LIST_LATE and self.in_charge else UNSOUND_SHARE
+        return (
+            1.0 if age_of(self.list_heard, now) <= LIST_STALE_AFTER_US and self.in_charge else UNSOUND_FACTOR
+        )
 
 
-class Trust:
+class BorrowedFacts:
     """All that was borrowed of the endpoints."""
 
     def __init__(self) -> None:
-        self.good: dict[tuple[str, str], Word] = {}  # (endpoint, source)
-        self.bad: dict[tuple[str, str], Word] = {}
+        self.good: dict[tuple[str, str], PhaseReport] = {}  # (endpoint, source)
+        self.bad: dict[tuple[str, str], PhaseReport] = {}
         self.starts: dict[
             tuple[str, str], int
         ] = {}  # (endpoint, process) -> us at which it had started, at the latest
-        self.ill: dict[str, Ill] = {}
-        self.sound: dict[str, float] = {}  # origin -> soundness of the lender that brought it
+        self.sickness: dict[str, SicknessReport] = {}
+        self.lender_soundness: dict[str, float] = {}  # origin -> soundness of the lender that brought it
         self.sources: dict[str, set[str]] = {}
 
     # ---- merging: the greatest of an order, whatever comes first
 
-    def hear_phase(self, endpoint: str, source: str, word: Word) -> None:
-        kept = self.bad if word.bad else self.good
+    def merge_phase(self, endpoint: str, source: str, report: PhaseReport) -> None:
+        kept = self.bad if report.bad else self.good
         if endpoint not in self.sources:
             self.sources[endpoint] = set()
         self.sources[endpoint].add(source)
-        kept[endpoint, source] = max(word, kept.get((endpoint, source), word))
+        kept[endpoint, source] = max(report, kept.get((endpoint, source), report))
 
-    def hear_start(self, endpoint: str, process: str, latest: int) -> None:
+    def merge_start(self, endpoint: str, process: str, latest: int) -> None:
         """`latest` is a bound, so of several of one process the earliest says most."""
         key = (endpoint, process)
         self.starts[key] = min(latest, self.starts.get(key, latest))
@@ -128,45 +136,50 @@
         """Those of processes that are warm by now tell nothing more."""
         self.starts = {key: at for key, at in self.starts.items() if at >= before}
 
-    def hear_sick(self, endpoint: str, ill: Ill) -> None:
-        self.ill[endpoint] = max(ill, self.ill.get(endpoint, ill))
+    def merge_sickness(self, endpoint: str, sickness: SicknessReport) -> None:
+        self.sickness[endpoint] = max(sickness, self.sickness.get(endpoint, sickness))
 
-    def vouch(self, origin: str, sound: float) -> None:
+    def set_soundness(self, origin: str, lender_soundness: float) -> None:
         """How sound the lender was that brought this origin's facts last."""
-        self.sound[origin] = sound
+        self.lender_soundness[origin] = lender_soundness
 
     # ---- judging
 
-    def good_weight(self, word: Word, now: int) -> float:
-        return weight(age_of(word.heard, now), word.hops, GOOD_HALF_LIFE, self.sound.get(word.origin, 1.0))
+    def good_weight(self, report: PhaseReport, now: int) -> float:
+        return weight(
+            age_of(report.heard, now),
+            report.hops,
+            GOOD_HALF_LIFE_US,
+            self.lender_soundness.get(report.origin, 1.0),
+        )
 
-    def bad_weight(self, word: Word, now: int) -> float:
-        return weight(age_of(word.heard, now), word.hops, BAD_HALF_LIFE)
+    def bad_weight(self, report: PhaseReport, now: int) -> float:
+        return weight(age_of(report.heard, now), report.hops, BAD_HALF_LIFE_US)
 
-    def warning(self, endpoint: str, own: Optional[Own], now: int) -> Optional[Word]:
+    def warning(self, endpoint: str, own: Optional[OwnEntry], now: int) -> Optional[PhaseReport]:
         """The bad news of an endpoint that stands: fresh enough, and lifted neither by newer good news of the same source
         nor by this pilot's own list."""
         standing = []
         for source in sorted(self.sources.get(endpoint, ())):
-            word = self.bad.get((endpoint, source))
-            if word is None or self.bad_weight(word, now) < USE_BAD:
+            report = self.bad.get((endpoint, source))
+            if report is None or self.bad_weight(report, now) < MIN_BAD_WEIGHT:
                 continue
             good = self.good.get((endpoint, source))
-            if good is not None and (good.rev, good.heard) > (word.rev, word.heard):
+            if good is not None and (good.rev, good.heard) > (report.rev, report.heard):
                 continue
-            if own is None or not self._lifted(word, source, own):
-                standing.append(word)
+            if own is None or not self._superseded_by_own(report, source, own):
+                standing.append(report)
         return max(standing, key=lambda w: (self.bad_weight(w, now), w), default=None)
 
     @staticmethod
-    def _lifted(word: Word, source: str, own: Own) -> bool:
+    def _superseded_by_own(report: PhaseReport, source: str, own: OwnEntry) -> bool:
         """First-hand news replaces borrowed news. Of one and the same list the newer revision is the newer news, whoever
         heard it later; of different lists the later word is."""
         if own.source == source:
-            return own.rev >= word.rev
-        return own.confirmed > word.heard
+            return own.rev >= report.rev
+        return own.confirmed > report.heard
 
-    def started(self, endpoint: str, own: Own, now: int, warm_within: int) -> Optional[int]:
+    def started(self, endpoint: str, own: OwnEntry, now: int, warm_within: int) -> Optional[int]:
         """A start that this pilot's own list does not tell of; only of the process that it lists."""
         latest = self.starts.get((endpoint, own.start))
         if latest is None or own.started is not None or now - latest >= warm_within:
@@ -175,27 +188,44 @@
 
     def sick_until(self, endpoint: str, now: int) -> int:
         """0 where no borrowed judgement stands."""
-        ill = self.ill.get(endpoint)
-        if ill is None or ill.until <= now:
+        sickness = self.sickness.get(endpoint)
+        if sickness is None or sickness.until <= now:
             return 0
-        return ill.until if weight(age_of(ill.heard, now), ill.hops, SICK_HALF_LIFE) >= USE_BAD else 0
+        return (
+            sickness.until
+            if weight(age_of(sickness.heard, now), sickness.hops, SICK_HALF_LIFE_US) >= MIN_BAD_WEIGHT
+            else 0
+        )
 
-    def offered(self, now: int) -> dict[str, Word]:
+    def offered(self, now: int) -> dict[str, PhaseReport]:
         """What a pilot without a list of its own may take for one: endpoints with good news that counts, no warning."""
-        found: dict[str, Word] = {}
-        for (endpoint, _), word in sorted(self.good.items()):
-            if self.good_weight(word, now) >= USE_GOOD and self.warning(endpoint, None, now) is None:
-                found[endpoint] = max(word, found.get(endpoint, word))
+        found: dict[str, PhaseReport] = {}
+        for (endpoint, _), report in sorted(self.good.items()):
+            if self.good_weight(report, now) >= MIN_GOOD_WEIGHT and self.warning(endpoint, None, now) is None:
+                found[endpoint] = max(report, found.get(endpoint, report))
         return found
 
-    def warnings(self, own: dict[str, Own], now: int) -> dict[str, Word]:
+    def warnings(self, own: dict[str, OwnEntry], now: int) -> dict[str, PhaseReport]:
         """The warnings that hold against this pilot's own list: all, or none where they would talk it out of more than
         DOUBT_MOST of what it lists as on; the heaviest first, so that a few true ones are not lost among many."""
         running = [name for name, entry in own.items() if entry.phase == ON]
-        found = {name: word for name in running if (word := self.warning(name, own[name], now)) is not None}
-        if len(found) > DOUBT_MOST * len(running):
+        found = {
+            name: report for name in running if (report := self.warning(name, own[name], now)) is not None
+        }
+        if len(found) > MAX_WARNED_SHARE * len(running):
             return {}
         return found
 
 
-__all__ = ["BAD", "Ill", "Lender", "ON", "Own", "Trust", "Word", "heard_at", "started_by", "weight"]
+__all__ = [
+    "BAD",
+    "BorrowedFacts",
+    "Lender",
+    "ON",
+    "OwnEntry",
+    "PhaseReport",
+    "SicknessReport",
+    "latest_start",
+    "oldest_heard_at",
+    "weight",
+]
--- a/cedarshift/overload/digest.py
+++ b/cedarshift/overload/digest.py
@@ -7,8 +7,8 @@
 import msgspec
 
 from cedarshift.codec.gossip import RIDER_MOST
-from cedarshift.judge.overload import STATES, Flow, Row
-from cedarshift.judge.trials import Word
+from cedarshift.judge.overload import STATES, Flow, LoadReport
+from cedarshift.judge.trials import TrialReport
 
 KINDS_MOST = 12  # op types of a row that fits a rider whatever its figures are
 PER_MILLE = 1_000
@@ -20,7 +20,7 @@
 
 class Digest(msgspec.Struct, array_like=True):
     """Rates in tenths of an op a second, times in ms, parts in thousandths. `flows`: by op type, as in `judge.overload.Flow`; then as in
-    `judge.trials.Word`: (tag, proxies) and (tag, share, strikes)."""
+    `judge.trials.TrialReport`: (tag, proxies) and (tag, share, strikes)."""
 
     state: int
     share: int
@@ -39,14 +39,14 @@
     return min(MOST, max(0, round(value)))
 
 
-def packed(row: Row, word: Optional[Word] = None) -> bytes:
+def packed(row: LoadReport, word: Optional[TrialReport] = None) -> bytes:
     """What does not fit a rider beside the loads is left out: the trials, first."""
     if word is not None and len(raw := _packed(row, word)) <= RIDER_MOST:
         return raw
-    return _packed(row, Word(0, {}, {}) if word is None else word._replace(shuns={}, trials={}))
+    return _packed(row, TrialReport(0, {}, {}) if word is None else word._replace(shuns={}, trials={}))
 
 
-def _packed(row: Row, word: Word) -> bytes:
+def _packed(row: LoadReport, word: TrialReport) -> bytes:
     shuns = [(tag, _whole(count)) for tag, count in word.shuns.items()]
     trials = [
         (tag, _whole(share * PER_MILLE), _whole(strikes)) for tag, (share, strikes) in word.trials.items()
@@ -68,7 +68,7 @@
     )
 
 
-def unpacked(payload: bytes, start: int, seq: int, at: int) -> Optional[tuple[Row, Word]]:
+def unpacked(payload: bytes, start: int, seq: int, at: int) -> Optional[tuple[LoadReport, TrialReport]]:
     """None for bytes that are no row; what it says is judged by who counts it."""
     try:
         found = DECODER.decode(payload)
@@ -79,7 +79,7 @@
     flows = tuple(
         Flow._make([*(value / TENTHS for value in flow[:6]), flow[6] * 1000.0]) for flow in found.flows
     )
-    row = Row(
+    row = LoadReport(
         start,
         seq,
         at,
@@ -89,7 +89,7 @@
         found.share / PER_MILLE,
         STATES[found.state],
     )
-    return row, Word(
+    return row, TrialReport(
         max(0, found.proxies),
         {tag: count for tag, count in found.shuns if count > 0},
         {
--- a/cedarshift/overload/pilot.py
+++ b/cedarshift/overload/pilot.py
@@ -14,17 +14,17 @@
 from cedarshift.gossip.service import Membership
 from cedarshift.judge.overload import (
     CALM,
-    SHARE_LEAST,
+    MIN_SHARE,
     Answer,
+    EndpointLoads,
+    FleetLoad,
     Flow,
-    Governor,
-    Lanes,
-    Picture,
-    Row,
+    LoadReport,
+    OpValue,
+    OverloadController,
     Totals,
-    Worth,
     fair_cap,
-    gain_for,
+    gain_for_delay,
     shares,
 )
 from cedarshift.judge.roll import DEAD, LEFT
@@ -52,7 +52,7 @@
 class OverloadTerms(NamedTuple):
     """`worths` of the op types in their order; `target`: the tightest latency; how often proxies report and beat (us)."""
 
-    worths: tuple[Worth, ...]
+    worths: tuple[OpValue, ...]
     target: int
     report_every: int
     beat_every: int
@@ -90,10 +90,10 @@
         self.membership = membership
         self.owner_of = owner_of
         self.report = report
-        self.picture = Picture(name, terms.worths)
-        gain = gain_for(terms.target, terms.report_every + LOOK_EVERY + terms.beat_every)
-        self.governor = Governor(list(terms.worths), loop.now(), gain)
-        self.lanes = Lanes(terms.target, max(SPAN_LEAST, int(SPAN_PART * terms.report_every)), gain)
+        self.picture = FleetLoad(name, terms.worths)
+        gain = gain_for_delay(terms.target, terms.report_every + LOOK_EVERY + terms.beat_every)
+        self.governor = OverloadController(list(terms.worths), loop.now(), gain)
+        self.lanes = EndpointLoads(terms.target, max(SPAN_LEAST, int(SPAN_PART * terms.report_every)), gain)
         self.endpoints = endpoints
         self.listed = listed
         self.trials = Trials(name, start)
@@ -105,7 +105,7 @@
         self.totals: Optional[Totals] = None
         self.own: dict[str, float] = {}
         self.fair: dict[str, list[float]] = {}
-        self.row: Optional[Row] = None
+        self.row: Optional[LoadReport] = None
         self.told: Optional[msgspec.Raw] = None
         self.told_state = "calm"
         self.version = 0  # of what is told
@@ -122,7 +122,7 @@
     def on_sums(self, proxy: str, sums: m.Sums) -> None:
         now = self.loop.now()
         mets = [met for met in sums.met if self.listed(met.endpoint)]
-        self.lanes.holds(proxy, {met.endpoint: met.open for met in mets if met.open})
+        self.lanes.set_in_flight(proxy, {met.endpoint: met.open for met in mets if met.open})
         for met in mets:
             aborted = min(met.aborted, met.tries)
             self.lanes.met(met.endpoint, met.tries, aborted, min(met.full, aborted))
@@ -145,7 +145,7 @@
 
     def on_left(self, proxy: str) -> None:
         self.proxies.pop(proxy, None)
-        self.lanes.holds(proxy, {})
+        self.lanes.set_in_flight(proxy, {})
         self.told_to.pop(proxy, None)
         self.trials.on_left(proxy)
         self.trials_told.pop(proxy, None)
@@ -184,13 +184,15 @@
             self.trial_version += 1
             for endpoint in sorted({*before, *self.on_trial}):
                 was, share = before.get(endpoint, 1.0), self.on_trial.get(endpoint, 1.0)
-                if was != share and (endpoint in self.trials.mine or endpoint not in self.on_trial):
+                if was != share and (endpoint in self.trials.own_trials or endpoint not in self.on_trial):
                     self.report(
                         "trial",
                         endpoint=endpoint,
                         before=was,
                         share=share,
-                        strikes=self.trials.mine[endpoint].strikes if endpoint in self.trials.mine else 0,
+                        strikes=self.trials.own_trials[endpoint].strikes
+                        if endpoint in self.trials.own_trials
+                        else 0,
                     )
 
     # ---- looks
@@ -215,11 +217,11 @@
             if name == self.name or (held is not None and (held.start, held.seq) == (rider.start, rider.seq)):
                 continue
             found = unpacked(rider.payload, rider.start, rider.seq, rider.at)
-            if found is None or not self.picture.hear(name, found[0]):
+            if found is None or not self.picture.add_report(name, found[0]):
                 self.counts["rows_refused"] += 1
             else:
                 self.counts["rows"] += 1
-                self.trials.on_word(name, found[1])
+                self.trials.on_report(name, found[1])
 
     def _flows(self, now: int) -> tuple[Flow, ...]:
         """This pilot's own, by its proxies' newest loads."""
@@ -244,10 +246,10 @@
         self._hear_others()
         pressure, ops = self.lanes.look(now)
         seq = 1 if self.row is None else self.row.seq + 1
-        self.row = Row(
+        self.row = LoadReport(
             self.start, seq, now, self._flows(now), pressure, ops, self.governor.share, self.governor.state
         )
-        self.picture.hear(self.name, self.row)
+        self.picture.add_report(self.name, self.row)
         self.totals = self.picture.totals(now, gone)
         before = self.governor.state
         self.answer = self.governor.step(now, self.totals, self.picture.others_share(now, gone))
@@ -258,7 +260,7 @@
         if self.membership is not None:
             row = self.row._replace(share=self.answer.share, state=self.answer.state)
             self.membership.member.carry(
-                now, packed(row, self.trials.word() if self.endpoints is not None else None)
+                now, packed(row, self.trials.report() if self.endpoints is not None else None)
             )
         self._log(before)
 
@@ -306,7 +308,7 @@
             cap = fair_cap(list(rates.values()), share)
             for name, rate in rates.items():
                 if rate > 0:
-                    times[name][kind] = round(max(SHARE_LEAST, min(1.0, cap / rate)) / share, 3)
+                    times[name][kind] = round(max(MIN_SHARE, min(1.0, cap / rate)) / share, 3)
         self.fair = {name: rows for name, rows in times.items() if any(abs(row - 1.0) > 0.02 for row in rows)}
 
     # ---- for people
--- a/cedarshift/overload/start.py
+++ b/cedarshift/overload/start.py
@@ -6,7 +6,7 @@
 
 from cedarshift.budgets.terms import BEATS_A_LEASE
 from cedarshift.deployment import Deployment
-from cedarshift.judge.overload import Worth
+from cedarshift.judge.overload import OpValue
 from cedarshift.loop import Loop
 from cedarshift.overload.pilot import OverloadTerms, PilotOverload
 
@@ -17,7 +17,7 @@
 def terms_of(deployment: Deployment) -> OverloadTerms:
     assert deployment.overload is not None
     worths = tuple(
-        Worth(op.name, op.earnings, deployment.overload.costs[op.name]) for op in deployment.op_types
+        OpValue(op.name, op.earnings, deployment.overload.costs[op.name]) for op in deployment.op_types
     )
     return OverloadTerms(
         worths,
--- a/cedarshift/pilot/admin.py
+++ b/cedarshift/pilot/admin.py
@@ -41,7 +41,7 @@
             **(s.membership.gauges() if s.membership is not None else {}),
             **(s.budgets.gauges() if s.budgets is not None else {}),
             **(s.overload.gauges() if s.overload is not None else {}),
-            "joins_sent_away": float(s.gate.sent_away),
+            "joins_sent_away": float(s.gate.deferred),
             "slowest_step_seconds": s.loop.slowest / 1e6,
             "in_force_seconds_p50": acks[len(acks) // 2] / 1e6 if acks else 0.0,
             "in_force_seconds_p99": acks[len(acks) * 99 // 100] / 1e6 if acks else 0.0,
@@ -61,7 +61,7 @@
         found["source_connected"] = float(source.client.state == "connected")
         found["members"] = float(len(source.judge.nodes))
         found["members_vanished"] = float(len(source.judge.gone))
-        found["members_in_doubt"] = float(len(source.judge.doubted))
+        found["members_in_doubt"] = float(len(source.judge.retained))
         found["nodes_refused"] = float(len(source.refused))
         found.update({f"source_{name}": float(count) for name, count in source.client.counts.items()})
         found.update({f"members_{name}_ever": float(count) for name, count in source.judge.counts.items()})
--- a/cedarshift/pilot/learning.py
+++ b/cedarshift/pilot/learning.py
@@ -14,16 +14,16 @@
 from cedarshift.interface import Entry
 from cedarshift.judge.trust import (
     BAD,
-    DOUBT_MOST,
-    HOPS_MOST,
+    MAX_HOPS,
+    MAX_WARNED_SHARE,
     ON,
-    Ill,
+    BorrowedFacts,
     Lender,
-    Own,
-    Trust,
-    Word,
-    heard_at,
-    started_by,
+    OwnEntry,
+    PhaseReport,
+    SicknessReport,
+    latest_start,
+    oldest_heard_at,
 )
 from cedarshift.link import Link, connect
 from cedarshift.loop import StreamBroken, TimedOut
@@ -81,7 +81,7 @@
         self.loop = service.loop
         self.terms = terms
         self.life = life
-        self.trust = Trust()
+        self.trust = BorrowedFacts()
         self.lenders: dict[str, Lender] = {}
         self.endpoints: dict[str, m.EndpointFact] = {}  # the newest of each, for size and zone
         self.heats: dict[int, list[tuple[int, m.LentHeat]]] = {}
@@ -191,7 +191,7 @@
         """All ages count from the asking: what passed since then is added, whoever took that long."""
         if chunk.origin == self.life:
             raise Rejected("the lender is this pilot itself")
-        listed = -(1 << 60) if chunk.list_age < 0 else heard_at(asked_at, chunk.list_age)
+        listed = -(1 << 60) if chunk.list_age < 0 else oldest_heard_at(asked_at, chunk.list_age)
         lender = self.lenders[chunk.origin] = Lender(chunk.origin, listed, chunk.in_charge)
         self.counts["chunks_learnt"] += 1
         self.levels[chunk.origin] = (asked_at, chunk.level)
@@ -201,7 +201,7 @@
             if one.origin != self.life:
                 self.counts["facts_learnt"] += 1
                 self.heats[one.slice] = sorted(
-                    ((heard_at(asked_at, heat.age), heat) for heat in one.heats), key=_heard
+                    ((oldest_heard_at(asked_at, heat.age), heat) for heat in one.heats), key=_heard
                 )
         for proxy in chunk.proxies:
             self.counts["facts_learnt"] += 1
@@ -211,26 +211,28 @@
 
     def _take_endpoint(self, fact: m.EndpointFact, lender: Lender, asked_at: int) -> None:
         hops = fact.hops + 1
-        if fact.origin == self.life or hops > HOPS_MOST or fact.phase not in (ON, *BAD):
+        if fact.origin == self.life or hops > MAX_HOPS or fact.phase not in (ON, *BAD):
             self.counts["facts_refused"] += 1
             return
         self.counts["facts_learnt"] += 1
-        heard = heard_at(asked_at, fact.confirmed)
+        heard = oldest_heard_at(asked_at, fact.confirmed)
         trust, name = self.trust, fact.endpoint
-        trust.vouch(fact.origin, lender.soundness(asked_at))
-        trust.hear_phase(
+        trust.set_soundness(fact.origin, lender.soundness(asked_at))
+        trust.merge_phase(
             name,
             fact.source,
-            Word(fact.rev, heard, fact.phase in BAD, fact.phase, fact.start, hops, fact.origin),
+            PhaseReport(fact.rev, heard, fact.phase in BAD, fact.phase, fact.start, hops, fact.origin),
         )
         if fact.started >= 0:
-            trust.hear_start(name, fact.start, started_by(self.loop.now(), fact.started))
+            trust.merge_start(name, fact.start, latest_start(self.loop.now(), fact.started))
         if fact.sick_left:
-            trust.hear_sick(name, Ill(asked_at + fact.sick_left, asked_at, hops, fact.origin))
+            trust.merge_sickness(name, SicknessReport(asked_at + fact.sick_left, asked_at, hops, fact.origin))
         if fact.hops == 0:
             self.endpoints[name] = fact
             if fact.sums and name not in self.sums:
-                self.sums[name] = sorted(((heard_at(asked_at, s.age), s) for s in fact.sums), key=_heard)
+                self.sums[name] = sorted(
+                    ((oldest_heard_at(asked_at, s.age), s) for s in fact.sums), key=_heard
+                )
 
     # ---- handing over
 
@@ -259,13 +261,13 @@
             for name, entry in sorted(told.items())
             if entry.phase == ON and self.trust.warning(name, None, now) is not None
         ]
-        if len(warned) <= DOUBT_MOST * len(told):
+        if len(warned) <= MAX_WARNED_SHARE * len(told):
             entries += warned
         if entries:
             self.service.report("borrowed_list", endpoints=len(entries))
             self.service.on_borrowed_list(entries)
 
-    def overlay(self, own: dict[str, Own], entries: dict[str, Entry]) -> dict[str, Entry]:
+    def overlay(self, own: dict[str, OwnEntry], entries: dict[str, Entry]) -> dict[str, Entry]:
         """This pilot's entries with the warnings and the cold starts that its own list does not tell of."""
         now, warm_within = self.loop.now(), self.service.deployment.rules.warm_within
         warned = self.trust.warnings(own, now)
@@ -306,7 +308,7 @@
             for name in running
             if name not in first_hand and (until := self.trust.sick_until(name, now))
         }
-        return found if len(found) <= DOUBT_MOST * len(running) else {}
+        return found if len(found) <= MAX_WARNED_SHARE * len(running) else {}
 
     def heats_for(self, number: int) -> list[tuple[int, m.LentHeat]]:
         return self.heats.pop(number, [])
@@ -339,7 +341,7 @@
             ],
             "sick": [
                 {"endpoint": name, "left_s": (i.until - now) / 1e6, "origin": i.origin, "hops": i.hops}
-                for name, i in sorted(trust.ill.items())
+                for name, i in sorted(trust.sickness.items())
                 if i.until > now
             ],
             "lenders": [
--- a/cedarshift/pilot/service.py
+++ b/cedarshift/pilot/service.py
@@ -23,8 +23,8 @@
 from cedarshift.deployment.deployment import NodeRoster
 from cedarshift.gossip.service import Membership
 from cedarshift.interface import Entry, pulled
-from cedarshift.judge.admission import Gate
-from cedarshift.judge.trust import Own, Word
+from cedarshift.judge.admission import JoinLimiter
+from cedarshift.judge.trust import OwnEntry, PhaseReport
 from cedarshift.link import Link, serve
 from cedarshift.loop import Listener, Loop, StreamBroken
 from cedarshift.loop.core import Coroutine, Waker
@@ -152,7 +152,7 @@
         )
         self.budgets: Optional[PilotBudgets] = None  # the same
         self.overload: Optional[PilotOverload] = None  # the same
-        self.gate = Gate(
+        self.gate = JoinLimiter(
             deployment.proxy.joins_per_s, max(1.0, deployment.proxy.joins_per_s / JOINS_AT_ONCE), loop.now()
         )
         self.lapses_at: dict[str, int] = {}  # proxies that have left -> until when their leases may run
@@ -253,7 +253,7 @@
             return self.listed
         starts, confirmed = self.source.starts.known, self.source.confirmed or 0
         own = {
-            name: Own(
+            name: OwnEntry(
                 entry.phase,
                 starts.get(name, ("", None))[0],
                 entry.started,
@@ -299,7 +299,7 @@
     def trust_names(self) -> set[str]:
         return set(self.learning.trust.sources) if self.learning is not None else set()
 
-    def borrowed_words(self, name: str) -> list[tuple[str, Word]]:
+    def borrowed_words(self, name: str) -> list[tuple[str, PhaseReport]]:
         """What was borrowed of an endpoint's phase, by source."""
         if self.learning is None:
             return []
@@ -408,7 +408,7 @@
         now = self.loop.now()
         after = self.gate.ask(now, known=now < self.lapses_at.get(name, 0))
         if after:
-            raise Busy(f"{self.gate.sent_away} were sent away so far", after)
+            raise Busy(f"{self.gate.deferred} were sent away so far", after)
 
     def _talk(self, link: Link, first: list[m.Message]) -> Coroutine:
         if link.peer.role == "pilot":
--- a/cedarshift/pilot/store_client.py
+++ b/cedarshift/pilot/store_client.py
@@ -10,7 +10,7 @@
 
 from cedarshift.codec import Badge, ProtocolError, Session
 from cedarshift.codec import messages as m
-from cedarshift.judge.redial import Redial
+from cedarshift.judge.redial import Backoff
 from cedarshift.link import Link, connect
 from cedarshift.loop import Loop, StreamBroken, TimedOut
 from cedarshift.loop.core import Coroutine
@@ -74,7 +74,7 @@
         self.waiting: dict[int, Then] = {}
         self.budgets = budgets
         self.chance = chance
-        self.redial = Redial(REDIAL_FIRST, REDIAL_MOST, chance)
+        self.redial = Backoff(REDIAL_FIRST, REDIAL_MOST, chance)
         self.lapsed = True  # the slices were given up, or none was ever had
         self.task = loop.spawn(self._follow(), "store session")
 
@@ -159,7 +159,7 @@
                 for message in got:
                     if isinstance(message, m.Opened):
                         self.link, self.lease = link, message.lease - message.lease // DRIFT_PARTS
-                        self.redial.well()
+                        self.redial.reset()
                         self._give_up()  # what is still held is given anew, with what the store knows of it
                         self.valid_until = asked_at + self.lease
                         renewer = self.loop.spawn(self._renew(link), "store renew")
--- a/cedarshift/platform/redial.py
+++ b/cedarshift/platform/redial.py
@@ -6,7 +6,7 @@
 from typing import Callable, Optional
 
 from cedarshift.codec.platform.errors import Unreadable
-from cedarshift.judge.redial import Redial
+from cedarshift.judge.redial import Backoff
 from cedarshift.loop import Cancelled, Loop, StreamBroken, TimedOut
 from cedarshift.loop.core import Coroutine, Waker
 from cedarshift.web import Followed, NotFollowed, connect
@@ -46,7 +46,7 @@
         self.lost = lost
         self.refused = refused
         self.report = report
-        self.redial = Redial(REDIAL_FIRST, REDIAL_MOST, chance)
+        self.redial = Backoff(REDIAL_FIRST, REDIAL_MOST, chance)
         self.followed: Optional[Followed] = (
             None  # from when it is connected on, its head may be still to come
         )
@@ -59,7 +59,7 @@
     def move(self, address: Address) -> None:
         """Leaves the old address at once, also while its answer is waited for, or the wait before the next try goes on."""
         self.address = address
-        self.redial.well()  # what failed at the old address tells nothing of the new one
+        self.redial.reset()  # what failed at the old address tells nothing of the new one
         self.again()
         if self.waiting is not None:
             self.waiting.wake()
@@ -94,7 +94,7 @@
                 self.again()
                 self.followed = None
             if self.loop.now() - begun > LASTED:
-                self.redial.well()
+                self.redial.reset()
             if address == self.address:
                 yield from self._wait()
 
--- a/cedarshift/rehearsal/planted.py
+++ b/cedarshift/rehearsal/planted.py
@@ -14,10 +14,10 @@
 class EndFromTheAnswer(b.Holder):
     """Counts a right's end from when the answer came."""
 
-    def hear(self, now: int, number: int, era: int, shares: Iterable[b.Share]) -> bool:
+    def on_answer(self, now: int, number: int, era: int, shares: Iterable[b.Share]) -> bool:
         if number in self.asked:
             self.asked[number] = now
-        return super().hear(now, number, era, shares)
+        return super().on_answer(now, number, era, shares)
 
 
 class NoDrift(b.Holder):
@@ -30,18 +30,18 @@
 class LateAnswers(b.Holder):
     """Takes an older right for the newest."""
 
-    def hear(self, now: int, number: int, era: int, shares: Iterable[b.Share]) -> bool:
+    def on_answer(self, now: int, number: int, era: int, shares: Iterable[b.Share]) -> bool:
         late = [
             share
             for share in shares
             if self.taken[share.budget] and share.number <= self.taken[share.budget][-1].number
         ]
         asked_at = self.asked.get(number)
-        heard = super().hear(now, number, era, shares)
+        heard = super().on_answer(now, number, era, shares)
         if heard and asked_at is not None:
             for share in late:
                 self.taken[share.budget].append(
-                    b.Taken(share.number, share.amount, asked_at + int(share.span * (1 - self.drift)))
+                    b.HeldShare(share.number, share.amount, asked_at + int(share.duration * (1 - self.drift)))
                 )
         return heard
 
@@ -49,62 +49,62 @@
 class FloorTwice(b.Plan):
     """Gives what is set aside once more."""
 
-    def leased(self, name: str) -> int:
-        return self.budgets[name].whole
+    def leasable(self, name: str) -> int:
+        return self.budgets[name].capacity
 
 
-class FloorsGivenToo(b.Giver):
+class FloorsGivenToo(b.Grantor):
     def __init__(self, plan: b.Plan, *more: Any, **named: Any) -> None:
         super().__init__(FloorTwice(plan.budgets.values(), plan.holders), *more, **named)
 
 
-class ForgottenLives(b.Giver):
+class ForgottenLives(b.Grantor):
     """What a former life of a holder had is given anew at once."""
 
     def ask(self, now: int, holder: str, life: int, *more: Any) -> Any:
         for key in [key for key in self.accounts if key[1] == holder and key[2] != life]:
-            self.accounts[key].rights.clear()
+            self.accounts[key].grants.clear()
             self._recount(now, key)
         return super().ask(now, holder, life, *more)
 
 
-class ShrinkAtOnce(b.Giver):
+class ShrinkAtOnce(b.Grantor):
     """Counts a shrink before the holder has said so."""
 
-    def _add(self, now: int, key: b.Key, right: b.Right) -> None:
-        self.accounts[key].rights.clear()
+    def _add(self, now: int, key: b.Key, right: b.Grant) -> None:
+        self.accounts[key].grants.clear()
         super()._add(now, key, right)
 
 
-class NoRoom(b.Giver):
+class NoRoom(b.Grantor):
     """Gives what should be had, whatever others still have."""
 
-    def _room(self, now: int, key: b.Key) -> int:
+    def _available(self, now: int, key: b.Key) -> int:
         return b.FOREVER
 
 
-class LeafOnly(b.Giver):
+class LeafOnly(b.Grantor):
     """Does not look at the whole that a budget draws on."""
 
-    def _room(self, now: int, key: b.Key) -> int:
-        return max(0, self.plan.leased(key[0]) - self.in_force(now, key[0], key))
+    def _available(self, now: int, key: b.Key) -> int:
+        return max(0, self.plan.leasable(key[0]) - self.in_force(now, key[0], key))
 
 
-class NoQuiet(b.Giver):
+class NoQuiet(b.Grantor):
     """Trusts what the disk has after a start."""
 
-    def quiet(self, now: int) -> bool:
+    def recovering(self, now: int) -> bool:
         return False
 
 
-class NothingKept(b.Giver):
+class NothingKept(b.Grantor):
     """Begins with an empty ledger and without a wait."""
 
     def __init__(
         self, plan: b.Plan, lease: int, era: int, now: int, rows: Any = (), *more: Any, **named: Any
     ) -> None:
         super().__init__(plan, lease, era, now, (), *more, **named)
-        self.quiet_until = now
+        self.recovery_until = now
 
 
 class EndsBeyond(b.Hub):
@@ -119,7 +119,7 @@
 class SaidTooSoon(b.Hub):
     """Says that it has shrunk while its proxies have not."""
 
-    def _bound(self, now: int, leaf: str) -> int:
+    def _outstanding(self, now: int, leaf: str) -> int:
         return 0
 
 
@@ -128,7 +128,7 @@
 
     def __init__(self, *given: Any) -> None:
         super().__init__(*given)
-        self.giver.quiet_until = 0
+        self.giver.recovery_until = 0
 
 
 class Planted(NamedTuple):
