--- a/cedarshift/rehearsal/shares.py
+++ b/cedarshift/rehearsal/shares.py
@@ -12,8 +12,8 @@
 from collections import Counter
 from typing import Any, Callable, NamedTuple, Optional
 
-from cedarshift.judge.budgets import Account, Budget, Giver, Holder, Hub, Plan, Row, Share, Want
-from cedarshift.judge.spending import PARTS, SECOND, Bucket
+from cedarshift.judge.budgets import Account, Budget, Grantor, Holder, Hub, Plan, Row, Share, ShareRequest
+from cedarshift.judge.spending import PARTS_PER_TOKEN, SECOND, TokenBucket
 from cedarshift.rehearsal.rules import beyond_rate
 
 # ---- every order of events
@@ -32,7 +32,7 @@
     life: int
     number: int
     era: int
-    asks: tuple[Want, ...] = ()
+    asks: tuple[ShareRequest, ...] = ()
     shares: Optional[tuple[Share, ...]] = None
 
 
@@ -52,7 +52,7 @@
     """One world. `rows` are as the disk has them, `before` one write earlier."""
 
     def __init__(
-        self, make: Callable[..., Giver], hold: Callable[..., Holder], faults: Faults, warm: int
+        self, make: Callable[..., Grantor], hold: Callable[..., Holder], faults: Faults, warm: int
     ) -> None:
         self.make, self.hold = make, hold
         self.tick = 100
@@ -110,7 +110,7 @@
             )
         elif self.holders[message.holder].life == message.life:
             holder = self.holders[message.holder]
-            if not holder.hear(self.clock(message.holder), message.number, message.era, message.shares):
+            if not holder.on_answer(self.clock(message.holder), message.number, message.era, message.shares):
                 if (
                     message.era >= holder.era
                 ):  # a stream is to one life of the store: words of a former one do not come later
@@ -160,12 +160,12 @@
         sums = dict.fromkeys(plan.budgets, 0)
         for n, holder in enumerate(self.holders):
             for leaf in holder.floors:
-                for name in plan.above[leaf]:
+                for name in plan.ancestors[leaf]:
                     sums[name] += holder.right(self.clock(n), leaf)
         over = [
-            f"{name}: {total} of {plan.budgets[name].whole}"
+            f"{name}: {total} of {plan.budgets[name].capacity}"
             for name, total in sums.items()
-            if total > plan.budgets[name].whole
+            if total > plan.budgets[name].capacity
         ]
         return "; ".join(over)
 
@@ -178,7 +178,7 @@
                 a.number,
                 a.demand,
                 max(-LEASE, a.heard - now),
-                tuple((r.number, r.amount, r.until - now) for r in a.rights if r.until > now),
+                tuple((r.number, r.amount, r.until - now) for r in a.grants if r.until > now),
             )
             for key, a in sorted(g.accounts.items())
         )
@@ -186,7 +186,7 @@
             (
                 h.life,
                 h.era,
-                h.drawn,
+                h.last_number,
                 tuple(sorted((k, v - self.clock(n)) for k, v in h.asked.items())),
                 tuple(
                     (name, tuple((t.number, t.amount, max(0, t.until - self.clock(n))) for t in taken))
@@ -198,7 +198,7 @@
         return (
             accounts,
             tuple(sorted(g.heard.items())),
-            max(0, g.quiet_until - now),
+            max(0, g.recovery_until - now),
             holders,
             self.flying,
             self.left,
@@ -208,19 +208,19 @@
         )
 
 
-def _copy_giver(giver: Giver) -> Giver:
+def _copy_giver(giver: Grantor) -> Grantor:
     new = object.__new__(type(giver))
     new.__dict__.update(giver.__dict__)
     new.accounts = {key: _copy_account(account) for key, account in giver.accounts.items()}
     new.sums, new.ends, new.heard = dict(giver.sums), list(giver.ends), dict(giver.heard)
-    new.doubts, new.counts, new.left = dict(giver.doubts), dict(giver.counts), giver.left.copy()
+    new.suspicions, new.counts, new.left = dict(giver.suspicions), dict(giver.counts), giver.left.copy()
     return new
 
 
 def _copy_account(account: Account) -> Account:
     new = object.__new__(Account)
     new.__dict__.update(account.__dict__)
-    new.rights = list(account.rights)
+    new.grants = list(account.grants)
     return new
 
 
@@ -244,7 +244,7 @@
 def explore(
     depth: int,
     most: int,
-    make: Callable[..., Giver] = Giver,
+    make: Callable[..., Grantor] = Grantor,
     hold: Callable[..., Holder] = Holder,
     faults: Faults = Faults(),
     warm: int = 2,
@@ -297,7 +297,7 @@
 
     def start(self) -> None:
         self.holders: dict[str, Holder] = {}
-        self.buckets: dict[tuple[str, str], Bucket] = {}
+        self.buckets: dict[tuple[str, str], TokenBucket] = {}
         self.life = self.day.life()
 
     def now(self) -> int:
@@ -309,7 +309,7 @@
                 dict.fromkeys(self.day.plan.leaves, 0), self.life, self.day.drift
             )
             for leaf in self.day.plan.leaves:
-                self.buckets[pilot, leaf] = Bucket(BURST, self.day.drift, self.now())
+                self.buckets[pilot, leaf] = TokenBucket(BURST, self.day.drift, self.now())
         return self.holders[pilot]
 
     def lost(self, pilot: str) -> None:
@@ -327,7 +327,7 @@
     def __init__(
         self,
         seed: int,
-        giver: Callable[..., Giver] = Giver,
+        giver: Callable[..., Grantor] = Grantor,
         hub: Callable[..., Hub] = Hub,
         hold: type[Holder] = Holder,
         drift: float = 2 * CLOCKS_APART,
@@ -335,14 +335,19 @@
         self.draw = random.Random(f"shares {seed}")
         self.make, self.make_hub, self.hold, self.drift = giver, hub, hold, drift
         count = self.draw.randrange(2, PILOTS_MOST + 1)
-        self.whole = self.draw.choice((3, 10, 40)) * PARTS
-        floor = self.whole // (count * self.draw.choice((2, 4))) // 2
+        self.capacity = self.draw.choice((3, 10, 40)) * PARTS_PER_TOKEN
+        floor = self.capacity // (count * self.draw.choice((2, 4))) // 2
         self.plan = Plan(
             [
-                Budget("all", self.whole),
-                Budget("a", self.whole, floor, "all"),
+                Budget("all", self.capacity),
+                Budget("a", self.capacity, floor, "all"),
                 Budget(
-                    "b", self.whole * 2 // 3, floor, "all", self.draw.choice((0, 1)), self.draw.choice((1, 3))
+                    "b",
+                    self.capacity * 2 // 3,
+                    floor,
+                    "all",
+                    self.draw.choice((0, 1)),
+                    self.draw.choice((1, 3)),
                 ),
             ],
             count,
@@ -421,7 +426,7 @@
             self.send(name, "store", self._store_hears, name, hub, hub.holder.era, number, wants)
         self.after(STORE_LEASE // 4, self._ask, name, hub)
 
-    def _store_hears(self, name: str, hub: Hub, era: int, number: int, wants: list[Want]) -> None:
+    def _store_hears(self, name: str, hub: Hub, era: int, number: int, wants: list[ShareRequest]) -> None:
         if not self.store_up:
             return
         shares, rows = self.giver.ask(self.now, name, hub.holder.life, era, number, wants)
@@ -435,7 +440,7 @@
             return
         if name in self.stopped:
             self.after(SECOND // 10, self._pilot_hears, name, hub, number, era, shares)
-        elif not hub.holder.hear(self.clock(name), number, era, shares) and era >= hub.holder.era:
+        elif not hub.holder.on_answer(self.clock(name), number, era, shares) and era >= hub.holder.era:
             hub.holder.joined(era)
 
     def store_dies(self, short: bool, old: Optional[dict[tuple, Row]], span: int) -> None:
@@ -474,7 +479,7 @@
         self.after(PROXY_LEASE // 4, self._beat, proxy)
 
     def _hub_hears(
-        self, name: str, hub: Hub, proxy: Spender, life: int, era: int, number: int, wants: list[Want]
+        self, name: str, hub: Hub, proxy: Spender, life: int, era: int, number: int, wants: list[ShareRequest]
     ) -> None:
         if self.hubs[name] is not hub:
             return
@@ -490,7 +495,7 @@
         if proxy.life != life:
             return
         holder, now = proxy.holder(name), proxy.now()
-        if holder.hear(now, number, era, shares):
+        if holder.on_answer(now, number, era, shares):
             for leaf in self.plan.leaves:
                 proxy.buckets[name, leaf].grant(now, holder.right(now, leaf), holder.until(now, leaf))
             if not self.over:
@@ -513,22 +518,22 @@
             now = proxy.now()
             for holder in proxy.holders.values():
                 for leaf in self.plan.leaves:
-                    for budget in self.plan.above[leaf]:
+                    for budget in self.plan.ancestors[leaf]:
                         sums[budget] += holder.right(now, leaf)
         for name, total in sums.items():
             self.peak[name] = max(self.peak[name], total)
-            if total > self.plan.budgets[name].whole:
-                self.over = f"{name}: {total} of {self.plan.budgets[name].whole} parts at {self.now}"
+            if total > self.plan.budgets[name].capacity:
+                self.over = f"{name}: {total} of {self.plan.budgets[name].capacity} parts at {self.now}"
 
     def overspent(self) -> str:
         """Whether any span holds more spends than the whole, its burst and a token a bucket allow, by the true clock."""
         for leaf in [None, *self.plan.leaves]:
-            whole = (self.whole if leaf is None else self.plan.budgets[leaf].whole) / PARTS
+            capacity = (self.capacity if leaf is None else self.plan.budgets[leaf].capacity) / PARTS_PER_TOKEN
             times = sorted(at for at, kind in self.spends if leaf in (None, kind))
-            allowed = whole * BURST / SECOND + len(self.proxies) * len(self.pilots) * (
+            allowed = capacity * BURST / SECOND + len(self.proxies) * len(self.pilots) * (
                 2 if leaf is None else 1
             )
-            worst, at = beyond_rate(times, whole)
+            worst, at = beyond_rate(times, capacity)
             if worst > allowed + 1e-6:
                 return f"{leaf or 'all'}: {worst:.1f} tokens over its rate, {allowed:.1f} allowed, at {at}"
         return ""
@@ -577,7 +582,7 @@
         for proxy in day.proxies:
             heavy = proxy is one
             proxy.demand = {
-                leaf: day.draw.choice((0, day.whole * 2)) if heavy else day.whole // 20
+                leaf: day.draw.choice((0, day.capacity * 2)) if heavy else day.capacity // 20
                 for leaf in day.plan.leaves
             }
     elif kind == "proxy":
@@ -589,14 +594,16 @@
     """A day of some twenty faults; then all demand is constant for ten seconds and the use of the whole is counted."""
     day, told = Day(seed, **made), []
     for proxy in day.proxies:
-        proxy.demand = {leaf: day.draw.choice((0, day.whole // 2, day.whole * 2)) for leaf in day.plan.leaves}
+        proxy.demand = {
+            leaf: day.draw.choice((0, day.capacity // 2, day.capacity * 2)) for leaf in day.plan.leaves
+        }
     day.run(day.now + 6 * SECOND)
     for _ in range(20):
         told.append(fault(day))
         day.run(day.now + int(day.draw.uniform(0, 3) * SECOND))
     day.run(day.now + 8 * SECOND)
     for proxy in day.proxies:
-        proxy.demand = dict.fromkeys(day.plan.leaves, day.whole * 2)
+        proxy.demand = dict.fromkeys(day.plan.leaves, day.capacity * 2)
     day.cut.clear()
     day.run(day.now + 4 * STORE_LEASE)
     before = len(day.spends)
--- a/cedarshift/rehearsal/surge.py
+++ b/cedarshift/rehearsal/surge.py
@@ -13,13 +13,13 @@
 from cedarshift.judge.overload import (
     CALM,
     Answer,
+    EndpointLoads,
+    FleetLoad,
     Flow,
-    Governor,
-    Lanes,
-    Picture,
-    Row,
-    Worth,
-    gain_for,
+    LoadReport,
+    OpValue,
+    OverloadController,
+    gain_for_delay,
     shares,
 )
 
@@ -31,9 +31,9 @@
 
 @dataclass
 class Kind:
-    """An op type of the model: its part of what comes, and as in `Worth`. Spans in s."""
+    """An op type of the model: its part of what comes, and as in `OpValue`. Spans in s."""
 
-    worth: Worth
+    worth: OpValue
     part: float
     timeout: float = 6.0
 
@@ -73,10 +73,10 @@
         self.chance = random.Random(self.seed)
         worths = [kind.worth for kind in self.kinds]
         names = [f"p{n}" for n in range(self.pilots)]
-        self.pictures = [Picture(name, worths) for name in names]
-        gain = gain_for(int(self.target * 1e6), int((LOOK + SUMS + 0.2) * 1e6))
-        self.governors = [Governor(worths, 0, gain) for _ in names]
-        self.lanes = [Lanes(int(self.target * 1e6), SPAN, gain) for _ in names]
+        self.pictures = [FleetLoad(name, worths) for name in names]
+        gain = gain_for_delay(int(self.target * 1e6), int((LOOK + SUMS + 0.2) * 1e6))
+        self.governors = [OverloadController(worths, 0, gain) for _ in names]
+        self.lanes = [EndpointLoads(int(self.target * 1e6), SPAN, gain) for _ in names]
         self.answers: list[Answer] = [CALM] * self.pilots
         self.own: list[dict[str, float]] = [{} for _ in names]  # shares at endpoints
         self.seen = [[[0.0] * 7 for _ in self.kinds] for _ in names]
@@ -185,10 +185,10 @@
         now, sums = int(self.t * 1e6), self.sums[pilot]
         if sums is None:
             return
-        self.lanes[pilot].holds("proxies", self.open[pilot])
+        self.lanes[pilot].set_in_flight("proxies", self.open[pilot])
         pressure, ops = self.lanes[pilot].look(now)
         governor = self.governors[pilot]
-        row = Row(1, int(self.t * 1000), now, sums, pressure, ops, governor.share, governor.state)
+        row = LoadReport(1, int(self.t * 1000), now, sums, pressure, ops, governor.share, governor.state)
         times = self.lying.get(pilot, 1.0)
         shown = (
             row
@@ -201,9 +201,9 @@
         )
         for other, picture in enumerate(self.pictures):
             if other == pilot:
-                picture.hear(f"p{pilot}", row)
+                picture.add_report(f"p{pilot}", row)
             elif other not in self.blind and self.chance.random() >= self.lost:
-                picture.hear(f"p{pilot}", shown)
+                picture.add_report(f"p{pilot}", shown)
         picture = self.pictures[pilot]
         self.answers[pilot] = governor.step(now, picture.totals(now), picture.others_share(now))
         self.own[pilot] = self.lanes[pilot].shares(now, self.answers[pilot].share)
@@ -224,5 +224,5 @@
     return [Place(can / count, part / sum(parts), [0.0] * kinds) for part in parts]
 
 
-FETCH, ORDER = Worth("fetch", 3.0, 1.0), Worth("order", 2.0, 1.0)
+FETCH, ORDER = OpValue("fetch", 3.0, 1.0), OpValue("order", 2.0, 1.0)
 KINDS = [Kind(FETCH, 0.71), Kind(ORDER, 0.29, 3.0)]
--- a/cedarshift/roster/ephemeral.py
+++ b/cedarshift/roster/ephemeral.py
@@ -6,7 +6,7 @@
 from typing import Any, Callable, NamedTuple, Optional
 
 from cedarshift.interface import Entry
-from cedarshift.judge.membership import Mass, Membership, Node, Told
+from cedarshift.judge.membership import MassVanishing, MemberEntry, Membership, Node
 from cedarshift.loop import Loop
 from cedarshift.loop.core import Timer
 from cedarshift.roster.entries import UNIT, Listed, ListRefused, Starts, WholeList
@@ -205,7 +205,7 @@
             self.mass_at = now
             self.loop.at(now + MASS_LOOK, self._report_mass, mass)
 
-    def _report_mass(self, mass: Mass) -> None:
+    def _report_mass(self, mass: MassVanishing) -> None:
         now = self.loop.now()
         mass = self.judge.mass(now) or mass
         expired = self.expired_at is not None and now - self.expired_at <= 2 * self.client.timeout
@@ -232,7 +232,7 @@
             self.report("list_not_saved", reason=str(error))
 
     @staticmethod
-    def _listed(told: Told) -> Listed:
+    def _listed(told: MemberEntry) -> Listed:
         return Listed(told.endpoint, told.phase, told.size, told.zone, told.process)
 
     def _look_again(self) -> None:
@@ -269,7 +269,7 @@
                 }
             )
         held = [
-            {"endpoint": name, "since_s": (now - one.since) / 1e6, "in_doubt": name in judge.doubted}
+            {"endpoint": name, "since_s": (now - one.since) / 1e6, "in_doubt": name in judge.retained}
             for name, one in sorted(judge.gone.items())
         ]
         server = "" if client.server is None else f"{client.server[0]}:{client.server[1]}"
--- a/cedarshift/roster/members.py
+++ b/cedarshift/roster/members.py
@@ -13,7 +13,7 @@
 
 from cedarshift.codec.zookeeper import Code, ZooError
 from cedarshift.codec.zookeeper import records as r
-from cedarshift.judge.redial import Redial
+from cedarshift.judge.redial import Backoff
 from cedarshift.loop import Loop
 from cedarshift.loop.core import Coroutine, Waker
 from cedarshift.roster.zookeeper import CONNECTED, GONE, READ_ONLY, Call, ZooClient
@@ -73,7 +73,7 @@
         self.unreadable: dict[str, str] = {}  # children that may not be read, and why
         self.denied = ""  # why nothing can be read, for people
         self.waiting: Optional[Waker] = None
-        self.redial = Redial(AGAIN, AGAIN_MOST, chance)
+        self.redial = Backoff(AGAIN, AGAIN_MOST, chance)
         self.task = loop.spawn(self._work(), "zookeeper follower")
 
     def attach(self, client: ZooClient) -> None:
@@ -139,7 +139,7 @@
             try:
                 yield from self._read()
                 self.denied = ""
-                self.redial.well()
+                self.redial.reset()
             except ZooError as error:
                 self.list_dirty = True
                 if error.code in (Code.CONNECTION_LOSS, Code.SESSION_EXPIRED):
--- a/cedarshift/roster/register.py
+++ b/cedarshift/roster/register.py
@@ -6,7 +6,7 @@
 
 from cedarshift.codec.zookeeper import Code, ZooError
 from cedarshift.codec.zookeeper import records as r
-from cedarshift.judge.redial import Redial
+from cedarshift.judge.redial import Backoff
 from cedarshift.loop import Loop
 from cedarshift.loop.core import Coroutine, Waker
 from cedarshift.roster.formats import MEMBER, Member, write_member
@@ -49,7 +49,7 @@
         self.stated: Optional[Member] = None  # what the node says, as far as this member wrote it
         self.leaving = False
         self.unsure = False  # a create may have been done without an answer
-        self.redial = Redial(AGAIN, AGAIN_MOST, chance)
+        self.redial = Backoff(AGAIN, AGAIN_MOST, chance)
         self.waiting: Optional[Waker] = None
         self.counts = {"created": 0, "adopted": 0, "failures": 0}
         self.client = ZooClient(
@@ -102,7 +102,7 @@
                     yield from self._watch()
                 else:
                     yield from self._register()
-                self.redial.well()
+                self.redial.reset()
             except ZooError as error:
                 self.counts["failures"] += 1
                 self.unsure = self.unsure or error.code == Code.CONNECTION_LOSS
--- a/cedarshift/roster/sources.py
+++ b/cedarshift/roster/sources.py
@@ -7,7 +7,7 @@
 from urllib.parse import quote
 
 from cedarshift.interface import Entry
-from cedarshift.judge.redial import Redial
+from cedarshift.judge.redial import Backoff
 from cedarshift.loop import Loop, StreamBroken, TimedOut, lasting
 from cedarshift.loop.core import Coroutine, Task
 from cedarshift.roster.entries import ENCODER, Listed, ListRefused, Starts, WholeList, parse_list
@@ -136,7 +136,7 @@
     ) -> None:
         self.loop = loop
         self.may_call = may_call
-        self.redial = Redial(FAILED_WAIT, FAILED_MOST, chance)
+        self.redial = Backoff(FAILED_WAIT, FAILED_MOST, chance)
         self.address = address
         self.name = f"service:{address[0]}:{address[1]}"
         self.by = name
@@ -175,7 +175,7 @@
                 if self.may_call is not None:
                     yield from self.may_call()
                 yield from self._call()
-                self.redial.well()
+                self.redial.reset()
             except (StreamBroken, TimedOut, ListRefused) as error:
                 self.report("list_failed", reason=str(error) or "no answer in time")
                 if self.asks:  # the module asks again, with waits of its own
--- a/cedarshift/sim/disk.py
+++ b/cedarshift/sim/disk.py
@@ -14,7 +14,7 @@
 
 import msgspec
 
-from cedarshift.judge.charge import Row
+from cedarshift.judge.charge import SliceRecord
 from cedarshift.store.ledger import LEVELS, Damaged
 
 
@@ -73,13 +73,13 @@
         self._write([(-1, self.life, 0, "", "", b"")])
         return self.life
 
-    def load(self) -> list[Row]:
+    def load(self) -> list[SliceRecord]:
         """Raises Damaged where the disk can't be read, or a block other than the last is torn."""
         try:
             blocks = self.disk.read()
         except sqlite3.Error as error:
             raise Damaged(f"simulated disk: {error}. Nothing of it is served") from None
-        rows = {n: Row(n) for n in range(self.slices)}
+        rows = {n: SliceRecord(n) for n in range(self.slices)}
         for at, block in enumerate(blocks):
             body = block[4:]
             if len(block) < 4 or zlib.crc32(body).to_bytes(4, "big") != block[:4]:
@@ -91,10 +91,10 @@
                 if number < 0:
                     self.life = epoch
                     continue
-                rows[number] = Row(number, epoch, version, pilot, owner, LEVELS.decode(levels))
+                rows[number] = SliceRecord(number, epoch, version, pilot, owner, LEVELS.decode(levels))
         return list(rows.values())
 
-    def put(self, rows: Iterable[Row]) -> None:
+    def put(self, rows: Iterable[SliceRecord]) -> None:
         self._write(
             [(r.slice, r.epoch, r.version, r.pilot, r.owner, msgspec.msgpack.encode(r.levels)) for r in rows]
         )
--- a/cedarshift/sim/planted.py
+++ b/cedarshift/sim/planted.py
@@ -18,7 +18,7 @@
 from cedarshift.brain import Pilot
 from cedarshift.codec import messages as m
 from cedarshift.judge import write_stops
-from cedarshift.judge.charge import Charge
+from cedarshift.judge.charge import SliceAssignment
 from cedarshift.judge.write_stops import WriteStops
 from cedarshift.link import Link
 from cedarshift.loop.core import Coroutine
@@ -168,7 +168,7 @@
 
 
 def _epoch_stays() -> Patches:
-    step = Charge.step
+    step = SliceAssignment.step
 
     def stepped(self: Any, now: int) -> Any:
         before = {number: row.epoch for number, row in self.rows.items()}
@@ -177,22 +177,22 @@
             row.epoch = max(1, before[row.slice])
         return found
 
-    return [(Charge, "step", stepped)]
+    return [(SliceAssignment, "step", stepped)]
 
 
 def _reopened_at_once() -> Patches:
     """As it was until run 20125 found it."""
-    opened = Charge.open
+    opened = SliceAssignment.open
 
     def open_anew(self: Any, now: int, pilot: str) -> int:
         number = opened(self, now, pilot)
-        self.anew.clear()
+        self.regrant.clear()
         for row in self.rows.values():
             if row.pilot == pilot:
                 row.pilot = ""
         return number
 
-    return [(Charge, "open", open_anew)]
+    return [(SliceAssignment, "open", open_anew)]
 
 
 def _sends_raise() -> Patches:
@@ -218,7 +218,7 @@
 
 
 def _taken_at_once() -> Patches:
-    step = Charge.step
+    step = SliceAssignment.step
 
     def stepped(self: Any, now: int) -> Any:
         found = step(self, now)
@@ -226,7 +226,7 @@
             self.released(pilot, numbers)
         return found
 
-    return [(Charge, "step", stepped)]
+    return [(SliceAssignment, "step", stepped)]
 
 
 def _short_sessions() -> Patches:
@@ -237,11 +237,11 @@
         holder.until = now + self.lease // 3
         return True
 
-    return [(Charge, "renew", renew)]
+    return [(SliceAssignment, "renew", renew)]
 
 
 def _restart_forgets() -> Patches:
-    init = Charge.__init__
+    init = SliceAssignment.__init__
 
     def made(self: Any, *args: Any, **named: Any) -> None:
         init(self, *args, **named)
@@ -249,7 +249,7 @@
         for row in self.rows.values():
             row.pilot = ""
 
-    return [(Charge, "__init__", made)]
+    return [(SliceAssignment, "__init__", made)]
 
 
 def _no_sync() -> Patches:
@@ -259,14 +259,14 @@
 
 
 def _same_epochs_again() -> Patches:
-    init = Charge.__init__
+    init = SliceAssignment.__init__
 
     def made(
         self: Any, rows: Any, pilots: Any, lease: int, takeover: int, back_after: int, now: int, life: int = 1
     ) -> None:
         init(self, rows, pilots, lease, takeover, back_after, now, 1)
 
-    return [(Charge, "__init__", made)]
+    return [(SliceAssignment, "__init__", made)]
 
 
 # ---- the pilot
--- a/cedarshift/sim/stage.py
+++ b/cedarshift/sim/stage.py
@@ -18,7 +18,7 @@
     ServedOp,
     StorePlace,
 )
-from cedarshift.judge.charge import Charge
+from cedarshift.judge.charge import SliceAssignment
 from cedarshift.loop import listen
 from cedarshift.loop.core import Coroutine
 from cedarshift.loop.memory import Way
@@ -206,7 +206,7 @@
             self.note(self.world.clock.time, "store", "damaged", {"error": str(error)})
             host.end()
 
-    def _see_owners(self, charge: Charge) -> None:
+    def _see_owners(self, charge: SliceAssignment) -> None:
         """Each order that the store takes tells who owns a slice from now on: grants that every proxy slept through are seen too."""
         write = charge.write
 
--- a/cedarshift/store/ledger.py
+++ b/cedarshift/store/ledger.py
@@ -15,7 +15,7 @@
 import msgspec
 
 from cedarshift.codec.messages import Level
-from cedarshift.judge.charge import EPOCHS_A_LIFE, Row
+from cedarshift.judge.charge import EPOCHS_PER_LIFE, SliceRecord
 
 FORMAT = 1
 AHEAD_LIVES = 1_000  # lives of the store that a backup may be behind: a start a day for three years
@@ -32,7 +32,7 @@
     """The file can't be trusted. The text names the file, what is wrong and the way back."""
 
 
-def _checksum(row: Row, levels: bytes) -> int:
+def _checksum(row: SliceRecord, levels: bytes) -> int:
     return zlib.crc32(
         msgspec.msgpack.encode([row.slice, row.epoch, row.version, row.pilot, row.owner, levels])
     )
@@ -71,7 +71,7 @@
     """Keeps nothing beyond the process; for tests and for runs in which the disk is not the subject."""
 
     def __init__(self, slices: int) -> None:
-        self.rows = {n: Row(n) for n in range(slices)}
+        self.rows = {n: SliceRecord(n) for n in range(slices)}
         self.commits = 0
         self.life = 0
 
@@ -79,15 +79,16 @@
         self.life += 1
         return self.life
 
-    def load(self) -> list[Row]:
+    def load(self) -> list[SliceRecord]:
         return [
-            Row(r.slice, r.epoch, r.version, r.pilot, r.owner, list(r.levels)) for r in self.rows.values()
+            SliceRecord(r.slice, r.epoch, r.version, r.pilot, r.owner, list(r.levels))
+            for r in self.rows.values()
         ]
 
-    def put(self, rows: Iterable[Row]) -> None:
+    def put(self, rows: Iterable[SliceRecord]) -> None:
         self.commits += 1
         for r in rows:
-            self.rows[r.slice] = Row(r.slice, r.epoch, r.version, r.pilot, r.owner, list(r.levels))
+            self.rows[r.slice] = SliceRecord(r.slice, r.epoch, r.version, r.pilot, r.owner, list(r.levels))
 
     def close(self) -> None:
         pass
@@ -129,7 +130,7 @@
             kept = dict(self.db.execute("SELECT name, value FROM about"))
             if not kept:
                 self.db.executemany("INSERT INTO about VALUES (?, ?)", sorted(wanted.items()))
-                self._write([Row(n) for n in range(self.slices)])
+                self._write([SliceRecord(n) for n in range(self.slices)])
                 kept = wanted
         finally:
             self.db.execute("COMMIT")
@@ -157,7 +158,7 @@
             raise self._damaged(str(error)) from None
         return life
 
-    def load(self) -> list[Row]:
+    def load(self) -> list[SliceRecord]:
         """All rows. Raises Damaged if one is missing or its check sum is wrong."""
         assert self.db is not None
         rows = []
@@ -168,7 +169,7 @@
         except sqlite3.Error as error:
             raise self._damaged(str(error)) from None
         for number, epoch, version, pilot, owner, levels, checksum in got:
-            row = Row(number, epoch, version, pilot, owner)
+            row = SliceRecord(number, epoch, version, pilot, owner)
             if not isinstance(levels, bytes) or _checksum(row, levels) != checksum:
                 raise self._damaged(f"the row of slice {number} does not match its check sum")
             row.levels = LEVELS.decode(levels)
@@ -177,14 +178,14 @@
             raise self._damaged(f"{len(rows)} slices, {self.slices} wanted")
         return rows
 
-    def put(self, rows: Iterable[Row]) -> None:
+    def put(self, rows: Iterable[SliceRecord]) -> None:
         """One transaction, synced. Raises sqlite3.Error if the disk will not take it; then none of it is kept."""
         assert self.db is not None
         with committed(self.db):
             self._write(rows)
         self.commits += 1
 
-    def _write(self, rows: Iterable[Row]) -> None:
+    def _write(self, rows: Iterable[SliceRecord]) -> None:
         assert self.db is not None
         self.db.executemany(
             "INSERT OR REPLACE INTO slices VALUES (?, ?, ?, ?, ?, ?, ?)",
@@ -212,7 +213,7 @@
 
 
 def restore(
-    path: str, backup: str, deployment: str, slices: int, ahead: int = AHEAD_LIVES * EPOCHS_A_LIFE
+    path: str, backup: str, deployment: str, slices: int, ahead: int = AHEAD_LIVES * EPOCHS_PER_LIFE
 ) -> int:
     """Puts a backup in the place of a damaged file, which is kept beside it. Returns the number of slices.
 
@@ -230,7 +231,7 @@
     target = Ledger(path, deployment, slices)
     try:
         target.begin(life + AHEAD_LIVES)
-        target.put(Row(row.slice, row.epoch + ahead, row.version + 1) for row in rows)
+        target.put(SliceRecord(row.slice, row.epoch + ahead, row.version + 1) for row in rows)
     finally:
         target.close()
     return len(rows)
--- a/cedarshift/store/service.py
+++ b/cedarshift/store/service.py
@@ -7,8 +7,8 @@
 from cedarshift.codec import Badge, Busy, Refused, Session
 from cedarshift.codec import messages as m
 from cedarshift.codec.frames import pack_rows
-from cedarshift.judge.admission import Gate
-from cedarshift.judge.charge import Charge, Row
+from cedarshift.judge.admission import JoinLimiter
+from cedarshift.judge.charge import SliceAssignment, SliceRecord
 from cedarshift.link import Link, serve
 from cedarshift.loop import Listener, Loop, TimedOut
 from cedarshift.loop.core import Coroutine, Waker
@@ -21,7 +21,7 @@
 READERS_AT_ONCE = 100.0
 
 
-def held(row: Row) -> m.Held:
+def held(row: SliceRecord) -> m.Held:
     return m.Held(row.slice, row.epoch, row.version, row.owner, row.levels)
 
 
@@ -55,7 +55,9 @@
         self.listener = listener
         self.ledger = ledger
         self.badge = badge
-        self.charge = Charge(ledger.load(), pilots, lease, takeover, back_after, loop.now(), ledger.begin())
+        self.charge = SliceAssignment(
+            ledger.load(), pilots, lease, takeover, back_after, loop.now(), ledger.begin()
+        )
         self.challenge = challenge
         self.peers: dict[str, Link] = {}  # the pilots' newest connections
         self.numbers: dict[str, int] = {}  # and their sessions
@@ -64,7 +66,7 @@
         self.drawn = 0
         self.changed: Optional[Waker] = None
         self.denied = 0
-        self.gate = Gate(READERS_A_SECOND, READERS_AT_ONCE, loop.now())
+        self.gate = JoinLimiter(READERS_A_SECOND, READERS_AT_ONCE, loop.now())
         self.rows_read: Any = None  # all rows as they were last packed, until one changes
         self.tasks = [
             loop.spawn(self._watch(), "store-watch"),
@@ -87,10 +89,10 @@
         return Session(self.badge, self._admit, self.challenge(), MESSAGES_A_SECOND)
 
     def _admit(self, hello: m.Hello) -> m.Welcome:
-        if hello.role == "pilot" and hello.id not in self.charge.gone_since:
+        if hello.role == "pilot" and hello.id not in self.charge.absent_since:
             raise Refused(f"pilot {hello.id!r} is none of {', '.join(self.charge.pilots)}")
         if hello.role == "proxy" and (after := self.gate.ask(self.loop.now())):
-            raise Busy(f"{self.gate.sent_away} were sent away so far", after)
+            raise Busy(f"{self.gate.deferred} were sent away so far", after)
         self.drawn += 1
         return m.Welcome(self.drawn, self.charge.lease)
 
--- a/tests/test_budgets.py
+++ b/tests/test_budgets.py
@@ -10,17 +10,17 @@
 from cedarshift.judge.budgets import (
     FOREVER,
     Budget,
-    Giver,
+    Grantor,
     Holder,
     Hub,
+    InvalidBudget,
     Plan,
-    Refusal,
     Row,
     Share,
-    Want,
-    share_out,
+    ShareRequest,
+    max_min_shares,
 )
-from cedarshift.judge.spending import PARTS, Bucket, Wishes
+from cedarshift.judge.spending import PARTS_PER_TOKEN, DemandEstimator, TokenBucket
 from cedarshift.rehearsal.planted import PLANTED, found
 from cedarshift.rehearsal.shares import explore, play
 from cedarshift.store.ledger import Damaged
@@ -29,10 +29,10 @@
 LEASE = 2 * SECOND
 
 
-def fill(whole, wants, weights):
+def fill(capacity, wants, weights):
     """Max-min by brute force: one part at a time to whoever has least for its weight and wants more."""
     given = dict.fromkeys(wants, 0)
-    for _ in range(whole):
+    for _ in range(capacity):
         open_ones = [name for name in wants if given[name] < wants[name]]
         if not open_ones:
             break
@@ -46,11 +46,11 @@
     st.lists(st.tuples(st.integers(0, 25), st.integers(1, 4)), min_size=1, max_size=7),
     st.integers(0, 9),
 )
-def test_a_division_is_max_min_to_the_part_and_wastes_none(whole, rows, turn):
+def test_a_division_is_max_min_to_the_part_and_wastes_none(capacity, rows, rotation):
     wants = {f"n{at}": want for at, (want, _) in enumerate(rows)}
     weights = {f"n{at}": weight for at, (_, weight) in enumerate(rows)}
-    got = share_out(whole, wants, weights, turn)
-    assert sum(got.values()) == min(whole, sum(wants.values()))
+    got = max_min_shares(capacity, wants, weights, rotation)
+    assert sum(got.values()) == min(capacity, sum(wants.values()))
     assert all(0 <= got[name] <= wants[name] for name in wants)
     for poor in wants:  # nobody with more for its weight than one that wants more, beyond a part
         if got[poor] < wants[poor]:
@@ -59,18 +59,18 @@
 
 @settings(max_examples=100, deadline=None)
 @given(st.integers(0, 40), st.lists(st.integers(0, 20), min_size=1, max_size=6))
-def test_equal_weights_give_what_one_part_at_a_time_gives(whole, wants):
+def test_equal_weights_give_what_one_part_at_a_time_gives(capacity, wants):
     named = {f"n{at}": want for at, want in enumerate(wants)}
-    assert sorted(share_out(whole, named).values()) == sorted(
-        fill(whole, named, dict.fromkeys(named, 1)).values()
+    assert sorted(max_min_shares(capacity, named).values()) == sorted(
+        fill(capacity, named, dict.fromkeys(named, 1)).values()
     )
 
 
 def test_who_is_one_token_short_changes_with_the_turn():
     assert {
         name
-        for turn in range(3)
-        for name, got in share_out(1, {"a": 1, "b": 1, "c": 1}, turn=turn).items()
+        for rotation in range(3)
+        for name, got in max_min_shares(1, {"a": 1, "b": 1, "c": 1}, rotation=rotation).items()
         if got
     } == {"a", "b", "c"}
 
@@ -89,7 +89,7 @@
     ],
 )
 def test_a_plan_that_cannot_hold_is_refused_with_the_budget_to_blame(budgets, blamed, what):
-    with pytest.raises(Refusal, match=what) as refused:
+    with pytest.raises(InvalidBudget, match=what) as refused:
         Plan(budgets, 3)
     assert refused.value.budget == blamed
 
@@ -116,7 +116,7 @@
 
     def __init__(self, *budgets, names="pq", now=0):
         self.plan = Plan(budgets, len(names))
-        self.giver = Giver(self.plan, LEASE, 7, now)
+        self.giver = Grantor(self.plan, LEASE, 7, now)
         self.holders = {
             name: Holder({b.name: b.floor for b in budgets}, at + 1, 0.02) for at, name in enumerate(names)
         }
@@ -127,7 +127,7 @@
         holder = self.holders[name]
         number, wants = holder.ask(now, demands)
         shares, rows = self.giver.ask(now, name, holder.life, holder.era, number, wants)
-        holder.hear(now, number, 7, shares)
+        holder.on_answer(now, number, 7, shares)
         return rows
 
 
@@ -167,7 +167,7 @@
     pair = Pair(Budget("a", 10))
     pair.ask(LEASE, "p", a=10)
     pair.giver.leave(LEASE + 1, "p", 1)
-    assert pair.giver.ask(LEASE + 1, "p", 1, 7, 50, [Want("a", 10)]) == ([], [])
+    assert pair.giver.ask(LEASE + 1, "p", 1, 7, 50, [ShareRequest("a", 10)]) == ([], [])
     pair.ask(LEASE + 2, "q", a=10)
     assert pair.holders["q"].right(LEASE + 2, "a") == 10
 
@@ -182,13 +182,13 @@
 def test_a_giver_that_starts_again_prolongs_what_is_presented_and_no_more():
     pair = Pair(Budget("a", 10))
     pair.ask(LEASE, "p", a=4)
-    pair.giver = Giver(pair.plan, LEASE, 8, LEASE + 1)  # its disk was lost
+    pair.giver = Grantor(pair.plan, LEASE, 8, LEASE + 1)  # its disk was lost
     holder = pair.holders["p"]
     holder.joined(8)
     number, wants = holder.ask(LEASE + 2, {"a": 10})
     shares, _ = pair.giver.ask(LEASE + 2, "p", 1, 8, number, wants)
-    assert [share.amount for share in shares] == [4] and holder.hear(LEASE + 2, number, 8, shares)
-    assert pair.giver.ask(LEASE + 3, "q", 2, 8, 1, [Want("a", 10)])[0] == []
+    assert [share.amount for share in shares] == [4] and holder.on_answer(LEASE + 2, number, 8, shares)
+    assert pair.giver.ask(LEASE + 3, "q", 2, 8, 1, [ShareRequest("a", 10)])[0] == []
 
 
 def test_whom_most_hold_for_dead_counts_no_longer_but_keeps_its_right():
@@ -196,16 +196,18 @@
     for name in "pqr":
         pair.ask(LEASE, name, a=4)
     for name, number in (("p", 90), ("q", 91)):
-        pair.giver.ask(LEASE + 2, name, pair.holders[name].life, 7, number, [Want("a", 12, 1, 4, 1)], ["r"])
+        pair.giver.ask(
+            LEASE + 2, name, pair.holders[name].life, 7, number, [ShareRequest("a", 12, 1, 4, 1)], ["r"]
+        )
     assert pair.giver.in_force(LEASE + 2, "a") == 12
-    assert pair.giver.wished["a"]["p 1"] == 6 and "r 3" not in pair.giver.wished["a"]
+    assert pair.giver.target_shares["a"]["p 1"] == 6 and "r 3" not in pair.giver.target_shares["a"]
 
 
 def test_a_thousand_holders_that_ask_for_all_are_within_the_whole_and_forgotten_after_a_lease():
-    giver = Giver(Plan([Budget("a", 5_000)], 0), LEASE, 7, -LEASE)
+    giver = Grantor(Plan([Budget("a", 5_000)], 0), LEASE, 7, -LEASE)
     for step in range(4):
         for at in range(1_000):
-            giver.ask(step * LEASE // 4, f"x{at}", 1, 7, step + 1, [Want("a", 50)])
+            giver.ask(step * LEASE // 4, f"x{at}", 1, 7, step + 1, [ShareRequest("a", 50)])
             assert giver.sums["a"] <= 5_000
     giver.in_force(3 * LEASE, "a")
     assert not giver.accounts and not giver.heard and giver.sums["a"] == 0
@@ -216,12 +218,12 @@
 
 def test_a_pilot_hands_on_no_longer_than_its_own_right_and_its_floor_for_good():
     hub = Hub(Plan([Budget("a", 10, 2)], 1), 5, 0.02, SECOND, -SECOND)
-    asked = [hub.giver.ask(0, "x", 1, 5, 1, [Want("a", 9)])[0][0]]
-    assert asked[0].amount == 2 and asked[0].span == SECOND
+    asked = [hub.giver.ask(0, "x", 1, 5, 1, [ShareRequest("a", 9)])[0][0]]
+    assert asked[0].amount == 2 and asked[0].duration == SECOND
     hub.holder.joined(7)
     number, _ = hub.holder.ask(0, {"a": 9})
-    hub.holder.hear(0, number, 7, [Share("a", 1, 6, SECOND // 2)])
-    asked = hub.giver.ask(10, "x", 1, 5, 2, [Want("a", 9, 1, 2, 1)])[0]
+    hub.holder.on_answer(0, number, 7, [Share("a", 1, 6, SECOND // 2)])
+    asked = hub.giver.ask(10, "x", 1, 5, 2, [ShareRequest("a", 9, 1, 2, 1)])[0]
     assert asked == [Share("a", 2, 8, int(SECOND // 2 * 0.98) - 10)]
 
 
@@ -229,14 +231,14 @@
     hub = Hub(Plan([Budget("a", 10)], 1), 5, 0.0, SECOND, -SECOND)
     hub.holder.joined(7)
     number, _ = hub.holder.ask(0, {"a": 8})
-    hub.holder.hear(0, number, 7, [Share("a", 1, 8, 9 * SECOND)])
-    hub.giver.ask(1, "x", 1, 5, 1, [Want("a", 8)])
+    hub.holder.on_answer(0, number, 7, [Share("a", 1, 8, 9 * SECOND)])
+    hub.giver.ask(1, "x", 1, 5, 1, [ShareRequest("a", 8)])
     number, _ = hub.holder.ask(2, {"a": 8})
-    hub.holder.hear(2, number, 7, [Share("a", 2, 3, 9 * SECOND)])
-    assert hub.holder.ask(3, {"a": 8})[1] == [Want("a", 8, 1, 8, 2)]
-    hub.giver.ask(4, "x", 1, 5, 2, [Want("a", 8, 1, 8, 1)])
-    hub.giver.ask(5, "x", 1, 5, 3, [Want("a", 8, 2, 3, 2)])
-    assert hub.holder.ask(6, {"a": 8})[1] == [Want("a", 8, 2, 3, 2)]
+    hub.holder.on_answer(2, number, 7, [Share("a", 2, 3, 9 * SECOND)])
+    assert hub.holder.ask(3, {"a": 8})[1] == [ShareRequest("a", 8, 1, 8, 2)]
+    hub.giver.ask(4, "x", 1, 5, 2, [ShareRequest("a", 8, 1, 8, 1)])
+    hub.giver.ask(5, "x", 1, 5, 3, [ShareRequest("a", 8, 2, 3, 2)])
+    assert hub.holder.ask(6, {"a": 8})[1] == [ShareRequest("a", 8, 2, 3, 2)]
 
 
 # ---- the disk
@@ -276,10 +278,10 @@
 @settings(max_examples=100, deadline=None)
 @given(st.lists(st.tuples(st.integers(0, SECOND), st.integers(0, 20)), max_size=40))
 def test_a_bucket_never_passes_rate_times_span_and_burst(steps):
-    bucket, now, times = Bucket(SECOND // 2, 0.0, 0), 0, []
-    bucket.grant(0, 10 * PARTS, FOREVER)
-    for span, tries in steps:
-        now += span
+    bucket, now, times = TokenBucket(SECOND // 2, 0.0, 0), 0, []
+    bucket.grant(0, 10 * PARTS_PER_TOKEN, FOREVER)
+    for duration, tries in steps:
+        now += duration
         times += [now for _ in range(tries) if bucket.take(now)]
     for first, start in enumerate(times):
         for last in range(first, len(times)):
@@ -287,29 +289,29 @@
 
 
 def test_a_bucket_is_void_at_the_end_and_a_new_share_begins_with_nothing():
-    bucket = Bucket(SECOND, 0.0, 0)
-    bucket.grant(0, 10 * PARTS, SECOND)
+    bucket = TokenBucket(SECOND, 0.0, 0)
+    bucket.grant(0, 10 * PARTS_PER_TOKEN, SECOND)
     assert bucket.take(SECOND - 1) and not bucket.take(SECOND)
-    bucket.grant(SECOND, 10 * PARTS, 2 * SECOND)
+    bucket.grant(SECOND, 10 * PARTS_PER_TOKEN, 2 * SECOND)
     assert not bucket.take(SECOND) and bucket.take(SECOND + SECOND // 10)
 
 
 def test_a_smaller_share_cuts_what_lies_in_the_bucket():
-    bucket = Bucket(SECOND, 0.0, 0)
-    bucket.grant(0, 10 * PARTS, FOREVER)
+    bucket = TokenBucket(SECOND, 0.0, 0)
+    bucket.grant(0, 10 * PARTS_PER_TOKEN, FOREVER)
     assert bucket.take(SECOND)
-    bucket.grant(SECOND, 2 * PARTS, FOREVER)
+    bucket.grant(SECOND, 2 * PARTS_PER_TOKEN, FOREVER)
     assert [bucket.take(SECOND) for _ in range(3)] == [True, True, False]
 
 
 def test_wishes_ask_for_more_than_was_wished_and_for_nothing_when_it_is_over():
-    wishes = Wishes(0)
+    wishes = DemandEstimator(0)
     for _ in range(10):
-        wishes.wish()
-    wishes.look(SECOND)
+        wishes.record()
+    wishes.close_interval(SECOND)
     assert 12_000 <= wishes.rate() <= 13_000
     for now in range(2, 10):
-        wishes.look(now * SECOND)
+        wishes.close_interval(now * SECOND)
     assert wishes.rate() == 0
 
 
--- a/tests/test_claims.py
+++ b/tests/test_claims.py
@@ -13,7 +13,14 @@
 from cedarshift.brain import OWNED, Pilot
 from cedarshift.budgets.rights import Fleet, FleetRights
 from cedarshift.interface import Entry, OpType, Terms
-from cedarshift.judge.claims import THINGS_MOST, Claim, ClaimGiver, ClaimHolder, Turns, Wish
+from cedarshift.judge.claims import (
+    MAX_CLAIMS_PER_ASK,
+    Claim,
+    ClaimGrantor,
+    ClaimHolder,
+    ClaimRequest,
+    ClaimSchedule,
+)
 from cedarshift.rehearsal.day import load_day
 from cedarshift.rehearsal.run import play as play_day
 
@@ -30,10 +37,10 @@
 
 
 def test_one_has_it_and_the_next_after_its_end():
-    giver = ClaimGiver(LEASE, 7, 0)
-    assert giver.ask(10, "a", 1, 7, 1, [Wish("e", False)]) == [Claim("e", LEASE)]
-    assert giver.ask(20, "b", 2, 7, 1, [Wish("e", False)]) == []
-    assert giver.ask(10 + LEASE, "b", 2, 7, 2, [Wish("e", False)]) == [Claim("e", LEASE)]
+    giver = ClaimGrantor(LEASE, 7, 0)
+    assert giver.ask(10, "a", 1, 7, 1, [ClaimRequest("e", False)]) == [Claim("e", LEASE)]
+    assert giver.ask(20, "b", 2, 7, 1, [ClaimRequest("e", False)]) == []
+    assert giver.ask(10 + LEASE, "b", 2, 7, 2, [ClaimRequest("e", False)]) == [Claim("e", LEASE)]
 
 
 @pytest.mark.parametrize(
@@ -52,26 +59,28 @@
     ],
 )
 def test_what_an_ask_takes_and_frees(asks, gets):
-    giver = ClaimGiver(LEASE, 7, 0)
+    giver = ClaimGrantor(LEASE, 7, 0)
     assert [
-        len(giver.ask(10 + at, *ask[:4], [Wish(thing, False) for thing in ask[4]]))
+        len(giver.ask(10 + at, *ask[:4], [ClaimRequest(resource, False) for resource in ask[4]]))
         for at, ask in enumerate(asks)
     ] == gets
 
 
 def test_a_life_that_left_frees_all_and_its_late_ask_takes_nothing():
-    giver = ClaimGiver(LEASE, 7, 0)
-    giver.ask(10, "a", 1, 7, 1, [Wish("e", False)])
+    giver = ClaimGrantor(LEASE, 7, 0)
+    giver.ask(10, "a", 1, 7, 1, [ClaimRequest("e", False)])
     giver.leave("a", 1)
-    assert giver.ask(11, "a", 1, 7, 2, [Wish("e", True)]) == []
-    assert giver.ask(12, "b", 2, 7, 1, [Wish("e", False)])
+    assert giver.ask(11, "a", 1, 7, 2, [ClaimRequest("e", True)]) == []
+    assert giver.ask(12, "b", 2, 7, 1, [ClaimRequest("e", False)])
 
 
 def test_after_a_start_only_what_is_held_is_prolonged():
-    giver = ClaimGiver(LEASE, 7, LEASE)
-    assert giver.ask(10, "a", 1, 7, 1, [Wish("e", True), Wish("f", False)]) == [Claim("e", LEASE)]
-    assert giver.ask(20, "b", 2, 7, 1, [Wish("f", False)]) == []
-    assert giver.ask(LEASE, "b", 2, 7, 2, [Wish("f", False)]) == [Claim("f", LEASE)]
+    giver = ClaimGrantor(LEASE, 7, LEASE)
+    assert giver.ask(10, "a", 1, 7, 1, [ClaimRequest("e", True), ClaimRequest("f", False)]) == [
+        Claim("e", LEASE)
+    ]
+    assert giver.ask(20, "b", 2, 7, 1, [ClaimRequest("f", False)]) == []
+    assert giver.ask(LEASE, "b", 2, 7, 2, [ClaimRequest("f", False)]) == [Claim("f", LEASE)]
 
 
 def test_an_answer_to_an_ask_before_it_was_given_up_brings_nothing_back():
@@ -79,21 +88,25 @@
     holder.ask(0, 1, ["e"])
     holder.ask(10, 2, [])
     holder.ask(20, 3, ["e"])
-    holder.hear(30, 1, [Claim("e", LEASE)])
+    holder.on_answer(30, 1, [Claim("e", LEASE)])
     assert not holder.held(40)
-    holder.hear(50, 3, [Claim("e", LEASE)])
+    holder.on_answer(50, 3, [Claim("e", LEASE)])
     assert holder.held(60) == {"e"} and not holder.held(20 + int(LEASE * (1 - DRIFT)))
 
 
 def test_an_ask_names_no_more_than_a_giver_takes():
-    assert len(ClaimHolder(DRIFT).ask(0, 1, [str(n) for n in range(2 * THINGS_MOST)])) == THINGS_MOST
-    giver = ClaimGiver(LEASE, 7, 0)
     assert (
-        len(giver.ask(1, "a", 1, 7, 1, [Wish(str(n), False) for n in range(2 * THINGS_MOST)])) == THINGS_MOST
+        len(ClaimHolder(DRIFT).ask(0, 1, [str(n) for n in range(2 * MAX_CLAIMS_PER_ASK)]))
+        == MAX_CLAIMS_PER_ASK
+    )
+    giver = ClaimGrantor(LEASE, 7, 0)
+    assert (
+        len(giver.ask(1, "a", 1, 7, 1, [ClaimRequest(str(n), False) for n in range(2 * MAX_CLAIMS_PER_ASK)]))
+        == MAX_CLAIMS_PER_ASK
     )
 
 
-def play(seed, holder_class=ClaimHolder, giver_class=ClaimGiver):
+def play(seed, holder_class=ClaimHolder, giver_class=ClaimGrantor):
     """Three pilots at clocks 5% apart, a giver that is started anew, messages lost, late and doubled, pilots killed and stopped. Returns
     (time, thing, holders) of the first moment at which two hold one thing, and how many claims were had in all."""
     chance = random.Random(seed)
@@ -124,7 +137,7 @@
                     eras[who] = told
                     holders[who].lost()
                 else:
-                    holders[who].hear(int(now * speed[who]), number, claims)
+                    holders[who].on_answer(int(now * speed[who]), number, claims)
         if chance.random() < 0.002:
             era += 1
             giver = giver_class(LEASE, era, now + LEASE)
@@ -135,7 +148,7 @@
             if chance.random() < 0.001:
                 stopped[who] = now + chance.choice([LEASE // 2, 2 * LEASE])
             if chance.random() < 0.02:
-                wanted[who] = [thing for thing in "ef" if chance.random() < 0.6]
+                wanted[who] = [resource for resource in "ef" if chance.random() < 0.6]
             if now >= stopped[who] and chance.random() < 0.06:
                 drawn[who] += 1
                 wishes = holders[who].ask(int(now * speed[who]), drawn[who], wanted[who])
@@ -150,11 +163,11 @@
                             wishes,
                         )
                     )
-        for thing in "ef":
-            those = [who for who in range(3) if thing in holders[who].held(int(now * speed[who]))]
-            had.update((who, thing, lives[who]) for who in those)
+        for resource in "ef":
+            those = [who for who in range(3) if resource in holders[who].held(int(now * speed[who]))]
+            had.update((who, resource, lives[who]) for who in those)
             if len(those) > 1:
-                return (now, thing, those), len(had)
+                return (now, resource, those), len(had)
     return None, len(had)
 
 
@@ -165,12 +178,12 @@
 
 
 class LateEnd(ClaimHolder):
-    def hear(self, now, number, claims):
+    def on_answer(self, now, number, claims):
         asked_at = self.asked.get(number)
-        super().hear(now, number, claims)
+        super().on_answer(now, number, claims)
         if asked_at is not None:
             self.until.update(
-                {claim.thing: now + claim.span for claim in claims if claim.thing in self.until}
+                {claim.resource: now + claim.duration for claim in claims if claim.resource in self.until}
             )
 
 
@@ -186,12 +199,12 @@
         return found
 
 
-class NoWait(ClaimGiver):
-    def __init__(self, lease, era, quiet_until):
+class NoWait(ClaimGrantor):
+    def __init__(self, lease, era, recovery_until):
         super().__init__(lease, era, 0)
 
 
-class LateFrees(ClaimGiver):
+class LateFrees(ClaimGrantor):
     def ask(self, now, holder, life, era, number, wishes):
         self.heard.pop((holder, life), None)
         return super().ask(now, holder, life, era, number, wishes)
@@ -205,16 +218,17 @@
 
 def test_the_first_by_lot_asks_at_once_and_the_next_a_step_later():
     names, things = ["p0", "p1", "p2"], [f"e{n}" for n in range(30)]
-    turns = {name: Turns(name, 100) for name in names}
+    turns = {name: ClaimSchedule(name, 100) for name in names}
     at = {
-        now: [turns[name].wishes(now, things, names, frozenset()) for name in names] for now in (0, 100, 200)
+        now: [turns[name].requests(now, things, names, frozenset()) for name in names]
+        for now in (0, 100, 200)
     }
     assert sorted(sum(at[0], [])) == sorted(things)
-    assert [sum(thing in one for one in at[100]) for thing in things] == [2] * 30
-    assert [sum(thing in one for one in at[200]) for thing in things] == [3] * 30
+    assert [sum(resource in one for one in at[100]) for resource in things] == [2] * 30
+    assert [sum(resource in one for one in at[200]) for resource in things] == [3] * 30
     assert min(len(one) for one in at[0]) >= 3
-    alone = Turns("p1", 100)
-    assert alone.wishes(0, things, ["p1"], frozenset()) == sorted(things)
+    alone = ClaimSchedule("p1", 100)
+    assert alone.requests(0, things, ["p1"], frozenset()) == sorted(things)
 
 
 # ---- what the module is told
@@ -235,7 +249,7 @@
     found.wishes(0, 1)
     found.hear(10, 1, [Claim("e", LEASE)])
     found.fleet = found.fleet._replace(in_charge=lambda: False)
-    assert found.wishes(20, 2) == [Wish("e", True)]  # the charge may be given anew in a moment
+    assert found.wishes(20, 2) == [ClaimRequest("e", True)]  # the charge may be given anew in a moment
     found.hear(30, 2, [Claim("e", 2 * LEASE)])
     assert found.wishes(LEASE + 20, 3) == [] and told[-1] == {"": math.inf, "*": 0.0}
 
--- a/tests/test_gossip.py
+++ b/tests/test_gossip.py
@@ -13,8 +13,8 @@
 from cedarshift.gossip.member import Member, Window
 from cedarshift.gossip.service import Membership, MembershipTerms
 from cedarshift.judge.chance import Lcg
-from cedarshift.judge.detector import HEALTH_MOST, MISSES, Detector, Found
-from cedarshift.judge.roll import ALIVE, CUT, DEAD, LEFT, SUSPECT, Edge, Rings, Roll, Verdict, Word
+from cedarshift.judge.detector import MAX_HEALTH_SCORE, MISSES_FOR_SILENCE, Detector, Reachability
+from cedarshift.judge.roll import ALIVE, CUT, DEAD, LEFT, SUSPECT, Edge, MemberTable, Rings, Verdict, Word
 from cedarshift.loop import datagrams
 from cedarshift.loop.memory import Way
 from cedarshift.loop.world import World
@@ -36,7 +36,7 @@
 
 def merged(records):
     """Edges of one observer with one number say the same, as a real observer's do."""
-    roll = Roll("a", NAMES, SECOND)
+    roll = MemberTable("a", NAMES, SECOND)
     for one in records:
         if one[0] == "word":
             roll.merge_word(one[1], one[2])
@@ -101,12 +101,12 @@
 
 
 def roll(me="a", names=NAMES):
-    made = Roll(me, names, SECOND)
+    made = MemberTable(me, names, SECOND)
     for one in names:
         made.merge_word(one, Word(1, False, 0))
-    made.look(-9 * SECOND)
-    made.stale = True
-    made.look(-8 * SECOND)  # from when its side has been most
+    made.update_states(-9 * SECOND)
+    made.needs_update = True
+    made.update_states(-8 * SECOND)  # from when its side has been most
     return made
 
 
@@ -135,7 +135,7 @@
     for one in vouchers:
         say(made, SECOND, one, "e", True)
     for step in range(int(after * 4) + 1):
-        made.look(SECOND + step * SECOND // 4)
+        made.update_states(SECOND + step * SECOND // 4)
     assert made.states["e"] == state
 
 
@@ -144,24 +144,24 @@
     for subject in "cde":
         for observer in "ab":
             say(made, SECOND, observer, subject, False, seq=ord(subject))
-    changes = [change for step in range(80) for change in made.look(SECOND + step * SECOND // 4)]
+    changes = [change for step in range(80) for change in made.update_states(SECOND + step * SECOND // 4)]
     assert {made.states[one] for one in "cde"} == {DEAD} and not made.verdicts
     assert not any(change.agreed for change in changes if change.after == DEAD)
 
 
 @pytest.mark.parametrize(
-    "heard, most_since, agreed", [("abcd", -8, True), ("ab", -8, False), ("abcd", 4, False)]
+    "heard, majority_since, agreed", [("abcd", -8, True), ("ab", -8, False), ("abcd", 4, False)]
 )
 def test_a_verdict_is_agreed_only_by_who_hears_most_and_has_been_among_most_for_a_while(
-    heard, most_since, agreed
+    heard, majority_since, agreed
 ):
     made = roll()
     for one in "abcd":
         say(made, SECOND, one, "e", False)
-    made.look(SECOND)
-    made.most_since = most_since * SECOND
-    made.stale = True
-    changes = made.look(5 * SECOND, 0, lambda name: 4 * SECOND if name in heard else None)
+    made.update_states(SECOND)
+    made.majority_since = majority_since * SECOND
+    made.needs_update = True
+    changes = made.update_states(5 * SECOND, 0, lambda name: 4 * SECOND if name in heard else None)
     assert [(change.after, change.agreed) for change in changes] == [(DEAD, agreed)]
 
 
@@ -170,7 +170,7 @@
     crowd.run_for(10)
     member = crowd.places["p9"].member
     away = next(name for name in member.roll.names if name not in member.roll.subjects() and name != "p9")
-    member._report(crowd.now, Found(away, False, crowd.now))
+    member._report(crowd.now, Reachability(away, False, crowd.now))
     member._watch(crowd.now)
     crowd.run_for(6)
     assert member.roll.edges[away]["p9"].hears
@@ -183,20 +183,20 @@
     for observer in "abcd":
         say(made, SECOND, observer, "e", False)
     for step in range(40):
-        made.look(SECOND + step * SECOND // 4)
+        made.update_states(SECOND + step * SECOND // 4)
     assert made.states["e"] == DEAD and all(made.states[one] == ALIVE for one in "abcd")
 
 
 def test_a_higher_incarnation_answers_a_verdict_and_a_leaving_ends_a_life():
     made = roll()
     made.merge_verdict("e", Verdict(1, 0, 4))
-    made.look(1)
+    made.update_states(1)
     assert made.states["e"] == DEAD
     made.merge_word("e", Word(1, False, 1))
-    made.look(2)
+    made.update_states(2)
     assert made.states["e"] == ALIVE and not made.merge_verdict("e", Verdict(1, 0, 5))
     made.merge_word("e", Word(1, True, 1))
-    made.look(3)
+    made.update_states(3)
     assert made.states["e"] == LEFT and not made.merge_word("e", Word(1, False, 9))
 
 
@@ -217,18 +217,18 @@
         found += said
         for ask in asks:
             if ask.how == "ping" and answer is not None and answer(ask):
-                made.answered_by(now, ask.nonce)
+                made.on_answer(now, ask.nonce)
     return found
 
 
 def test_three_probes_in_a_row_without_an_answer_are_a_silence_and_an_answer_ends_it():
     made = detector()
     steps(made, 0, 5, lambda ask: True)
-    found = steps(made, 5 * SECOND, MISSES + 2, lambda ask: ask.to != "b")
+    found = steps(made, 5 * SECOND, MISSES_FOR_SILENCE + 2, lambda ask: ask.to != "b")
     assert [(one.subject, one.hears) for one in found] == [("b", False)]
     made.step(11 * SECOND)
     nonce = max(made.probes, key=lambda n: (made.probes[n].subject == "b", made.probes[n].sent))
-    assert made.answered_by(11 * SECOND, nonce).hears
+    assert made.on_answer(11 * SECOND, nonce).hears
 
 
 def test_an_answer_that_comes_periods_late_still_counts():
@@ -239,15 +239,15 @@
         waiting += [(now + 17 * SECOND // 10, ask.nonce) for ask in asks if ask.how == "ping"]
         for at, nonce in waiting:
             if at <= now:
-                made.answered_by(now, nonce)
+                made.on_answer(now, nonce)
 
 
 def test_one_that_was_stopped_blames_nobody_and_is_slower_to_judge():
     made = detector()
     steps(made, 0, 2.5, lambda ask: True)
     steps(made, 3 * SECOND, 2, None)
-    found = steps(made, 25 * SECOND, MISSES, None)
-    assert not found and made.counts["stops"] == 1 and made.health >= HEALTH_MOST - 2
+    found = steps(made, 25 * SECOND, MISSES_FOR_SILENCE, None)
+    assert not found and made.counts["stops"] == 1 and made.health >= MAX_HEALTH_SCORE - 2
 
 
 # ---- what is sent
--- a/tests/test_overload.py
+++ b/tests/test_overload.py
@@ -15,8 +15,8 @@
 from cedarshift.codec import messages as m
 from cedarshift.codec.gossip import RIDER_MOST
 from cedarshift.judge import overload as o
-from cedarshift.judge.admission import AFTER_MOST, Gate
-from cedarshift.judge.trials import Trials, Word
+from cedarshift.judge.admission import MAX_DELAY_US, JoinLimiter
+from cedarshift.judge.trials import TrialReport, Trials
 from cedarshift.overload.digest import KINDS_MOST, packed, unpacked
 from cedarshift.overload.pilot import OverloadTerms, PilotOverload
 from cedarshift.rehearsal.surge import FETCH, KINDS, ORDER, Surge, even
@@ -28,13 +28,13 @@
 
 def row(fresh=60.0, seq=1, at=0, pressure=0.2, share=1.0, state="calm", acked=None):
     flow = o.Flow(fresh, 0.0, fresh, fresh if acked is None else acked, 0.0, 0.0, 300_000.0)
-    return o.Row(1, seq, at, (flow, flow._replace(fresh=fresh / 2)), pressure, fresh, share, state)
+    return o.LoadReport(1, seq, at, (flow, flow._replace(fresh=fresh / 2)), pressure, fresh, share, state)
 
 
 def picture(*rows):
-    made = o.Picture("p0", WORTHS)
+    made = o.FleetLoad("p0", WORTHS)
     for number, one in enumerate(rows):
-        assert made.hear(f"p{number}", one)
+        assert made.add_report(f"p{number}", one)
     return made
 
 
@@ -88,7 +88,7 @@
 )
 def test_a_row_that_cannot_be_is_refused(wrong):
     held = picture(row())
-    assert not held.hear("p1", wrong) and "p1" not in held.rows
+    assert not held.add_report("p1", wrong) and "p1" not in held.rows
 
 
 @pytest.mark.parametrize("times", [0.0, 10.0, 1e4])
@@ -96,12 +96,12 @@
     good = picture(row(), row(), row(), row()).totals(0)
     lied = picture(row(), row(), row(), row(fresh=60.0 * times, pressure=min(9.0, times))).totals(0)
     assert lied.pressure == good.pressure
-    assert lied.offered <= good.offered * (3 + o.CLAMP) / 4 + 1
+    assert lied.offered <= good.offered * (3 + o.OUTLIER_FACTOR) / 4 + 1
 
 
 def test_an_older_word_changes_nothing():
     held = picture(row(seq=5, fresh=60.0))
-    assert not held.hear("p0", row(seq=4, fresh=1.0)) and held.rows["p0"].flows[0].fresh == 60.0
+    assert not held.add_report("p0", row(seq=4, fresh=1.0)) and held.rows["p0"].flows[0].fresh == 60.0
 
 
 def test_the_share_that_others_answer_is_the_middle_of_theirs():
@@ -200,14 +200,14 @@
 
 def test_the_same_totals_give_the_same_answer():
     totals = o.Totals(300.0, 200.0, 0.8, (0.7, 0.3), 0.0, 3)
-    governors = [o.Governor(WORTHS, 0) for _ in range(2)]
+    governors = [o.OverloadController(WORTHS, 0) for _ in range(2)]
     for at in range(1, 20):
         answers = {governor.step(at * SECOND // 2, totals) for governor in governors}
         assert len(answers) == 1
 
 
 def test_a_pilot_that_wakes_takes_the_others_answer_until_it_has_its_own():
-    governor = o.Governor(WORTHS, 0)
+    governor = o.OverloadController(WORTHS, 0)
     busy = o.Totals(480.0, 240.0, 0.3, (0.7, 0.3), 0.0, 3)
     governor.step(SECOND // 2, busy._replace(pressure=0.0, offered=100.0))
     answer = governor.step(20 * SECOND, busy, others=0.5)
@@ -215,7 +215,7 @@
 
 
 def test_an_outage_is_no_jam_and_a_jam_is_ended_once():
-    governor, calm = o.Governor(WORTHS, 0), o.Totals(200.0, 200.0, 0.2, (0.7, 0.3), 0.0, 3)
+    governor, calm = o.OverloadController(WORTHS, 0), o.Totals(200.0, 200.0, 0.2, (0.7, 0.3), 0.0, 3)
     for at in range(1, 10):
         governor.step(at * SECOND // 2, calm._replace(acked=240.0))
     out = dataclasses.replace(governor)
@@ -225,12 +225,12 @@
         governor.step(at * SECOND // 2, calm._replace(acked=150.0, pressure=0.9)).state
         for at in range(10, 60)
     ]
-    assert states.count("jam") * SECOND // 2 <= o.JAM_MOST + SECOND and "jam" in states
+    assert states.count("jam") * SECOND // 2 <= o.MAX_JAM_US + SECOND and "jam" in states
     assert states[-1] == "limited"  # less can be carried than before: told as that
 
 
 def test_while_a_jam_is_ended_no_repeat_is_let_in():
-    governor = o.Governor(WORTHS, 0, state="jam", known=240.0, limit=120.0, jam_until=9 * SECOND)
+    governor = o.OverloadController(WORTHS, 0, state="jam", known=240.0, limit=120.0, jam_until=9 * SECOND)
     answer = governor.step(SECOND // 2, o.Totals(200.0, 150.0, 0.9, (0.7, 0.3), 0.0, 3))
     assert answer.state == "jam" and answer.again == 0.0 and answer.share < 1.0
 
@@ -239,43 +239,43 @@
 
 
 @pytest.mark.parametrize(
-    "acked, under_way, told", [(20.0, 6.0, 0.15), (20.0, 80.0, 2.0), (0.0, 40.0, o.PRESSURE_MOST)]
+    "acked, under_way, told", [(20.0, 6.0, 0.15), (20.0, 80.0, 2.0), (0.0, 40.0, o.MAX_PRESSURE)]
 )
 def test_pressure_is_what_is_under_way_by_what_is_acked(acked, under_way, told):
-    lanes = o.Lanes(2 * SECOND, SECOND)
+    lanes = o.EndpointLoads(2 * SECOND, SECOND)
     lanes.met("a", acked, 0)
-    lanes.holds("x", {"a": under_way})
+    lanes.set_in_flight("x", {"a": under_way})
     assert lanes.look(0)[0] == pytest.approx(told, rel=0.1)
 
 
 def test_dead_endpoints_do_not_move_the_pressure_of_the_rest():
-    lanes = o.Lanes(2 * SECOND, SECOND)
+    lanes = o.EndpointLoads(2 * SECOND, SECOND)
     for name in "abcdef":
         lanes.met(name, 20.0, 0)
-        lanes.holds(name, {name: 6.0})
+        lanes.set_in_flight(name, {name: 6.0})
     for name in "xyz":
         lanes.met(name, 20.0, 20.0)
-        lanes.holds(name, {name: 40.0})
+        lanes.set_in_flight(name, {name: 40.0})
     assert lanes.look(0)[0] < 0.2
 
 
 def test_what_a_proxy_had_under_way_is_replaced_and_goes_with_it():
-    lanes = o.Lanes(2 * SECOND, SECOND)
-    lanes.holds("x", {"a": 5.0})
-    lanes.holds("x", {"a": 2.0, "b": 1.0})
-    assert lanes.lanes["a"].open == 2.0
-    lanes.holds("x", {})
-    assert lanes.lanes["a"].open == 0.0 and not lanes.held
+    lanes = o.EndpointLoads(2 * SECOND, SECOND)
+    lanes.set_in_flight("x", {"a": 5.0})
+    lanes.set_in_flight("x", {"a": 2.0, "b": 1.0})
+    assert lanes.lanes["a"].in_flight == 2.0
+    lanes.set_in_flight("x", {})
+    assert lanes.lanes["a"].in_flight == 0.0 and not lanes.held
 
 
 def test_own_shares_move_the_fleets_share_and_do_not_add_to_it():
-    lanes = o.Lanes(2 * SECOND, SECOND)
+    lanes = o.EndpointLoads(2 * SECOND, SECOND)
     for look in range(12):
         now = look * SECOND // 2
         for name, acked, under_way in (("a", 10.0, 40.0), ("b", 10.0, 1.0)):
             lanes.came(name, 20.0)
             lanes.met(name, acked, 0)
-            lanes.holds(name, {name: under_way})
+            lanes.set_in_flight(name, {name: under_way})
         own = lanes.shares(now, 0.5)
     assert own["a"] < 0.5 < own["b"]
     assert (own["a"] + own["b"]) / 2 == pytest.approx(0.5, abs=0.02)
@@ -365,16 +365,16 @@
 
 
 def test_those_with_a_lease_that_runs_come_before_newcomers():
-    made = Gate(100.0, 8.0, 0)
+    made = JoinLimiter(100.0, 8.0, 0)
     assert [made.ask(0) for _ in range(7)].count(0) == 6
     assert [made.ask(0, known=True) for _ in range(3)].count(0) == 2
 
 
 def test_who_is_sent_away_is_given_a_turn_of_its_own():
-    made = Gate(100.0, 1.0, 0)
+    made = JoinLimiter(100.0, 1.0, 0)
     assert made.ask(0) == 0
     waits = [made.ask(0) for _ in range(1000)]
-    assert waits[:3] == [10_000, 20_000, 30_000] and max(waits) == AFTER_MOST
+    assert waits[:3] == [10_000, 20_000, 30_000] and max(waits) == MAX_DELAY_US
     assert made.ask(20_000) == 0
 
 
@@ -383,7 +383,7 @@
     st.lists(st.integers(0, 50_000), min_size=1, max_size=200), st.floats(1.0, 500.0), st.floats(1.0, 50.0)
 )
 def test_no_more_join_than_the_rate_and_the_burst(gaps, rate, burst):
-    made, now, joined = Gate(rate, burst, 0), 0, 0
+    made, now, joined = JoinLimiter(rate, burst, 0), 0, 0
     for gap in gaps:
         now += gap
         joined += made.ask(now, known=True) == 0
@@ -399,7 +399,7 @@
     st.floats(0, 1),
 )
 def test_a_row_survives_the_way_and_fits_a_rider(flows, pressure, share):
-    one = o.Row(3, 4, 5, tuple(o.Flow(*flow) for flow in flows), pressure, 12.0, share, "limited")
+    one = o.LoadReport(3, 4, 5, tuple(o.Flow(*flow) for flow in flows), pressure, 12.0, share, "limited")
     raw = packed(one)
     assert len(raw) <= RIDER_MOST
     back, _ = unpacked(raw, 3, 4, 5)
@@ -411,7 +411,7 @@
 @given(st.binary(max_size=RIDER_MOST))
 def test_bytes_that_are_no_row_are_refused_or_judged(raw):
     found = unpacked(raw, 1, 1, 0)
-    assert found is None or o.sound(found[0], 2) in (True, False)
+    assert found is None or o.is_plausible(found[0], 2) in (True, False)
 
 
 # ---- trials of sick endpoints
@@ -433,7 +433,7 @@
             for name in self.names:
                 for other in self.names:
                     if other != name:
-                        self.trials[name].on_word(other, self.trials[other].word())
+                        self.trials[name].on_report(other, self.trials[other].report())
                 self.told[name] = self.trials[name].step(self.now, ["a", "b"], self.names)
             for proxy, home in self.home.items():
                 self.trials[home].on_proxy(proxy, ["a"] if shun else [])
@@ -497,7 +497,7 @@
     left = fleet.trials[other]
     for _ in range(3):
         left.on_proxy("x9", ["a"])
-    assert left.step(fleet.now, ["a"], [other]) == {"a": 0.0} and "a" in left.mine
+    assert left.step(fleet.now, ["a"], [other]) == {"a": 0.0} and "a" in left.own_trials
 
 
 def lines_of(**weights):
@@ -534,11 +534,11 @@
 
 def test_a_pilot_that_sees_nothing_sheds_with_the_others_and_goes_a_part_of_the_way():
     quiet = o.Totals(200.0, 200.0, 0.25, (0.7, 0.3), 0.0, 3)
-    alone, among = o.Governor(WORTHS, 0), o.Governor(WORTHS, 0)
+    alone, among = o.OverloadController(WORTHS, 0), o.OverloadController(WORTHS, 0)
     for look in range(1, 5):
         answers = [alone.step(look * SECOND // 2, quiet), among.step(look * SECOND // 2, quiet, others=0.5)]
     assert answers[0].state == "calm" and answers[1].state == "limited"
-    limited = [o.Governor(WORTHS, 0, state="limited", limit=100.0, known=100.0) for _ in range(2)]
+    limited = [o.OverloadController(WORTHS, 0, state="limited", limit=100.0, known=100.0) for _ in range(2)]
     own, pulled = (
         one.step(SECOND // 2, quiet._replace(acked=100.0), others=others).share
         for one, others in zip(limited, (None, 1.0))
@@ -547,13 +547,13 @@
 
 
 def test_own_shares_add_nothing_where_endpoints_differ_in_all():
-    lanes, came = o.Lanes(2 * SECOND, SECOND), {"a": 80.0, "b": 20.0, "c": 10.0}
+    lanes, came = o.EndpointLoads(2 * SECOND, SECOND), {"a": 80.0, "b": 20.0, "c": 10.0}
     for look in range(12):
         now = look * SECOND // 2
         for name, acked, under_way in (("a", 4.0, 40.0), ("b", 12.0, 1.0), ("c", 10.0, 0.0)):
             lanes.came(name, came[name])
             lanes.met(name, acked, 0)
-            lanes.holds(name, {name: under_way})
+            lanes.set_in_flight(name, {name: under_way})
         own = lanes.shares(now, 0.4)
     assert sum(came[name] * own.get(name, 0.4) for name in came) <= 0.41 * sum(came.values())
 
@@ -562,19 +562,21 @@
     trials = Trials("p0", 1)
     trials.on_proxy("x", ["a"])
     trials.step(0, ["a"], ["p0"])
-    assert "a" in trials.mine
+    assert "a" in trials.own_trials
     names = [f"q{n}" for n in range(8)]  # one of so many surely comes before this one
     for name in names:
-        trials.on_word(name, Word(1, {}, {}))
+        trials.on_report(name, TrialReport(1, {}, {}))
     assert trials.owner("a", ["p0", *names]) != "p0"
-    assert trials.step(SECOND, ["a"], ["p0", *names]) == {} and "a" not in trials.mine
+    assert trials.step(SECOND, ["a"], ["p0", *names]) == {} and "a" not in trials.own_trials
 
 
 def test_a_word_that_leaves_no_room_for_trials_goes_without_them():
-    huge = o.Row(1, 1, 0, tuple(o.Flow(*[1e7] * 6, 1e9) for _ in range(KINDS_MOST)), 4.0, 1e7, 0.5, "limited")
-    word = Word(900, {n << 20: 500 for n in range(8)}, {n << 21: (0.5, 3) for n in range(8)})
+    huge = o.LoadReport(
+        1, 1, 0, tuple(o.Flow(*[1e7] * 6, 1e9) for _ in range(KINDS_MOST)), 4.0, 1e7, 0.5, "limited"
+    )
+    word = TrialReport(900, {n << 20: 500 for n in range(8)}, {n << 21: (0.5, 3) for n in range(8)})
     raw = packed(huge, word)
-    assert len(raw) <= RIDER_MOST and unpacked(raw, 1, 1, 0)[1] == Word(900, {}, {})
+    assert len(raw) <= RIDER_MOST and unpacked(raw, 1, 1, 0)[1] == TrialReport(900, {}, {})
     small = packed(huge._replace(flows=huge.flows[:2]), word)
     assert unpacked(small, 1, 1, 0)[1] == word
 
@@ -589,7 +591,7 @@
 
 
 def test_what_takes_long_without_waiting_is_let_in_whole_once_it_fits():
-    governor = o.Governor(WORTHS, 0, state="limited", known=240.0, limit=100.0, carried=100.0)
+    governor = o.OverloadController(WORTHS, 0, state="limited", known=240.0, limit=100.0, carried=100.0)
     late = o.Totals(150.0, 100.0, 0.4, (0.7, 0.3), 0.0, 3)  # over the aim, under what counts as behind
     for look in range(1, 20):
         answer = governor.step(look * SECOND // 2, late._replace(acked=150.0 * governor.share))
@@ -597,15 +599,15 @@
 
 
 def test_an_endpoint_that_was_spared_gets_all_again_though_its_ops_take_long():
-    lanes = o.Lanes(2 * SECOND, SECOND)
-    lanes.lanes["a"] = o.Lane(came=20.0, trim=0.5)
+    lanes = o.EndpointLoads(2 * SECOND, SECOND)
+    lanes.lanes["a"] = o.EndpointLoad(came=20.0, share_factor=0.5)
     for look in range(6):  # three seconds
-        now, share = look * SECOND // 2, lanes.lanes["a"].trim
+        now, share = look * SECOND // 2, lanes.lanes["a"].share_factor
         lanes.came("a", 10.0)
         lanes.met("a", 10.0 * min(1.0, share), 0)
-        lanes.holds("x", {"a": 0.5 * lanes.lanes["a"].acked})
+        lanes.set_in_flight("x", {"a": 0.5 * lanes.lanes["a"].acked})
         own = lanes.shares(now, 1.0)
-    assert own == {} and lanes.lanes["a"].trim == 1.0
+    assert own == {} and lanes.lanes["a"].share_factor == 1.0
 
 
 # ---- a pilot's part, by itself
@@ -657,7 +659,7 @@
     text = shown_overload(msgspec.json.encode(pilot.shown()))
     assert "p0: limited (ops take" in text and "fetch" in text and "the fleet, a second" in text
     pilot.on_left("big")
-    assert "big" not in pilot.proxies and pilot.lanes.lanes["e"].open == 0.0
+    assert "big" not in pilot.proxies and pilot.lanes.lanes["e"].in_flight == 0.0
 
 
 @pytest.mark.parametrize(
@@ -724,5 +726,5 @@
     assert (
         trials.step(SECOND, ["b"], ["p0"]) == {}
         and trials.probe(9 * SECOND, "x") is None
-        and not trials.word().trials
+        and not trials.report().trials
     )
--- a/tests/test_peer.py
+++ b/tests/test_peer.py
@@ -394,6 +394,6 @@
     taught._take_sums([ZoneMet("a", "z", 10, 1, 500_000, 500_000)], [])
     f.run(0.1)
     bound = taught.learning.trust.starts["a", "2"]
-    taught.learning.trust.hear_start("a", "2", bound - 5_000)  # a quicker answer: a better bound
+    taught.learning.trust.merge_start("a", "2", bound - 5_000)  # a quicker answer: a better bound
     f.run(1)
     assert taught.brain.endpoints["a"].started == before and taught.brain.endpoints["a"].samples
--- a/tests/test_redial.py
+++ b/tests/test_redial.py
@@ -10,7 +10,7 @@
 from cedarshift.agent import Agent, Tables
 from cedarshift.codec import Badge, Session
 from cedarshift.codec import messages as m
-from cedarshift.judge.redial import GROWS, Redial
+from cedarshift.judge.redial import GROWTH_FACTOR, Backoff
 from cedarshift.link import serve
 from cedarshift.loop import listen
 from cedarshift.loop.world import World
@@ -25,24 +25,24 @@
 @given(st.integers(1, 10**6), st.integers(1, 60), st.lists(st.floats(0, 0.999999), min_size=1, max_size=30))
 def test_a_wait_is_never_under_the_least_nor_over_the_most_and_grows_by_three_at_most(first, times, drawn):
     draws = iter(drawn)
-    redial, last = Redial(first, first * times, lambda: next(draws)), first
+    redial, last = Backoff(first, first * times, lambda: next(draws)), first
     for _ in drawn:
         wait = redial.wait()
-        assert first <= wait <= min(first * times, GROWS * last)
+        assert first <= wait <= min(first * times, GROWTH_FACTOR * last)
         last = wait
 
 
 def test_a_good_try_begins_anew_and_what_is_asked_for_is_kept_to():
-    redial = Redial(100, 10_000, lambda: 0.999)
+    redial = Backoff(100, 10_000, lambda: 0.999)
     assert [redial.wait() for _ in range(5)][-1] > 5_000
-    redial.well()
-    assert redial.wait() < 300 and redial.wait(asked=4_000) >= 4_000
+    redial.reset()
+    assert redial.wait() < 300 and redial.wait(requested=4_000) >= 4_000
 
 
 def test_waits_at_the_most_are_spread_over_the_whole_range():
     chance, found = random.Random(3), []
     for _ in range(300):
-        redial = Redial(100_000, 2_000_000, chance.random)
+        redial = Backoff(100_000, 2_000_000, chance.random)
         for _ in range(12):
             last = redial.wait()
         found.append(last)
@@ -245,7 +245,7 @@
     assert counts[0] <= 10 + 40 + 40 / 4 and all(
         later - former <= 40 + 40 / 4 for former, later in zip(counts, counts[1:])
     )
-    assert counts[-1] == 310 and pilot.gate.sent_away >= 200
+    assert counts[-1] == 310 and pilot.gate.deferred >= 200
     lost = [
         fields
         for event, fields in loop.heard
--- a/tests/test_sim.py
+++ b/tests/test_sim.py
@@ -13,7 +13,7 @@
 from click.testing import CliRunner
 
 from cedarshift.cli.main import main
-from cedarshift.judge.charge import Row
+from cedarshift.judge.charge import SliceRecord
 from cedarshift.loop.memory import MemoryNetwork, VirtualClock
 from cedarshift.loop.world import HostClock, World
 from cedarshift.sim.disk import Disk, SimLedger
@@ -255,7 +255,7 @@
     for version in range(1, 30):
         if chance.random() < 0.1:  # the power goes between write and sync
             body = SimLedger(Disk(chance), 4)
-            body.put([Row(n, 1, version, "p", f"e{version}") for n in range(4)])
+            body.put([SliceRecord(n, 1, version, "p", f"e{version}") for n in range(4)])
             disk.cached.append(body.disk.synced[0])
             disk.power_cut()
             ledger = SimLedger(disk, 4)
@@ -264,7 +264,7 @@
             acked = rows[0].version
             ledger.begin()
         else:
-            ledger.put([Row(n, 1, version, "p", f"e{version}") for n in range(4)])
+            ledger.put([SliceRecord(n, 1, version, "p", f"e{version}") for n in range(4)])
             acked = version
     assert {row.version for row in SimLedger(disk, 4).load()} == {acked}
 
@@ -274,7 +274,7 @@
     ledger = SimLedger(disk, 2)
     disk.full = True
     with pytest.raises(sqlite3.OperationalError):
-        ledger.put([Row(0, 1)])
+        ledger.put([SliceRecord(0, 1)])
     disk.full, disk.unreadable = False, True
     with pytest.raises(Damaged):
         ledger.load()
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -8,14 +8,14 @@
 import pytest
 
 from cedarshift.codec.messages import Level
-from cedarshift.judge.charge import Charge, Row
+from cedarshift.judge.charge import SliceAssignment, SliceRecord
 from cedarshift.store.ledger import Damaged, Ledger, restore
 
 LEASE, TAKEOVER, BACK = 2_000_000, 500_000, 3_000_000
 
 
 def charge(slices=4, pilots=("p0", "p1"), now=0, **rows):
-    return Charge([Row(n) for n in range(slices)], list(pilots), LEASE, TAKEOVER, BACK, now)
+    return SliceAssignment([SliceRecord(n) for n in range(slices)], list(pilots), LEASE, TAKEOVER, BACK, now)
 
 
 def holders(c):
@@ -70,7 +70,14 @@
 
 
 def test_after_a_restart_of_the_store_sessions_may_still_stand_for_a_lease():
-    c = Charge([Row(0, 4, 1, "p0", "a"), Row(1, 4, 1, "p1", "b")], ["p0", "p1"], LEASE, TAKEOVER, BACK, 0)
+    c = SliceAssignment(
+        [SliceRecord(0, 4, 1, "p0", "a"), SliceRecord(1, 4, 1, "p1", "b")],
+        ["p0", "p1"],
+        LEASE,
+        TAKEOVER,
+        BACK,
+        0,
+    )
     c.open(10, "p1")
     assert [r.slice for r in c.step(10).given["p1"]] == [1]
     c.renew(LEASE - 1, "p1", 1)
@@ -118,9 +125,9 @@
 def test_a_ledger_keeps_what_it_was_told(tmp_path):
     path = str(tmp_path / "s.db")
     ledger = Ledger(path, "d", 3)
-    ledger.put([Row(1, 5, 6, "p0", "a", [Level(1, 2, 0.5)])])
+    ledger.put([SliceRecord(1, 5, 6, "p0", "a", [Level(1, 2, 0.5)])])
     ledger.close()
-    assert Ledger(path, "d", 3).load()[1] == Row(1, 5, 6, "p0", "a", [Level(1, 2, 0.5)])
+    assert Ledger(path, "d", 3).load()[1] == SliceRecord(1, 5, 6, "p0", "a", [Level(1, 2, 0.5)])
 
 
 @pytest.mark.parametrize(
@@ -141,7 +148,7 @@
 def test_a_damaged_file_is_refused_with_its_name_and_a_way_back(tmp_path, spoil, reason):
     path = tmp_path / "s.db"
     ledger = Ledger(str(path), "d", 3)
-    ledger.put([Row(1, 5, 6, "p0", "a")])
+    ledger.put([SliceRecord(1, 5, 6, "p0", "a")])
     ledger.close()
     spoil(path)
     with pytest.raises(Damaged, match=reason) as found:
@@ -159,9 +166,9 @@
 def test_a_restored_backup_names_no_owner_and_its_epochs_lie_ahead(tmp_path):
     path, copy = str(tmp_path / "s.db"), str(tmp_path / "copy.db")
     ledger = Ledger(path, "d", 2)
-    ledger.put([Row(0, 5, 6, "p0", "a")])
+    ledger.put([SliceRecord(0, 5, 6, "p0", "a")])
     ledger.backup(copy)
-    ledger.put([Row(0, 9, 20, "p1", "b")])
+    ledger.put([SliceRecord(0, 9, 20, "p1", "b")])
     ledger.close()
     restore(path, copy, "d", 2)
     row = Ledger(path, "d", 2).load()[0]
@@ -171,11 +178,11 @@
 
 WRITER = """
 import sys
-from cedarshift.judge.charge import Row
+from cedarshift.judge.charge import SliceRecord
 from cedarshift.store.ledger import Ledger
 ledger = Ledger(sys.argv[1], "d", 50)
 for n in range(1, 100000):
-    ledger.put([Row(s, n, n, "p0", f"owner-{n}") for s in range(50)])
+    ledger.put([SliceRecord(s, n, n, "p0", f"owner-{n}") for s in range(50)])
     print(n, flush=True)
 """
 
@@ -200,7 +207,7 @@
     given = []
     for lost in (False, True):
         ledger = Ledger(str(tmp_path / "store.db"), "d", 2)
-        charge = Charge(ledger.load(), ["p0"], 2_000_000, 0, 0, 0, ledger.begin())
+        charge = SliceAssignment(ledger.load(), ["p0"], 2_000_000, 0, 0, 0, ledger.begin())
         charge.open(0, "p0")
         step = charge.step(0)
         given.append([row.epoch for row in step.changed])
@@ -208,7 +215,7 @@
             ledger.put(step.changed)
         ledger.close()
     ledger = Ledger(str(tmp_path / "store.db"), "d", 2)
-    charge = Charge(ledger.load(), ["p0"], 2_000_000, 0, 0, 0, ledger.begin())
+    charge = SliceAssignment(ledger.load(), ["p0"], 2_000_000, 0, 0, 0, ledger.begin())
     charge.open(0, "p0")
     given.append([row.epoch for row in charge.step(0).changed])
     ledger.close()
@@ -229,7 +236,9 @@
 
 def test_a_new_session_of_a_pilot_hands_none_of_its_slices_to_others_before_it_has_heard():
     """p0 looks after p1's slices; both connect anew after the store's restart, p1 first. p0's former session may still stand."""
-    c = Charge([Row(n, 1, 1, "p0", "e") for n in range(4)], ["p0", "p1"], LEASE, TAKEOVER, BACK, 0)
+    c = SliceAssignment(
+        [SliceRecord(n, 1, 1, "p0", "e") for n in range(4)], ["p0", "p1"], LEASE, TAKEOVER, BACK, 0
+    )
     c.open(10, "p1")
     c.open(20, "p0")
     step = c.step(20)
--- a/tests/test_store_faults.py
+++ b/tests/test_store_faults.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from cedarshift.judge.charge import Row
+from cedarshift.judge.charge import SliceRecord
 from cedarshift.store.ledger import Ledger
 
 
@@ -29,8 +29,8 @@
     ledger.db = RefusingCommits(ledger.db, 2)
     for _ in range(2):
         with pytest.raises(sqlite3.OperationalError, match="full"):
-            ledger.put([Row(0, 1, 1, "p0", "a")])
+            ledger.put([SliceRecord(0, 1, 1, "p0", "a")])
     assert ledger.load()[0].owner == ""  # none of it is kept
-    ledger.put([Row(0, 2, 2, "p0", "b")])
+    ledger.put([SliceRecord(0, 2, 2, "p0", "b")])
     ledger.close()
     assert Ledger(str(tmp_path / "store.db"), "trial", 2).load()[0].owner == "b"
--- a/tests/test_trust.py
+++ b/tests/test_trust.py
@@ -7,24 +7,24 @@
 from hypothesis import strategies as st
 
 from cedarshift.judge import trust as tr
-from cedarshift.judge.trust import Ill, Lender, Own, Trust, Word
+from cedarshift.judge.trust import BorrowedFacts, Lender, OwnEntry, PhaseReport, SicknessReport
 
 S = 1_000_000
 NOW = 1_000 * S
 
 
 def word(phase="on", rev=5, age=1.0, start="1", hops=1, origin="p1#a"):
-    return Word(rev, NOW - int(age * S), phase != "on", phase, start, hops, origin)
+    return PhaseReport(rev, NOW - int(age * S), phase != "on", phase, start, hops, origin)
 
 
 def own(phase="on", rev=4, source="list", confirmed=0.5, start="1", started=None):
-    return Own(phase, start, started, rev, source, NOW - int(confirmed * S))
+    return OwnEntry(phase, start, started, rev, source, NOW - int(confirmed * S))
 
 
 def trust(*words, source="list"):
-    t = Trust()
+    t = BorrowedFacts()
     for w in words:
-        t.hear_phase("e", source, w)
+        t.merge_phase("e", source, w)
     return t
 
 
@@ -76,24 +76,24 @@
 
 def test_an_unsound_lenders_good_news_counts_half_and_its_bad_news_in_full():
     t = trust(word("on", age=1))
-    t.vouch("p1#a", Lender("p1#a", NOW - 20 * S, True).soundness(NOW))
+    t.set_soundness("p1#a", Lender("p1#a", NOW - 20 * S, True).soundness(NOW))
     assert t.offered(NOW) == {}
     t = trust(word("fading", age=1))
-    t.vouch("p1#a", tr.UNSOUND_SHARE)
+    t.set_soundness("p1#a", tr.UNSOUND_FACTOR)
     assert t.warning("e", None, NOW) is not None
 
 
 def test_a_lender_is_believed_by_its_ages_and_not_by_what_it_claims():
     assert Lender("p1#a", NOW - S, True).soundness(NOW) == 1.0
-    assert Lender("p1#a", NOW - 7 * S, True).soundness(NOW) == tr.UNSOUND_SHARE
-    assert Lender("p1#a", NOW, False).soundness(NOW) == tr.UNSOUND_SHARE
+    assert Lender("p1#a", NOW - 7 * S, True).soundness(NOW) == tr.UNSOUND_FACTOR
+    assert Lender("p1#a", NOW, False).soundness(NOW) == tr.UNSOUND_FACTOR
 
 
 @pytest.mark.parametrize("count, warned", [(3, 3), (4, 0)])
 def test_lenders_do_not_talk_a_pilot_out_of_most_of_its_fleet(count, warned):
-    t, mine = Trust(), {f"e{n}": own() for n in range(10)}
+    t, mine = BorrowedFacts(), {f"e{n}": own() for n in range(10)}
     for n in range(count):
-        t.hear_phase(f"e{n}", "list", word("off"))
+        t.merge_phase(f"e{n}", "list", word("off"))
     assert len(t.warnings(mine, NOW)) == warned
 
 
@@ -103,27 +103,27 @@
 def test_a_cold_start_is_borrowed_for_the_process_that_is_listed_and_only_where_nothing_is_known(
     entry, started
 ):
-    t = Trust()
-    t.hear_start("e", "1", NOW - 3 * S)
+    t = BorrowedFacts()
+    t.merge_start("e", "1", NOW - 3 * S)
     assert t.started("e", entry, NOW, 15 * S) == started
     assert t.started("e", entry, NOW + 13 * S, 15 * S) is None
 
 
 def test_a_borrowed_sickness_ends_by_itself():
-    t = Trust()
-    t.hear_sick("e", Ill(NOW + 9 * S, NOW, 1, "p1#a"))
+    t = BorrowedFacts()
+    t.merge_sickness("e", SicknessReport(NOW + 9 * S, NOW, 1, "p1#a"))
     assert t.sick_until("e", NOW) == NOW + 9 * S and t.sick_until("e", NOW + 9 * S) == 0
 
 
 def test_a_stated_age_counts_from_the_asking_and_a_slow_clock_is_allowed_for():
-    assert tr.heard_at(NOW, 10 * S) == NOW - 10 * S - S // 10
+    assert tr.oldest_heard_at(NOW, 10 * S) == NOW - 10 * S - S // 10
 
 
 NEWS = st.builds(
     lambda name, source, rev, age, phase, start, hops: (
         name,
         source,
-        Word(rev, NOW - age * S, phase != "on", phase, start, hops, "o"),
+        PhaseReport(rev, NOW - age * S, phase != "on", phase, start, hops, "o"),
     ),
     st.sampled_from("abcd"),
     st.sampled_from(["l1", "l2"]),
@@ -136,9 +136,9 @@
 
 
 def state(news):
-    t = Trust()
+    t = BorrowedFacts()
     for name, source, w in news:
-        t.hear_phase(name, source, w)
+        t.merge_phase(name, source, w)
     return t.good, t.bad
 
 
@@ -149,34 +149,34 @@
     random.Random(seed).shuffle(shuffled)
     assert state(shuffled) == state(news)
     good, bad = state(news[:cut]), state(news[cut:])
-    joined = Trust()
+    joined = BorrowedFacts()
     for kept in (bad[0], bad[1], good[0], good[1]):
         for (name, source), w in kept.items():
-            joined.hear_phase(name, source, w)
+            joined.merge_phase(name, source, w)
     assert (joined.good, joined.bad) == state(news)
 
 
 @settings(max_examples=400, deadline=None, derandomize=True)
 @given(st.lists(NEWS, max_size=12))
 def test_nothing_is_offered_that_fresher_news_called_bad(news):
-    t = Trust()
+    t = BorrowedFacts()
     for name, source, w in news:
-        t.hear_phase(name, source, w)
+        t.merge_phase(name, source, w)
     for name in t.offered(NOW):
         for source in ("l1", "l2"):
             said = [w for n, s, w in news if (n, s) == (name, source)]
             newest = max(said, key=lambda w: (w.rev, w.heard, w.bad), default=None)
             if newest is not None and newest.bad:
-                assert t.bad_weight(newest, NOW) < tr.USE_BAD, (name, source, newest)
+                assert t.bad_weight(newest, NOW) < tr.MIN_BAD_WEIGHT, (name, source, newest)
 
 
 @settings(max_examples=200, deadline=None, derandomize=True)
 @given(st.lists(NEWS, max_size=10), st.integers(0, 6), st.integers(0, 40))
 def test_no_warning_survives_a_list_of_ones_own_that_has_seen_as_much(news, rev, age):
-    t = Trust()
+    t = BorrowedFacts()
     for name, source, w in news:
-        t.hear_phase(name, source, w)
-    mine = Own("on", "1", None, rev, "l1", NOW - age * S)
+        t.merge_phase(name, source, w)
+    mine = OwnEntry("on", "1", None, rev, "l1", NOW - age * S)
     for name in "abcd":
         found = t.warning(name, mine, NOW)
         if found is not None:
@@ -193,20 +193,20 @@
         clock += lies
         stated = clock - heard  # at the lender, when it answers
         asked = clock - takes // 2  # the borrower asked before that
-        heard = min(heard, tr.heard_at(asked, stated))
+        heard = min(heard, tr.oldest_heard_at(asked, stated))
         clock += takes
         assert heard <= truth
 
 
 @pytest.mark.parametrize("received, age, latest", [(100 * S, 10 * S, 90.1 * S), (100 * S, 0, 100 * S)])
 def test_a_process_is_taken_for_as_young_as_its_stated_age_allows(received, age, latest):
-    assert tr.started_by(received, age) == latest
+    assert tr.latest_start(received, age) == latest
 
 
 def test_of_several_bounds_on_one_start_the_earliest_stands_and_another_process_has_its_own():
-    t = Trust()
+    t = BorrowedFacts()
     for process, latest in (("1", NOW - 3 * S), ("1", NOW - 4 * S), ("1", NOW - 2 * S), ("2", NOW - S)):
-        t.hear_start("e", process, latest)
+        t.merge_start("e", process, latest)
     assert (
         t.started("e", own(), NOW, 15 * S) == NOW - 4 * S
         and t.started("e", own(start="2"), NOW, 15 * S) == NOW - S
--- a/tests/test_zookeeper.py
+++ b/tests/test_zookeeper.py
@@ -785,7 +785,7 @@
             late.extend(
                 name
                 for name, one in zoo.source.judge.gone.items()
-                if now > one.until + 10_000 and name not in zoo.source.judge.doubted
+                if now > one.until + 10_000 and name not in zoo.source.judge.retained
             )
             if serving and not zoo.on() and not any(zoo.listed[n].phase == "fading" for n in serving):
                 empty.append((now, serving))
