--- a/cedarshift/judge/__init__.py
+++ b/cedarshift/judge/__init__.py
@@ -1,1 +1,3 @@
-"""Decisions of the subsystems around the pilot's module: no I/O, and no clock but the time passed in."""
+"""Decision logic of the subsystems: pure state machines without I/O that read no clock; every call gets the
+time.
+"""
--- a/cedarshift/judge/admission.py
+++ b/cedarshift/judge/admission.py
@@ -1,18 +1,18 @@
-"""Who may join now, where many come at once: the ones already known before the new ones, and a time for each to come back. No I/O.
+"""Admission control for joining peers: a token bucket with a share reserved for known peers. No I/O.
 
-A token bucket (burst, rate) of which newcomers leave a part to those that were joined lately: their leases run. Who finds none is told
-when its turn is; turns are handed out one after another, so that those who were sent away do not come back together.
+A peer that gets no token is given the time until its slot. Slots are handed out one after another, so that
+deferred peers do not return all at once.
 """
 
 from __future__ import annotations
 
-RESERVED_SHARE = 0.25  # of the burst that newcomers leave alone
-MAX_DELAY_US = 5_000_000  # us; who is sent away for longer may as well ask again
+RESERVED_SHARE = 0.25  # of the burst, for peers that are already known
+MAX_DELAY_US = 5_000_000  # a peer deferred for longer asks again
 US_PER_SECOND = 1_000_000
 
 
 class JoinLimiter:
-    """`rate` a second with `burst` at once."""
+    """Token bucket that admits `rate` joins a second and up to `burst` at once. Times are microseconds."""
 
     def __init__(self, rate: float, burst: float, now: int) -> None:
         assert rate > 0 and burst >= 1
@@ -20,11 +20,13 @@
         self.burst = burst
         self.tokens = burst
         self.updated_at = now
-        self.next_slot_at = now  # when the last one that was sent away is to be back
+        self.next_slot_at = now  # when the newest deferred peer is due back
         self.deferred = 0
 
     def ask(self, now: int, known: bool = False) -> int:
-        """0: may join now. Otherwise us until its turn."""
+        """Return 0 if the peer may join now, otherwise the microseconds until its slot. `known` peers may use
+        the reserved share.
+        """
         self.tokens = min(self.burst, self.tokens + (now - self.updated_at) * self.rate / US_PER_SECOND)
         self.updated_at = now
         floor = 0.0 if known else RESERVED_SHARE * self.burst
--- a/cedarshift/judge/budgets.py
+++ b/cedarshift/judge/budgets.py
@@ -1,16 +1,19 @@
-"""Budgets of a whole fleet as leased shares: who may spend how much, until when. No I/O; times are whole microseconds.
-
-A budget is one whole, in parts. A *giver* divides it among *holders*: a right to so many parts until an end that the holder
-counts from its asking, shortened by the clock drift, and the giver from its giving. What was given and is not known to be
-over counts as in force; so at no instant is the sum of what all may spend above the whole, whatever is lost, late, doubled,
-killed, stopped or restored. A pilot is holder to the store and giver to its proxies, by the same two classes.
-
-Rights of one holder's life and budget are numbered and replace each other. A holder that says "I hold number n" will never
-spend on an older one again, so a shrink is in force at the giver once its number is claimed, or the larger one has ended.
-After a start a giver can't know what its former life, or a lost write, had given: for one longest lease it gives nothing
-new and prolongs only what a holder presents as in force, which was part of the whole when the giver began.
-
-Fairness is weighted max-min on integers: Bertsekas and Gallager, Data Networks, section 6.5 (progressive filling).
+"""Fleet-wide budgets, divided into leased shares: who may spend how much, until when. No I/O; times are
+microseconds.
+
+A *grantor* divides a budget's capacity among *holders*. A holder counts the end of its share from its
+request, shortened by the clock drift; the grantor counts from the grant. A grant not known to be over counts
+as in force, so the sum of all that may be spent never exceeds the capacity, whatever messages are lost, late
+or duplicated and whatever processes are killed, suspended or restored. A pilot is a holder towards the store
+and a grantor towards its proxies, by the same two classes.
+
+Grants of one holder life and budget are numbered and replace each other. A holder that claims number n never
+again spends on an older one, so a shrink takes effect at the grantor once its number is claimed or the larger
+grant has ended. A grantor that starts cannot know what an earlier life, or a lost write, had granted: for one
+longest lease it grants nothing new and renews only what holders present as in force.
+
+Fairness is weighted max-min on integers: Bertsekas and Gallager, Data Networks, section 6.5 (progressive
+filling).
 """
 
 from __future__ import annotations
@@ -20,24 +23,19 @@
 from collections import deque
 from typing import Callable, Iterable, Mapping, NamedTuple, Optional
 
-# Constants: unit, then the reason for the size.
-ASKS_PER_LEASE = 4  # asks in a lease, so that three may be lost
-MIN_ASK_INTERVAL_US = 200_000  # us between two asks of one holder: a thousand proxies are heard by one pilot
-MIN_CHANGE_SHARE = (
-    0.04  # of a share; a target that differs by less moves nothing: it would be paid for by a shrink first
-)
-MAX_ACCOUNTS_PER_ASK = 64  # accounts; with more, targets are worked out now and then: a pilot hears each of a thousand proxies often
+ASKS_PER_LEASE = 4  # so that three may be lost
+MIN_ASK_INTERVAL_US = 200_000  # per holder; bounds the load of a thousand proxies on a pilot
+MIN_CHANGE_SHARE = 0.04  # smaller changes of a target are not worth a shrink
+MAX_ACCOUNTS_PER_ASK = 64  # with more accounts, targets are not computed at every ask
 TARGET_UPDATES_PER_LEASE = 16
-ROTATION_LEASES = 8  # leases between two turns of those for whom there is one token too few
-MAX_DEPARTED_LIVES = 1_000  # lives that have left; their last words are seconds late at most
-MAX_UNCLAIMED_GRANTS = (
-    24  # of one life and budget that nobody has claimed; a holder that asks on without claiming gets no more
-)
+ROTATION_LEASES = 8  # leases after which leftover tokens go to other holders
+MAX_DEPARTED_LIVES = 1_000  # departed lives whose late asks are still ignored
+MAX_UNCLAIMED_GRANTS = 24  # of one life and budget; a holder with more gets no further one
 FOREVER = 1 << 62  # us
 
 
 class InvalidBudget(ValueError):
-    """A plan that can't hold. `budget` is the one to blame; the text says why."""
+    """Budgets that are inconsistent; `budget` names the one to blame."""
 
     def __init__(self, budget: str, what: str) -> None:
         super().__init__(what)
@@ -45,8 +43,10 @@
 
 
 class Budget(NamedTuple):
-    """`whole` in parts. `floor`: parts that each configured holder has without asking. `within`: the budget that it draws on;
-    among those that draw on one, a lower `priority` is filled first, equal ones by `weight`."""
+    """A configured budget. `capacity` in parts; `floor`: parts that each configured holder has without
+    asking; `within`: the parent budget. Among the children of one budget a lower `priority` is served first,
+    equal ones by `weight`.
+    """
 
     name: str
     capacity: int
@@ -57,19 +57,21 @@
 
 
 class ShareRequest(NamedTuple):
-    """What a holder asks: parts that it could use; the newest number that it holds or, while more is bound below, a lower one,
-    and how much of that stands; and the newest number that it ever took."""
+    """What a holder asks for: the parts that it could use (`demand`); the newest grant that it holds or,
+    while more is spent below, an older one, with the amount in force; and the newest number that it ever
+    took.
+    """
 
     budget: str
     demand: int
     number: int = 0
     amount: int = 0
     newest: int = 0
-    weight: int = 1  # how many spend below: a pilot of many proxies is more than one of few
+    weight: int = 1  # number of spenders below
 
 
 class Share(NamedTuple):
-    """`span` (us) counts from the asking."""
+    """A granted share; `duration` (us) counts from the request."""
 
     budget: str
     number: int
@@ -78,7 +80,7 @@
 
 
 class Row(NamedTuple):
-    """A right as it is kept durably before it is told."""
+    """A grant as it is stored durably before the holder is told."""
 
     budget: str
     holder: str
@@ -94,15 +96,15 @@
 def max_min_shares(
     capacity: int, wants: Mapping[str, int], weights: Optional[Mapping[str, int]] = None, rotation: int = 0
 ) -> dict[str, int]:
-    """Weighted max-min of `whole` among `wants`, in whole parts; the sum is the lesser of `whole` and of all wants.
+    """Weighted max-min division of `capacity` among `wants`, in integers; the sum is the lesser of the
+    capacity and of all wants.
 
-    Single parts that are left over go by name, beginning anew with each `turn`; so the answer is the same everywhere."""
+    Leftover parts go by name, starting at `rotation`, so the result is deterministic.
+    """
     weight_of = weights or {}
     given = dict.fromkeys(wants, 0)
     left, weight = max(0, capacity), sum(weight_of.get(name, 1) for name, want in wants.items() if want > 0)
-    scale = math.lcm(
-        *set(weight_of.values())
-    )  # whole numbers: a thousand fractions took half the time of a division
+    scale = math.lcm(*set(weight_of.values()))  # integers are faster than fractions
     unfilled = sorted(
         (name for name, want in wants.items() if want > 0),
         key=lambda n: (wants[n] * (scale // weight_of.get(n, 1)), n),
@@ -124,7 +126,7 @@
 
 
 class Plan:
-    """The budgets as a tree, checked. `holders`: how many there are to have a floor each. Raises Refusal."""
+    """The validated tree of budgets. `holders`: how many there are with a floor each. Raises InvalidBudget."""
 
     def __init__(self, budgets: Iterable[Budget], holders: int) -> None:
         self.budgets = {budget.name: budget for budget in budgets}
@@ -143,7 +145,7 @@
             self._check(budget)
 
     def _ancestry(self, name: str) -> list[str]:
-        """The budget and all that it draws on, itself first."""
+        """Return the budget and its ancestors, itself first."""
         path = [name]
         while ancestors := self.budgets[path[-1]].within:
             if ancestors in path:
@@ -152,16 +154,19 @@
         return path
 
     def _floors(self, name: str) -> int:
-        """Parts below a budget that are set aside as floors."""
+        """Return the parts below a budget that are reserved as floors."""
         if name in self.children:
             return sum(self._floors(child) for child in self.children[name])
         return self.budgets[name].floor * self.holders
 
     def _check(self, budget: Budget) -> None:
+        """Raise InvalidBudget if a budget is inconsistent."""
         if budget.capacity < 1:
-            raise InvalidBudget(budget.name, f"a whole of {budget.capacity} parts leaves nothing to divide")
+            raise InvalidBudget(
+                budget.name, f"a capacity of {budget.capacity} parts leaves nothing to divide"
+            )
         if budget.weight < 1:
-            raise InvalidBudget(budget.name, f"weight {budget.weight}, 1 at least")
+            raise InvalidBudget(budget.name, f"weight {budget.weight} is below 1")
         if budget.name in self.children and budget.floor:
             raise InvalidBudget(
                 budget.name,
@@ -171,17 +176,17 @@
             raise InvalidBudget(
                 budget.name,
                 f"floors of {self.holders} holders sum to {self.floors[budget.name]} parts, "
-                f"the whole is {budget.capacity}",
+                f"the capacity is {budget.capacity}",
             )
         if budget.within and budget.capacity > self.budgets[budget.within].capacity:
             raise InvalidBudget(
                 budget.name,
-                f"its whole of {budget.capacity} parts is over that of {budget.within!r}, "
+                f"its capacity of {budget.capacity} parts is over that of {budget.within!r}, "
                 f"{self.budgets[budget.within].capacity}",
             )
 
     def leasable(self, name: str) -> int:
-        """What may be given beyond floors."""
+        """Return the parts that may be granted beyond floors."""
         return self.budgets[name].capacity - self.floors[name]
 
     def targets(
@@ -191,8 +196,9 @@
         rotation: int = 0,
         weights: Optional[Mapping[str, int]] = None,
     ) -> dict[str, dict[str, int]]:
-        """Who should have what: by leaf, then holder. `demands`: the same, beyond floors. `wholes`: of the roots, beyond floors.
-        `weights`: of holders."""
+        """Return who should have what, by leaf and holder, beyond floors. `demands`: by leaf and holder;
+        `wholes`: capacities of the roots; `weights`: of holders.
+        """
         found: dict[str, dict[str, int]] = {}
         for root in self.roots:
             self._fill(
@@ -201,6 +207,7 @@
         return found
 
     def _wanted(self, name: str, demands: Mapping[str, Mapping[str, int]]) -> int:
+        """Return the demand below a budget, up to its capacity."""
         if name in self.children:
             return min(
                 self.leasable(name), sum(self._wanted(child, demands) for child in self.children[name])
@@ -216,6 +223,7 @@
         weights: Optional[Mapping[str, int]],
         found: dict[str, dict[str, int]],
     ) -> None:
+        """Divide `given` parts among the children of a budget, by priority and weight."""
         if name not in self.children:
             found[name] = max_min_shares(given, demands.get(name, {}), weights, rotation)
             return
@@ -233,13 +241,15 @@
             left -= sum(parts.values())
 
 
-# ---- giving
+# ---- granting
 
 
 class Grant(NamedTuple):
+    """A granted amount, until it ends."""
+
     number: int
     amount: int
-    until: int  # by the giver's clock
+    until: int  # us, grantor's clock
 
 
 class Account:
@@ -247,19 +257,20 @@
 
     def __init__(self, heard: int) -> None:
         self.grants: list[Grant] = []
-        self.number = 0  # the highest that is known
+        self.number = 0  # the highest known
         self.demand = 0
         self.weight = 1
         self.heard = heard
-        self.counted = 0  # of it in the sum of its budget
-        self.kept: Optional[tuple[int, int]] = None  # amount and span as the durable row has them
+        self.counted = 0  # its part of the budget's sum
+        self.kept: Optional[tuple[int, int]] = None  # amount and duration of the durable row
 
     def in_force(self, now: int) -> int:
+        """Return the largest amount that may still be in use."""
         return max((right.amount for right in self.grants if right.until > now), default=0)
 
 
 class Pool(NamedTuple):
-    """What a giver has to give of a root now: `amount` until `until`, of which `lasting` has no end."""
+    """What a grantor may grant of a root now: `amount` until `until`, of which `permanent` has no end."""
 
     amount: int
     until: int
@@ -270,8 +281,10 @@
 
 
 class Grantor:
-    """`lease` in us; `era` names this life of the giver: what holders say under another one is not taken. `pool(now, root)`:
-    where the whole is itself a right. `longest`: the longest span that a former life may have given."""
+    """`lease` in microseconds; `era` identifies this life of the grantor: asks under another one are not
+    taken. `pool(now, root)`: set where the capacity is itself a share. `longest`: the longest lease that an
+    earlier life may have granted.
+    """
 
     def __init__(
         self,
@@ -283,21 +296,19 @@
         longest: int = 0,
         pool: Optional[Callable[[int, str], Pool]] = None,
     ) -> None:
-        assert lease > 0, "a right without an end could never be divided anew"
+        assert lease > 0, "the lease must be positive"
         self.plan = plan
         self.lease = lease
         self.era = era
         self.pool = pool
         self.accounts: dict[Key, Account] = {}
         self.sums = dict.fromkeys(plan.leaves, 0)  # parts in force
-        self.ends: list[tuple[int, Key]] = []  # when rights end
-        self.heard: dict[
-            tuple[str, int], int
-        ] = {}  # the newest ask of each life: late and doubled ones are passed over
+        self.ends: list[tuple[int, Key]] = []  # when grants end
+        self.heard: dict[tuple[str, int], int] = {}  # newest ask of each life; older ones are ignored
         self.left: deque[tuple[str, int]] = deque()
-        self.target_shares: dict[str, dict[str, int]] = {}  # targets, worked out at `wished_at`
+        self.target_shares: dict[str, dict[str, int]] = {}  # computed at `targets_at`
         self.targets_at = -FOREVER
-        self.suspicions: dict[str, set[str]] = {}  # who holds whom for dead
+        self.suspicions: dict[str, set[str]] = {}  # holder -> pilots that it considers dead
         self.counts = {"asks": 0, "other_era": 0, "late": 0, "stray": 0, "grants": 0, "grown": 0, "shrunk": 0}
         kept = list(rows)
         self.recovery_until = now + max([lease, longest, *(row.duration for row in kept)])
@@ -310,7 +321,7 @@
                     now, (row.budget, row.holder, row.life), Grant(row.number, row.amount, now + row.duration)
                 )
 
-    # ---- what is in force
+    # ---- grants in force
 
     def _add(self, now: int, key: Key, right: Grant) -> None:
         self.accounts[key].grants.append(right)
@@ -324,6 +335,7 @@
         account.counted = counted
 
     def _expire(self, now: int) -> None:
+        """Drop grants that have ended and accounts that have long been silent."""
         while self.ends and self.ends[0][0] <= now:
             _, key = heapq.heappop(self.ends)
             account = self.accounts.get(key)
@@ -340,7 +352,7 @@
             self.heard.pop(life, None)
 
     def in_force(self, now: int, budget: str, excluding: Optional[Key] = None) -> int:
-        """Parts of a budget, or of all that draw on it, that somebody may spend, floors aside."""
+        """Return the parts of a budget and its descendants that may be spent, floors aside."""
         self._expire(now)
         total = sum(self.sums[leaf] for leaf in self.plan.leaves if budget in self.plan.ancestors[leaf])
         return total - (self.accounts[excluding].counted if excluding is not None else 0)
@@ -351,7 +363,7 @@
         return Pool(self.plan.leasable(root), FOREVER, self.plan.leasable(root))
 
     def _available(self, now: int, key: Key) -> int:
-        """What this account may have at most, so that no whole above it is passed."""
+        """Return what this account may have at most, within all capacities above it."""
         room = FOREVER
         for name in self.plan.ancestors[key[0]]:
             capacity = self.plan.leasable(name)
@@ -361,7 +373,7 @@
         return max(0, room)
 
     def recovering(self, now: int) -> bool:
-        """Whether nothing new may be given yet."""
+        """Whether nothing new may be granted yet after the start."""
         return now < self.recovery_until
 
     # ---- asking
@@ -376,8 +388,12 @@
         wants: Iterable[ShareRequest],
         suspected: Iterable[str] = (),
     ) -> tuple[list[Share], list[Row]]:
-        """What the holder gets, and the rows that must be kept before it is told. `number` grows from ask to ask of a life.
-        Nothing for words of another era: the answer tells this one, and what is in force is presented anew."""
+        """Return the holder's shares, and the rows to store before it is told. `number` grows with each ask
+        of a life.
+
+        An ask of another era gets nothing: the answer states the present era, and the holder then presents
+        what is in force.
+        """
         self.counts["asks"] += 1
         if era != self.era:
             self.counts["other_era"] += 1
@@ -402,13 +418,13 @@
         return shares, rows
 
     def leave(self, now: int, holder: str, life: int) -> list[Key]:
-        """A life says that it spends no more, and takes no answer any more: all that it held is free. What rows are void."""
+        """Release all that a life holds, as it spends no more; return the keys of its void rows."""
         gone = [key for key in self.accounts if key[1:] == (holder, life)]
         for key in gone:
             self.accounts[key].grants.clear()
             self._recount(now, key)
             del self.accounts[key]
-        self.heard[holder, life] = FOREVER  # what it asked before and comes late brings nothing back
+        self.heard[holder, life] = FOREVER  # late asks are ignored
         self.left.append((holder, life))
         if len(self.left) > MAX_DEPARTED_LIVES:
             self.heard.pop(self.left.popleft(), None)
@@ -416,7 +432,7 @@
         return gone
 
     def _apply_claim(self, now: int, key: Key, want: ShareRequest) -> int:
-        """Takes a holder's word for what it holds; returns how much of it stands."""
+        """Apply a holder's claim of what it holds; return how much of it is in force."""
         account = self.accounts.get(key)
         if account is None:
             account = self.accounts[key] = Account(now)
@@ -427,9 +443,7 @@
         account.number = max(account.number, want.number, want.newest)
         known = max((right.amount for right in account.grants if right.number == want.number), default=0)
         if want.amount > known:
-            if self.recovering(
-                now
-            ):  # told by a former life of the giver: part of the whole then, so it may stand
+            if self.recovering(now):  # granted by an earlier life of the grantor, within the capacity then
                 self._add(now, key, Grant(want.number, want.amount, now + self.lease))
             else:
                 self.counts["stray"] += 1
@@ -442,7 +456,7 @@
         return max((right.amount for right in account.grants if right.number == want.number), default=0)
 
     def _update_targets(self, now: int) -> None:
-        """Works out who should have what, now and then where there are many."""
+        """Compute who should have what; not at every ask if there are many accounts."""
         if (
             len(self.accounts) > MAX_ACCOUNTS_PER_ASK
             and now - self.targets_at < self.lease // TARGET_UPDATES_PER_LEASE
@@ -468,7 +482,9 @@
             self.suspicions.pop(holder, None)
 
     def _agreed_dead(self) -> set[str]:
-        """Whom more than half of those that ask hold for dead: its wishes count no longer. Its rights do, to their end."""
+        """Return the holders that more than half of those that ask consider dead. Their demand is ignored;
+        their grants stand until they end.
+        """
         if not self.suspicions:
             return set()
         asking = {holder for _, holder, _ in self.accounts}
@@ -478,6 +494,9 @@
     def _grant(
         self, now: int, key: Key, target: int, presented: int
     ) -> tuple[Optional[Share], Optional[Row]]:
+        """Grant what the account should have, as far as it is available; return the share, and the row to
+        store if it changed.
+        """
         account = self.accounts[key]
         if len(account.grants) >= MAX_UNCLAIMED_GRANTS:
             return None, None
@@ -501,7 +520,9 @@
         return Share(key[0], account.number, amount, duration), row
 
     def _span(self, now: int, key: Key, amount: int) -> int:
-        """A right ends no later than what it is made of; the part that lasts is given for a whole lease."""
+        """Return the duration of a grant (us): it ends no later than what it is made of; the permanent part
+        is granted for a whole lease.
+        """
         root = self.plan.ancestors[key[0]][-1]
         pool = self._pool(now, root)
         if self.in_force(now, root, key) + amount <= pool.permanent:
@@ -509,7 +530,7 @@
         return min(self.lease, pool.until - now)
 
     def shown(self, now: int) -> list[dict[str, object]]:
-        """For people: by budget the whole, what is set aside, what is given, and to whom."""
+        """Return each budget's capacity, reservations, grants and holders, for the status page."""
         found: list[dict[str, object]] = []
         for name, budget in self.plan.budgets.items():
             holders = [
@@ -544,14 +565,18 @@
 
 
 class HeldShare(NamedTuple):
+    """A share as its holder counts it."""
+
     number: int
     amount: int
-    until: int  # by the holder's clock
+    until: int  # us, holder's clock
 
 
 class Holder:
-    """One life's side. `drift`: how much faster one clock may run than another, as a part of 1; `bound(now, budget)`: parts that
-    are still spent below, floor included, where the holder hands on; the shrink is said only when they are back."""
+    """The holder's side, for one life. `drift`: by how much one clock may run faster than another, as a
+    fraction. `outstanding(now, budget)`: parts still spent below, floor included; a shrink is claimed only
+    when they are back.
+    """
 
     def __init__(
         self,
@@ -567,34 +592,38 @@
         self.era = 0
         self.taken: dict[str, list[HeldShare]] = {
             name: [] for name in floors
-        }  # newest last; older ones only while they bind
-        self.asked: dict[int, int] = {}  # ask's number -> when
+        }  # newest last; older ones only while they are spent below
+        self.asked: dict[int, int] = {}  # ask number -> when
         self.last_number = 0
 
     def joined(self, era: int) -> None:
-        """The giver's present life. What another one had told is kept to its end; its late answers are not taken."""
+        """Set the grantor's present life. Shares of an earlier one are kept to their end; its late answers
+        are ignored.
+        """
         if era != self.era:
             self.era = era
             self.asked.clear()
 
     def lost(self) -> None:
-        """No answer to what was asked counts any more: it may have been asked on a stream that is gone."""
+        """Ignore the answers to all earlier asks: the stream may be gone."""
         self.asked.clear()
 
     def amount(self, now: int, budget: str) -> int:
-        """Parts beyond the floor that may be spent now."""
+        """Return the parts beyond the floor that may be spent now."""
         taken = self.taken[budget]
         return taken[-1].amount if taken and now < taken[-1].until else 0
 
     def right(self, now: int, budget: str) -> int:
+        """Return the parts that may be spent now, floor included."""
         return self.floors[budget] + self.amount(now, budget)
 
     def until(self, now: int, budget: str) -> int:
+        """Return when the present share ends (us)."""
         taken = self.taken[budget]
         return taken[-1].until if taken and now < taken[-1].until else now
 
     def ask(self, now: int, demands: Mapping[str, int], weight: int = 1) -> tuple[int, list[ShareRequest]]:
-        """The number under which it is asked, and what."""
+        """Return the number of the ask, and its requests."""
         self.last_number += 1
         self.asked[self.last_number] = now
         self.asked.pop(self.last_number - 64, None)
@@ -603,7 +632,7 @@
         ]
 
     def _request(self, now: int, name: str, demand: int) -> ShareRequest:
-        """Claims the newest right that covers what is bound below."""
+        """Claim the newest share that covers what is outstanding below."""
         taken = self.taken[name]
         outstanding = self.outstanding(now, name) if self.outstanding is not None else 0
         while len(taken) > 1 and (
@@ -618,7 +647,7 @@
         )
 
     def on_answer(self, now: int, number: int, era: int, shares: Iterable[Share]) -> bool:
-        """An answer; False where it is none to what was asked, or of another era."""
+        """Take in an answer; return False if it is none to an open ask of this era."""
         asked_at = self.asked.pop(number, None)
         if era != self.era or asked_at is None:
             return False
@@ -632,25 +661,24 @@
         return True
 
     def drop(self) -> None:
-        """Everything is given back or void, but for numbers: they never come again in this life."""
+        """Give up all shares. Numbers are kept: they never repeat within a life."""
         for taken in self.taken.values():
             if taken:
                 taken[:] = [HeldShare(taken[-1].number, 0, 0)]
 
 
-# ---- both at once
+# ---- holder and grantor
 
 
 class Hub:
-    """A pilot: holder to the store, giver to its proxies. What it hands on ends no later than its own right, and a
-    shrink is said above when what was handed on is back."""
+    """A pilot: holder towards the store, grantor towards its proxies. What it grants ends no later than its
+    own share, and a shrink is claimed above once what was granted below is back.
+    """
 
     def __init__(self, plan: Plan, life: int, drift: float, lease: int, now: int) -> None:
         floors = {leaf: plan.budgets[leaf].floor for leaf in plan.leaves}
         below = Plan([Budget(leaf, plan.budgets[leaf].capacity) for leaf in plan.leaves], 0)
-        self.held_locally: dict[
-            str, int
-        ] = {}  # of budgets that are held: what this pilot has under way itself
+        self.held_locally: dict[str, int] = {}  # parts that this pilot uses itself, by budget
         self.holder = Holder(floors, life, drift, self._outstanding)
         self.giver = Grantor(below, lease, life, now, pool=self._pool)
 
@@ -661,7 +689,7 @@
         return self.giver.in_force(now, leaf) + self.held_locally.get(leaf, 0)
 
     def demands(self, now: int) -> dict[str, int]:
-        """What all below ask for, by leaf."""
+        """Return what all proxies ask for, by leaf."""
         found = dict.fromkeys(self.holder.floors, 0)
         for (leaf, _, _), account in self.giver.accounts.items():
             if now - account.heard <= self.giver.lease:
--- a/cedarshift/judge/charge.py
+++ b/cedarshift/judge/charge.py
@@ -1,12 +1,14 @@
-"""Which pilot is in charge of which slice. No I/O; times are microseconds passed in.
+"""Assigns slices to pilots. No I/O; times are microseconds, passed in.
 
-Each slice has a home among the pilots. A pilot is in charge while its session lasts; a session ends `lease` after its
-last renewal was heard. A dead pilot's slices go to the live pilots by rendezvous, and back once their home has been
-alive for a while. Each giving has a new epoch, and an order under an older one is refused: that is the fence.
+Each slice has a home pilot. A pilot is in charge while its session lasts: until `lease` after its last
+renewal. The slices of a dead pilot are assigned to live ones by rendezvous hashing, and return once their
+home has been alive for a while. Each assignment has a new epoch, which serves as fencing token: orders under
+an older epoch are refused.
 
-A slice is taken from a live pilot in two steps. It is marked as leaving, from when on its orders are refused, and goes
-on only when that pilot has said that its proxies were told, or its session has ended. So a proxy's leave to write under
-the former pilot ends no later than one proxy lease after the giving, which the new pilot waits out.
+A slice is moved away from a live pilot in two steps. First it is marked as leaving, and its orders are
+refused; it is assigned anew only when that pilot confirms that its proxies were told, or its session ends. So
+a proxy's lease under the former pilot ends at most one proxy lease after the new assignment, which the new
+pilot waits out.
 """
 
 from __future__ import annotations
@@ -15,14 +17,12 @@
 from hashlib import blake2b
 from typing import Any, Iterable, NamedTuple, Optional
 
-EPOCHS_PER_LIFE = (
-    1 << 24
-)  # givings of one slice in a life of the store: ten a second for three weeks; lives that fit a count: 2 ** 29
+EPOCHS_PER_LIFE = 1 << 24  # upper bound on the assignments of one slice in a life of the store
 
 
 @dataclass
 class SliceRecord:
-    """A slice as it must be kept: `epoch` grows with each giving, `version` with each write."""
+    """The durable state of a slice. `epoch` grows with each assignment, `version` with each write."""
 
     slice: int
     epoch: int = 0
@@ -34,7 +34,7 @@
 
 @dataclass
 class PilotSession:
-    """A pilot's session. It was heard of last at a time that puts its end at `until`."""
+    """A pilot's session, which ends at `until` unless it is renewed."""
 
     number: int
     since: int
@@ -42,7 +42,7 @@
 
 
 class AssignmentChanges(NamedTuple):
-    """What is to be done: keep `changed` durably first, then tell of the givings and takings, by pilot."""
+    """What a step requires: store `changed` durably first, then tell the pilots of `given` and `taken`."""
 
     changed: list[SliceRecord]
     given: dict[str, list[SliceRecord]]
@@ -50,9 +50,11 @@
 
 
 class SliceAssignment:
-    """`pilots` in the order of their places; `lease`, `takeover` and `back_after` in us.
+    """`pilots` in the order of their places; `lease`, `takeover` and `back_after` in microseconds.
 
-    After a start every pilot that holds slices counts as alive for one lease: its session may still stand."""
+    After a start every pilot that has slices counts as alive for one lease, since its session may still
+    stand.
+    """
 
     def __init__(
         self,
@@ -64,8 +66,8 @@
         now: int,
         life: int = 1,
     ) -> None:
-        assert pilots, "a store needs at least one pilot to give slices to"
-        # Epochs of a later life are above all of a former one's, also of a giving that its disk has lost: it is in force somewhere.
+        assert pilots, "at least one pilot is required"
+        # Epochs of a later life exceed all of an earlier one, even of an assignment that the disk has lost.
         self.min_epoch = (life - 1) * EPOCHS_PER_LIFE + 1
         self.rows = {row.slice: row for row in rows}
         self.pilots = list(pilots)
@@ -75,7 +77,7 @@
         self.holders: dict[str, PilotSession] = {}
         self.absent_since = {name: now for name in pilots}
         self.leaving: set[int] = set()
-        self.regrant: set[int] = set()  # to be given again to the pilot that has them, for its new session
+        self.regrant: set[int] = set()  # to be assigned again to the same pilot, for its new session
         self.last_session = 0
         for name in sorted({row.pilot for row in self.rows.values() if row.pilot}):
             self.holders[name] = PilotSession(0, now, now + lease)
@@ -83,20 +85,24 @@
     # ---- sessions
 
     def open(self, now: int, pilot: str) -> int:
-        """A new session, which replaces an older one of the same pilot; its slices are given to it anew, and to nobody else: until it has
-        heard of the new session it goes on under the old one. Whoever else should have them gets them in two steps, as ever."""
+        """Open a session for a pilot, which replaces an older one; return its number.
+
+        Its slices are assigned to it again, and to nobody else, as it acts under the old session until it
+        hears of the new one. Slices that belong elsewhere are then moved in two steps. Raises ValueError for
+        an unknown pilot.
+        """
         if pilot not in self.absent_since:
             raise ValueError(f"pilot {pilot!r} is none of {', '.join(self.pilots)}")
         self.last_session += 1
         self.holders[pilot] = PilotSession(self.last_session, now, now + self.lease)
         for row in self.rows.values():
-            if row.pilot == pilot:  # what was ordered and not answered is settled by giving anew
+            if row.pilot == pilot:  # a new epoch settles unanswered orders
                 self.regrant.add(row.slice)
                 self.leaving.discard(row.slice)
         return self.last_session
 
     def renew(self, now: int, pilot: str, number: int) -> bool:
-        """Whether the session still stands; if so it is prolonged."""
+        """Renew a session; return whether it still stands."""
         holder = self.holders.get(pilot)
         if holder is None or holder.number != number or now >= holder.until:
             return False
@@ -104,13 +110,15 @@
         return True
 
     def close(self, now: int, pilot: str, number: int) -> None:
-        """A pilot that stops in good order says so, after it has told its proxies: nobody waits for its lease."""
+        """End the session of a pilot that shuts down after telling its proxies, without waiting for the
+        lease.
+        """
         holder = self.holders.get(pilot)
         if holder is not None and holder.number == number:
             self._end_session(now, pilot)
 
     def released(self, pilot: str, slices: Iterable[int]) -> None:
-        """The pilot has told its proxies of these; they may be given on."""
+        """Note that a pilot's proxies were told of these slices: they may be assigned anew."""
         for number in slices:
             row = self.rows.get(number)
             if row is not None and row.pilot == pilot and number in self.leaving:
@@ -124,13 +132,14 @@
                 row.pilot = ""
                 self.leaving.discard(row.slice)
 
-    # ---- giving and taking
+    # ---- assignment
 
     def home(self, slice_id: int) -> str:
+        """Return the home pilot of a slice."""
         return self.pilots[slice_id % len(self.pilots)]
 
     def _desired_pilot(self, row: SliceRecord, now: int) -> Optional[str]:
-        """Who should be in charge; None while the home may still come."""
+        """Return who should be in charge; None while the home pilot may still come."""
         home = self.home(row.slice)
         holder = self.holders.get(home)
         if holder is not None:
@@ -150,7 +159,7 @@
         return blake2b(f"{pilot}/{slice_id}".encode(), digest_size=8).digest()
 
     def step(self, now: int) -> AssignmentChanges:
-        """Ends the sessions that have run out, and moves what has to move."""
+        """End expired sessions and move slices where needed."""
         for name in [name for name, holder in self.holders.items() if now >= holder.until]:
             self._end_session(now, name)
         step = AssignmentChanges([], {}, {})
@@ -168,19 +177,19 @@
                 step.taken.setdefault(row.pilot, []).append(number)
             elif not row.pilot and desired is not None and self.holders[desired].number:
                 self._assign(row, desired, step)
-        self.regrant.clear()  # what has no pilot any more is given as any other
+        self.regrant.clear()  # slices without a pilot are assigned as usual
         return step
 
     def _assign(self, row: SliceRecord, pilot: str, step: AssignmentChanges) -> None:
         row.pilot = pilot
         row.epoch = max(row.epoch + 1, self.min_epoch)
         row.version += 1
-        row.levels = []  # levels are reset at a giving: the abort of a cut-off revoke
+        row.levels = []  # an assignment aborts a revocation in progress
         step.changed.append(row)
         step.given.setdefault(pilot, []).append(row)
 
     def due(self, now: int) -> int:
-        """When `step` may have something to do next (us)."""
+        """Return when `step` may have something to do next (us)."""
         times = [holder.until for holder in self.holders.values()]
         times += [holder.since + self.back_after for holder in self.holders.values()]
         times += [at + self.takeover for at in self.absent_since.values()]
@@ -189,7 +198,7 @@
     # ---- orders
 
     def refusal(self, now: int, pilot: str, session: int, slice_id: int, epoch: int) -> str:
-        """Why an order may not be taken; "" where it may."""
+        """Return why an order is refused; "" if it is accepted."""
         row = self.rows.get(slice_id)
         holder = self.holders.get(pilot)
         if row is None:
@@ -205,7 +214,7 @@
         return ""
 
     def write(self, slice_id: int, owner: Optional[str], levels: Optional[list[Any]]) -> SliceRecord:
-        """Takes an order that was not refused."""
+        """Apply an order that was not refused."""
         row = self.rows[slice_id]
         row.version += 1
         if owner is not None:
--- a/cedarshift/judge/claims.py
+++ b/cedarshift/judge/claims.py
@@ -1,12 +1,14 @@
-"""Claims: things of which one pilot at a time has the right, each as a lease. No I/O; times are whole microseconds.
+"""Exclusive claims on resources, each granted to one pilot at a time as a lease. No I/O; times are
+microseconds.
 
-Budgets divide a whole into parts. A thing that bears no division is claimed: one holder has all of it until an end that it counts from
-its asking, shortened by the clock drift, and the giver from its giving. Used for cold endpoints: split among all pilots what such an
-endpoint may bear would not hold a single slice of any, and two that each think it theirs push it over.
+Budgets divide a capacity into shares; a claim covers something that cannot be divided. The holder counts a
+lease from its request, shortened by the clock drift, and the grantor from the grant. Claims are used for cold
+endpoints: the load that one may bear is too small to be split among the pilots, and two pilots that both use
+it would overload it.
 
-Safe without a ledger: a giver that starts gives nothing new for one longest lease, and prolongs only what its holder presents as held.
-A thing that a holder names no more is free at once, since it has stopped using it before it said so; an answer to an ask from before
-that time is passed over, so nothing comes back late. Leases after Gray and Cheriton (1989).
+No ledger is needed: a grantor that starts grants nothing new for one longest lease, and renews only what
+holders present as held. A resource that a holder no longer names is free at once, since the holder stops
+using it before it says so; answers to earlier asks are ignored. Leases follow Gray and Cheriton (1989).
 """
 
 from __future__ import annotations
@@ -14,41 +16,40 @@
 from hashlib import blake2b
 from typing import Iterable, NamedTuple
 
-# Constants: unit, then the reason for the size.
-MAX_CLAIMS_PER_ASK = (
-    256  # in one ask; so many endpoints cold at a time are a release, and the rest comes as these grow warm
-)
-SILENT_LIFE_LEASES = (
-    16  # leases that a silent life's newest number is remembered: what it sent is seconds late at most
-)
-MAX_OPEN_ASKS = 64  # asks of a holder that may still be answered; it makes some four a lease
+MAX_CLAIMS_PER_ASK = 256  # more are claimed as earlier ones become warm
+SILENT_LIFE_LEASES = 16  # leases for which the last ask number of a silent life is kept
+MAX_OPEN_ASKS = 64  # asks of a holder that may still be answered
 
 
 class ClaimRequest(NamedTuple):
-    """A thing that is asked for, and whether it is held now."""
+    """A requested resource, and whether the requester holds it now."""
 
     resource: str
     held: bool
 
 
 class Claim(NamedTuple):
-    """`span` (us) counts from the asking."""
+    """A granted claim; `duration` (us) counts from the request."""
 
     resource: str
     duration: int
 
 
 class ClaimLease(NamedTuple):
+    """A claim as the grantor keeps it."""
+
     holder: str
     life: int
-    until: int  # by the giver's clock
+    until: int  # us, grantor's clock
 
 
-# ---- giving
+# ---- granting
 
 
 class ClaimGrantor:
-    """`era` names this life of the giver. Nothing new is given before `quiet_until`."""
+    """`lease` in microseconds; `era` identifies this life of the grantor. Nothing new is granted before
+    `recovery_until`.
+    """
 
     def __init__(self, lease: int, era: int, recovery_until: int) -> None:
         assert lease > 0, "a claim without an end could never pass on"
@@ -56,14 +57,17 @@
         self.era = era
         self.recovery_until = recovery_until
         self.leases: dict[str, ClaimLease] = {}
-        self.heard: dict[tuple[str, int], tuple[int, int]] = {}  # holder and life -> newest ask, and when
+        self.heard: dict[tuple[str, int], tuple[int, int]] = {}  # (holder, life) -> (newest ask, when)
         self.swept_at = 0
         self.counts = {"given": 0, "refused": 0, "stray": 0, "late": 0}
 
     def ask(
         self, now: int, holder: str, life: int, era: int, number: int, requests: Iterable[ClaimRequest]
     ) -> list[Claim]:
-        """What this life has from now on; all else that it had is free. Nothing for an ask of another era, or a late one."""
+        """Return what this life of the holder has from now on; all else that it had is released.
+
+        An ask of another era, or one that arrives out of order, gets nothing.
+        """
         if era != self.era:
             return []
         if number <= self.heard.get((holder, life), (0, 0))[0]:
@@ -90,12 +94,12 @@
             own = (lease.holder, lease.life) == (holder, life)
             self.counts["stray"] += (
                 request.held and not own
-            )  # two that both say they hold it: a clock beyond the drift
+            )  # two holders of one claim: a clock beyond the drift bound
             return own
         return request.held or now >= self.recovery_until
 
     def leave(self, holder: str, life: int) -> None:
-        """A life says that it uses nothing any more, and takes no answer any more."""
+        """Release everything that a life holds; later asks of it are ignored."""
         self._release(holder, life, set())
         self.heard[holder, life] = (1 << 62, self.heard.get((holder, life), (0, 0))[1])
 
@@ -108,7 +112,7 @@
             del self.leases[resource]
 
     def _remove_expired(self, now: int) -> None:
-        """Once a lease: what has ended, and lives long silent."""
+        """Once a lease, drop expired claims and lives that have long been silent."""
         if now - self.swept_at < self.lease:
             return
         self.swept_at = now
@@ -120,6 +124,7 @@
         }
 
     def shown(self, now: int) -> list[dict[str, object]]:
+        """Return the claims in force, for the status page."""
         return [
             {"thing": resource, "holder": lease.holder, "ends_in_us": lease.until - now}
             for resource, lease in sorted(self.leases.items())
@@ -131,16 +136,20 @@
 
 
 class ClaimHolder:
-    """One life's side. `drift`: how much faster one clock may run than another, as a part of 1."""
+    """The holder's side, for one life. `drift`: by how much one clock may run faster than another, as a
+    fraction.
+    """
 
     def __init__(self, drift: float) -> None:
         self.drift = drift
-        self.since: dict[str, int] = {}  # thing -> the ask with which it was wished first, without a break
+        self.since: dict[str, int] = {}  # resource -> first of its consecutive asks
         self.until: dict[str, int] = {}
-        self.asked: dict[int, int] = {}  # ask's number -> when
+        self.asked: dict[int, int] = {}  # ask number -> when
 
     def ask(self, now: int, number: int, resources: Iterable[str]) -> list[ClaimRequest]:
-        """Asks for these; what is not named any more is given up now, before it is said. `number` grows from ask to ask of a life."""
+        """Request these resources; any other is given up at once, before the ask is sent. `number` grows with
+        each ask of a life.
+        """
         requested = list(dict.fromkeys(resources))[:MAX_CLAIMS_PER_ASK]
         self.since = {resource: self.since.get(resource, number) for resource in requested}
         self.until = {resource: until for resource, until in self.until.items() if resource in self.since}
@@ -149,7 +158,7 @@
         return [ClaimRequest(resource, now < self.until.get(resource, now)) for resource in requested]
 
     def on_answer(self, now: int, number: int, claims: Iterable[Claim]) -> None:
-        """An answer of the present era; the first to an ask counts."""
+        """Take in an answer of the present era; only the first answer to an ask counts."""
         asked_at = self.asked.pop(number, None)
         if asked_at is None:
             return
@@ -161,28 +170,32 @@
                 self.until[claim.resource] = until
 
     def lost(self) -> None:
-        """No answer to what was asked counts any more: another life of the giver, or a stream that is gone."""
+        """Ignore the answers to all earlier asks: the grantor restarted, or the stream is gone."""
         self.asked.clear()
 
     def held(self, now: int) -> frozenset[str]:
+        """Return the resources held now."""
         return frozenset(resource for resource, until in self.until.items() if now < until)
 
     def next_end(self) -> int:
-        """When the first of what is held ends, if nothing more is heard; beyond any time where nothing is."""
+        """Return when the first held claim ends unless renewed; far in the future if none is held."""
         return min(self.until.values(), default=1 << 62)
 
     def drop(self) -> None:
+        """Give up all claims."""
         self.since.clear()
         self.until.clear()
         self.asked.clear()
 
 
-# ---- who asks first
+# ---- order of asking
 
 
 class ClaimSchedule:
-    """Which things to ask for: all pilots see the same cold endpoints, and one has to be first. By lot among those that live; the next
-    asks a step later, should the first be gone or want nothing. Rolls that differ make two ask at once, and the giver decides."""
+    """Decides which resources to ask for. All pilots see the same cold endpoints; for each of them rendezvous
+    hashing ranks the live pilots, and each asks one `step` (us) after the previous. If membership views
+    differ and two ask at once, the grantor decides.
+    """
 
     def __init__(self, me: str, step: int) -> None:
         self.me = me
@@ -192,6 +205,7 @@
     def requests(
         self, now: int, resources: Iterable[str], living: Iterable[str], held: frozenset[str]
     ) -> list[str]:
+        """Return the held resources and those for which this pilot's time to ask has come."""
         names = {*living, self.me}
         self.seen = {resource: self.seen.get(resource, now) for resource in sorted(resources)}
         return [
--- a/cedarshift/judge/detector.py
+++ b/cedarshift/judge/detector.py
@@ -1,48 +1,43 @@
-"""Finds out which of the members that it observes still answer; what it finds goes to the roll as edges.
+"""Failure detector: finds out which observed members still answer, and reports changes as edges to the member
+table.
 
-Each period every subject gets one probe, spread over the period. One that is not answered in time is tried again through
-helpers, and by a stream where datagrams were lost before. Three probes in a row without an answer, and a period more for
-each step of the observer's own ill health, are a silence. An answer counts as of when its probe was sent, however late it
-comes: who is slow answers all the same.
+Each subject is probed once per period. A probe without a timely answer is retried through helpers, and by a
+stream if datagrams were lost before. A subject is silent after three consecutive unanswered probes, plus one
+for each step of the observer's health score. An answer counts as of the send time of its probe, however late
+it comes.
 
-Own health worsens when the observer's timers are late, when nobody at all answers, and when helpers say nothing; it is told
-by a clock that runs while the process is stopped. After a stop nothing that was under way counts.
+The health score (0 is healthy) rises when timers are late, when nobody answers, and when helpers are silent.
+The clock passed in must run while the process is suspended; after a suspension all probes in flight are
+discarded.
 
-No I/O; times are whole microseconds passed in, chance is handed in.
+No I/O; times are microseconds, passed in, as is the random generator.
 """
 
 from __future__ import annotations
 
 from typing import Callable, NamedTuple, Optional
 
-from cedarshift.judge.rng import Lcg
-
-# Constants: unit, then the reason for the size.
-MISSES_FOR_SILENCE = (
-    3  # probes in a row; of those a third of all datagrams lost leaves one in a thousand, with helpers
-)
-HELPERS_PER_PROBE = 3  # asked for each probe that is late: one may be cut off itself
-RETRANSMIT_PERIODS = (
-    0.2,
-    0.4,
-    0.7,
-)  # of a period after its first ping that a probe is tried anew: the cheapest cure for loss
-DIRECT_TIMEOUT_PERIODS = 0.4  # of a period for a direct answer; the rest is for helpers and streams
-NACK_TIMEOUT_PERIODS = 0.3  # of a period within which a helper answers, either way
-STREAM_AFTER_MISSES = 1  # probes missed before a stream is tried as well: a stream costs more than a datagram
-LATE_ANSWER_PERIODS = 8  # periods that late answers still count
-MIN_PROBE_PERIODS = (
-    0.8  # of a period that a probe has at least: where subjects come and go the next one is early
-)
-MAX_HEALTH_SCORE = 4  # steps of ill health
-LATE_TIMER_PERIODS = 0.25  # of a period by which a timer is late that tells of a slow process
-SUSPENDED_PERIODS = 2.0  # periods by which it is late that tell of one that was stopped
-SILENT_HELPER_SHARE = 0.9  # of the helpers asked: when so many say nothing it is the observer's own ways; loss takes half at most
-EXTRA_SUBJECT_PERIODS = 4  # periods that a member which missed a random probe is observed
+from cedarshift.judge.chance import Lcg
+
+MISSES_FOR_SILENCE = 3  # consecutive unanswered probes
+HELPERS_PER_PROBE = 3  # members asked for an indirect probe
+RETRANSMIT_PERIODS = (0.2, 0.4, 0.7)  # periods after the first ping
+DIRECT_TIMEOUT_PERIODS = 0.4  # then helpers and streams are tried
+NACK_TIMEOUT_PERIODS = 0.3  # periods within which a helper answers, with an ack or a nack
+STREAM_AFTER_MISSES = 1  # missed probes before a stream is tried too
+LATE_ANSWER_PERIODS = 8  # periods for which late answers are accepted
+MIN_PROBE_PERIODS = 0.8  # a probe's minimum time; the next may come early when subjects change
+MAX_HEALTH_SCORE = 4  # 0 is healthy
+LATE_TIMER_PERIODS = 0.25  # timer delay that shows a slow process
+SUSPENDED_PERIODS = 2.0  # timer delay that shows a suspended process
+SILENT_HELPER_SHARE = 0.9  # of the helpers asked; above what packet loss explains
+EXTRA_SUBJECT_PERIODS = 4  # periods for which a member that missed a random probe is observed
 
 
 class ProbeRequest(NamedTuple):
-    """What is to be sent. `how`: "ping" (to `to`), "help" (ask `to` to probe `about`), "stream" (probe `to` by a stream)."""
+    """A message to send. `how`: "ping" (to `to`), "help" (ask `to` to probe `about`) or "stream" (probe `to`
+    by a stream).
+    """
 
     how: str
     to: str
@@ -51,7 +46,9 @@
 
 
 class Reachability(NamedTuple):
-    """Whether a subject is heard; `at`: when the newest answered probe was sent, or when the silence was found."""
+    """Whether a subject is heard; `at`: when its newest answered probe was sent, or when the silence was
+    found (us).
+    """
 
     subject: str
     hears: bool
@@ -59,27 +56,32 @@
 
 
 class Probe:
+    """A probe in flight."""
+
     def __init__(self, subject: str, sent: int) -> None:
         self.subject = subject
         self.sent = sent
-        self.retransmits = 0  # times that it was tried anew
+        self.retransmits = 0
         self.escalated = False  # helpers were asked
-        self.helpers: set[str] = set()  # those that have not said anything
-        self.asked = 0  # how many were asked
+        self.helpers: set[str] = set()  # helpers that have not answered
+        self.asked = 0  # number of helpers asked
 
 
 class Subject:
+    """An observed member."""
+
     def __init__(self, since: int) -> None:
-        self.heard = since  # when the newest probe that was answered was sent, or when it became a subject
-        self.has_answered = False  # one was
-        self.missed: list[int] = []  # when those after it were sent that have run out
-        self.nonce: Optional[int] = None  # of its newest probe, while that may run out
-        self.silent = False  # told so
+        self.heard = since  # send time of the newest answered probe, or when observation began (us)
+        self.has_answered = False
+        self.missed: list[int] = []  # send times of later probes that timed out (us)
+        self.nonce: Optional[int] = None  # of the newest probe
+        self.silent = False  # reported as silent
 
 
 class Detector:
-    """`usable()`: the members that may be probed and asked for help, `me` not among them. `vouchers(subject)`: those of them
-    that are known to hear it; they are asked first."""
+    """`usable()`: the members that may be probed or asked for help, without this one. `vouchers(subject)`:
+    those of them known to hear it; they are asked first.
+    """
 
     def __init__(
         self,
@@ -94,26 +96,24 @@
         self.usable = usable
         self.vouchers = vouchers
         self.subjects: dict[str, Subject] = {}
-        self.extra_subjects: dict[
-            str, int
-        ] = {}  # members beyond those, missed by chance -> until when observed
+        self.extra_subjects: dict[str, int] = {}  # member -> until when it is observed (us)
         self.probes: dict[int, Probe] = {}  # by nonce, oldest first
-        self.pending_subjects: list[str] = []  # whom to probe still in this period
+        self.pending_subjects: list[str] = []  # still to be probed in this period
         self.next_at = now
         self.probe_interval = period
         self.health = 0
-        self.answered = 0  # in this round
+        self.answered = 0  # in this period
         self.asked = 0
-        self.silent_helpers = 0  # in this round, of those asked for probes that ran out
+        self.silent_helpers = 0  # in this period, of probes that timed out
         self.helpers_asked = 0
         self.timer_late = False
         self.last_heard_at = now
         self.counts = {"probes": 0, "helps": 0, "streams": 0, "silences": 0, "stops": 0}
 
-    # ---- whom
+    # ---- subjects
 
     def observe(self, now: int, names: list[str]) -> None:
-        """The subjects from now on; what is known of those that stay is kept."""
+        """Set the subjects; the state of those that remain is kept."""
         wanted = dict.fromkeys([*names, *self.extra_subjects])
         for name in [name for name in self.subjects if name not in wanted]:
             del self.subjects[name]
@@ -121,13 +121,16 @@
             self.subjects[name] = Subject(now)
 
     def heard_at(self, name: str) -> Optional[int]:
-        """When the newest answered probe to a subject was sent; None where none was since it is one."""
+        """Return when the newest answered probe to a subject was sent (us); None if it has not answered or is
+        silent.
+        """
         subject = self.subjects.get(name)
         return subject.heard if subject is not None and subject.has_answered and not subject.silent else None
 
-    # ---- time
+    # ---- timers
 
     def due(self) -> int:
+        """Return when `step` is to be called next."""
         return min(
             [
                 self.next_at,
@@ -140,6 +143,7 @@
         )
 
     def step(self, now: int) -> tuple[list[ProbeRequest], list[Reachability]]:
+        """Return the messages to send and the changes found."""
         asks: list[ProbeRequest] = []
         found: list[Reachability] = []
         lateness = now - self.next_at
@@ -158,7 +162,7 @@
         return asks, found
 
     def _on_resume(self, now: int) -> None:
-        """The process stood still: what it did not hear meanwhile is its own fault."""
+        """Discard all probes after a suspension: answers may have been missed."""
         self.counts["stops"] += 1
         self.health = MAX_HEALTH_SCORE
         self.probes.clear()
@@ -173,14 +177,14 @@
         self.extra_subjects = {name: until for name, until in self.extra_subjects.items() if now < until}
         self.pending_subjects = list(
             reversed(self.subjects)
-        )  # always in the same order, so that a period lies between two probes
+        )  # fixed order, so that probes of a subject are one period apart
         others = [name for name in self.usable() if name not in self.subjects]
         if others:
             self.pending_subjects.append(self.rng.pick(others))
         self.probe_interval = max(1, self.period // max(1, len(self.pending_subjects)))
 
     def _update_health(self, now: int) -> None:
-        """Slower to judge the worse it fares; a step better for each period in which nothing was amiss."""
+        """Raise the health score for each problem of this period; lower it by one if there was none."""
         unanswered = self.asked >= 2 and not self.answered and now - self.last_heard_at > self.period
         helpers_silent = (
             self.helpers_asked > HELPERS_PER_PROBE
@@ -211,13 +215,14 @@
         asks.append(ProbeRequest("ping", name, name, nonce))
 
     def nonce(self) -> int:
+        """Return a nonce that no probe in flight has."""
         while True:
             drawn = self.rng.draw(2**31)
             if drawn and drawn not in self.probes:
                 return drawn
 
     def _finish_probe(self, now: int, name: str, subject: Subject, found: list[Reachability]) -> None:
-        """The probe of a period ago has had its time."""
+        """Evaluate the probe of the previous period."""
         probe = self.probes.get(subject.nonce) if subject.nonce is not None else None
         if probe is None or probe.sent <= subject.heard or now - probe.sent < MIN_PROBE_PERIODS * self.period:
             return
@@ -230,6 +235,7 @@
             found.append(Reachability(name, False, now))
 
     def _escalate(self, now: int, asks: list[ProbeRequest]) -> None:
+        """Retransmit pings that are due, and ask helpers and streams for probes past their direct timeout."""
         for nonce, probe in self.probes.items():
             if probe.retransmits < len(RETRANSMIT_PERIODS) and now >= probe.sent + int(
                 RETRANSMIT_PERIODS[probe.retransmits] * self.period
@@ -255,7 +261,7 @@
                 asks.append(ProbeRequest("stream", probe.subject, probe.subject, nonce))
 
     def _expire(self, now: int) -> None:
-        """Probes run out; a member outside of the subjects that missed one is observed for a while."""
+        """Drop old probes, and observe members that missed a random probe."""
         for nonce in [n for n, p in self.probes.items() if now - p.sent > LATE_ANSWER_PERIODS * self.period]:
             del self.probes[nonce]
         for probe in self.probes.values():
@@ -266,7 +272,7 @@
     # ---- answers
 
     def on_answer(self, now: int, nonce: int) -> Optional[Reachability]:
-        """An answer, by whichever way; what it changes, if it ends a silence."""
+        """Handle an answer by any path; return the change if it ends a silence."""
         probe = self.probes.pop(nonce, None)
         self.last_heard_at = now
         if probe is None:
@@ -283,7 +289,7 @@
         return None
 
     def on_nack(self, nonce: int, helper: str) -> None:
-        """A helper says that it had no answer either: it is well, at least."""
+        """Handle a helper's reply that it had no answer either."""
         probe = self.probes.get(nonce)
         if probe is not None:
             probe.helpers.discard(helper)
--- a/cedarshift/judge/membership.py
+++ b/cedarshift/judge/membership.py
@@ -1,14 +1,14 @@
-"""From members' nodes to the list that the module is told. No I/O; times are whole microseconds, passed in.
+"""Derives the endpoint list from the members' ephemeral nodes. No I/O; times are microseconds, passed in.
 
-A node is not an endpoint: an endpoint may stand in two nodes (an old session that has not expired yet, and the new one), or
-for a moment in none (a session that expired while the process lived). What is decided here, and only here:
+An endpoint may have two nodes (an expiring session and its replacement) or none for a moment (a session that
+expired while the process lived). This module decides:
 
-- which node speaks for an endpoint: the newest;
-- when a vanished node is told on: at once where it drained before, or where the data plane loses ops there; else after
-  `hold`, within which it may come back as if nothing had been. The grace of the drain runs from the vanishing, so
-  it is told on with how long it was held;
-- whether a node that returns is another process;
-- that a pool is never emptied by vanished nodes alone while its endpoints ack: then the last ones stand, in doubt.
+- which node defines an endpoint: the newest;
+- when a vanished endpoint is removed from the list: at once if it had drained or if ops there are being lost,
+  otherwise after a hold time within which it may return. The drain grace runs from the vanishing, so the
+  removal says how long it was held back;
+- whether a node that returns belongs to another process;
+- that vanished nodes alone never empty a pool whose endpoints still ack: the last ones are retained.
 """
 
 from __future__ import annotations
@@ -16,26 +16,23 @@
 from collections import deque
 from typing import NamedTuple, Optional
 
-# Constants: unit, then the reason for the size.
-SAME_PROCESS_WITHIN_US = (
-    10_000_000  # us of absence after which a return counts as another process, unless it acked meanwhile: a
-)
-# session is made anew within seconds of its expiry, a machine is not booted so soon
-MAX_OUTCOMES = 8  # newest sums of an endpoint: a few periods from a handful of zones
-OUTCOMES_FRESH_US = 10_000_000  # us; older sums tell nothing of now
-LOSS_SHARE = (
-    0.5  # share of ops aborted from which a vanished endpoint counts as dead: half of its ops are lost
-)
-MIN_LOSS_OPS = 4  # ops; fewer are chance
-MASS_WINDOW_US = 2_000_000  # us within which endpoints vanish "together"
-MIN_MASS_ENDPOINTS = 3  # endpoints; two at once are chance
-MIN_MASS_SHARE = 0.2  # share of the listed; a rolling deploy takes fewer at a time
+# An endpoint absent for longer counts as restarted, unless it acked meanwhile
+SAME_PROCESS_WITHIN_US = 10_000_000
+MAX_OUTCOMES = 8  # newest reports kept for an endpoint
+OUTCOMES_FRESH_US = 10_000_000  # older reports are ignored
+LOSS_SHARE = 0.5  # share of ops aborted from which a vanished endpoint counts as dead
+MIN_LOSS_OPS = 4  # ops needed to judge an endpoint
+MASS_WINDOW_US = 2_000_000  # endpoints that vanish within this time count as one event
+MIN_MASS_ENDPOINTS = 3
+MIN_MASS_SHARE = 0.2  # of the listed endpoints; above the batch size of a rolling deploy
 
 ON, FADING, OFF = "on", "fading", "off"
 
 
 class Node(NamedTuple):
-    """A member's node. `start` as the node itself tells it, or "". `owner`: the session; `born`: the transaction."""
+    """A member's node. `start`: as stated by the node, or "". `owner`: the session id. `created_zxid`: its
+    creating transaction.
+    """
 
     endpoint: str
     phase: str
@@ -47,7 +44,9 @@
 
 
 class MemberEntry(NamedTuple):
-    """An entry as it is told on. `process` is another text for each process; `late`: us for which the news was held back."""
+    """A list entry as published. `process` identifies the process; `late`: us for which the change was held
+    back.
+    """
 
     endpoint: str
     phase: str
@@ -58,7 +57,7 @@
 
 
 class VanishedEndpoint(NamedTuple):
-    """An endpoint without a node: since when it was known, until when it is held, and its last entry."""
+    """An endpoint without a node: when it vanished, until when it is held (us), and its last entry."""
 
     since: int
     until: int
@@ -66,7 +65,7 @@
 
 
 class MassVanishing(NamedTuple):
-    """Many that vanished together: how many, of how many listed, and what the data plane says of them since."""
+    """Endpoints that vanished together: how many, of how many listed, and how many ack or lose ops since."""
 
     vanished: int
     listed: int
@@ -75,40 +74,42 @@
 
 
 class EndpointHistory:
-    """What is known of one endpoint beside its nodes."""
+    """What is known of one endpoint besides its nodes."""
 
     def __init__(self) -> None:
-        self.process = ""  # the process's name for the list
-        self.start = ""  # what its node said of it
+        self.process = ""  # identifier that the list gives the process
+        self.start = ""  # start as stated by the node, or ""
         self.generation = 0
         self.owner = 0
-        self.absent_since: Optional[int] = None  # when its last node left
+        self.absent_since: Optional[int] = None  # us
         self.outcomes: deque[tuple[int, int, int]] = deque(maxlen=MAX_OUTCOMES)  # (heard at, tries, aborted)
 
     def outcomes_since(self, since: int) -> tuple[int, int]:
-        """(tries, aborted) of the sums heard since."""
+        """Return (tries, aborted) of the reports heard since `since`."""
         got = [one for one in self.outcomes if one[0] >= since]
         return sum(one[1] for one in got), sum(one[2] for one in got)
 
 
 class Membership:
-    """`hold` (us): how long a vanished node may stay untold. `pools`: whether each zone is a pool of its own."""
+    """`hold_us`: how long a vanished endpoint stays listed. `zone_pools`: whether each zone is a pool of its
+    own.
+    """
 
     def __init__(self, hold_us: int, zone_pools: bool = False) -> None:
         self.hold_us = hold_us
         self.zone_pools = zone_pools
-        self.nodes: dict[str, Node] = {}  # by the node's name
+        self.nodes: dict[str, Node] = {}  # by node name
         self.nodes_by_endpoint: dict[str, set[str]] = {}
         self.endpoints: dict[str, EndpointHistory] = {}
-        self.gone: dict[str, VanishedEndpoint] = {}  # held back, or in doubt
-        self.retained: set[str] = set()  # those that stand only because their pool would be empty
+        self.gone: dict[str, VanishedEndpoint] = {}  # held back or retained
+        self.retained: set[str] = set()  # listed only because their pool would be empty
         self.published: dict[str, MemberEntry] = {}
         self.counts = {"vanished": 0, "returned": 0, "told_gone": 0, "doubted": 0, "restarts": 0}
 
-    # ---- what is learnt
+    # ---- input
 
     def on_nodes(self, now: int, seen: dict[str, Node], gone: set[str]) -> None:
-        """Nodes that are new or differ, and nodes that are not there any more."""
+        """Apply new or changed nodes and removed ones."""
         affected = set()
         for name, node in sorted(seen.items(), key=lambda row: row[1].created_zxid):
             affected |= self._add_node(now, name, node)
@@ -118,10 +119,12 @@
             self._update_vanished(now, endpoint)
 
     def on_sums(self, now: int, endpoint: str, tries: int, aborted: int) -> None:
+        """Record op outcomes that proxies reported for an endpoint."""
         if endpoint in self.endpoints and tries > 0:
             self.endpoints[endpoint].outcomes.append((now, tries, aborted))
 
     def _add_node(self, now: int, name: str, node: Node) -> set[str]:
+        """Store a node; return the affected endpoints."""
         before = self.nodes.get(name)
         affected = {node.endpoint}
         if before is not None and before.endpoint != node.endpoint:
@@ -133,6 +136,7 @@
         return affected
 
     def _remove_node(self, name: str) -> set[str]:
+        """Drop a node; return the affected endpoints."""
         node = self.nodes.pop(name, None)
         if node is None:
             return set()
@@ -143,8 +147,11 @@
         return {node.endpoint}
 
     def _identify_process(self, now: int, known: EndpointHistory, node: Node) -> None:
-        """Whether a node is of the process that was known. What the node says decides; then: two sessions at once are two
-        processes, and a return is the same process if it is soon or if it acked all the while."""
+        """Detect whether a node belongs to another process than the known one.
+
+        A start stated by the node decides. Otherwise two concurrent sessions are two processes, and a
+        returning endpoint is the same process if it was absent briefly or acked in the meantime.
+        """
         if not known.process:
             known.process, known.start, known.owner = node.start or "0", node.start, node.owner
             return
@@ -176,7 +183,7 @@
         return now - left <= SAME_PROCESS_WITHIN_US
 
     def _update_vanished(self, now: int, endpoint: str) -> None:
-        """An endpoint's place after its nodes have changed: in force, held back or gone."""
+        """Mark an endpoint as present, held back or gone after its nodes have changed."""
         entry = self._entry(endpoint)
         if entry is not None and entry.phase != OFF:
             if self.gone.pop(endpoint, None) is not None:
@@ -190,12 +197,12 @@
         self.counts["vanished"] += 1
         known = self.endpoints[endpoint]
         known.absent_since = now
-        # A node that says of itself that it is off, or that drained before, leaves no doubt.
+        # A node that is off, or that drained before, is removed at once.
         held = self.hold_us if entry is None and last.phase == ON else 0
         self.gone[endpoint] = VanishedEndpoint(now, now + held, last)
 
     def _entry(self, endpoint: str) -> Optional[MemberEntry]:
-        """By the newest of its nodes."""
+        """Return the list entry defined by the newest node of an endpoint."""
         names = self.nodes_by_endpoint.get(endpoint)
         if not names:
             return None
@@ -203,8 +210,11 @@
         return MemberEntry(endpoint, node.phase, node.size, node.zone, self.endpoints[endpoint].process)
 
     def mass(self, now: int) -> Optional[MassVanishing]:
-        """A vanishing that people should hear of, since no single cause can be read from it: a deploy, a cut between members
-        and servers, and servers that forgot all sessions look alike by number. Who acks still tells them apart afterwards."""
+        """Return a mass vanishing to report to operators, if there is one.
+
+        A deploy, a partition between members and servers, and servers that lost all sessions look alike by
+        number; op outcomes since then distinguish them.
+        """
         recent = [
             endpoint
             for endpoint, one in self.gone.items()
@@ -218,14 +228,14 @@
         acking = sum(tries >= MIN_LOSS_OPS and aborted < LOSS_SHARE * tries for tries, aborted in outcomes)
         return MassVanishing(len(recent), listed, acking, losing)
 
-    # ---- what is told
+    # ---- output
 
     def due(self) -> Optional[int]:
-        """When to look again: the end of the next hold; those in doubt are looked at with each sum."""
+        """Return when the next hold ends. Retained endpoints are re-checked with each report instead."""
         return min((one.until for name, one in self.gone.items() if name not in self.retained), default=None)
 
     def take(self, now: int) -> list[MemberEntry]:
-        """What has changed since the last call, for the module's list."""
+        """Return the entries that changed since the last call."""
         listed = {
             endpoint: entry
             for endpoint in self.nodes_by_endpoint
@@ -270,8 +280,9 @@
         return entry.zone if self.zone_pools else ""
 
     def _retain_last_of_pool(self, now: int, listed: dict[str, MemberEntry]) -> list[str]:
-        """The vanished endpoints of pools that would be empty without them, as long as the data plane acks there. One that
-        drained is never among them: that it leaves was its own word."""
+        """Return the vanished endpoints that still ack in pools which would be empty without them. Drained
+        ones are never retained.
+        """
         full = {self._pool_of(entry) for entry in listed.values() if entry.phase == ON}
         found = []
         for endpoint, one in sorted(self.gone.items()):
@@ -288,7 +299,9 @@
         return found
 
     def _is_acking(self, now: int, endpoint: str, one: VanishedEndpoint) -> bool:
-        """Heard acking lately; until the first sums from after the vanishing can be here, those of before count."""
+        """Whether recent ops succeed there; before the first report after the vanishing, earlier reports
+        count.
+        """
         tries, aborted = self.endpoints[endpoint].outcomes_since(max(one.since, now - OUTCOMES_FRESH_US))
         if not tries:
             tries, aborted = self.endpoints[endpoint].outcomes_since(now - OUTCOMES_FRESH_US)
--- a/cedarshift/judge/roll.py
+++ b/cedarshift/judge/roll.py
@@ -1,15 +1,16 @@
-"""Who of a deployment's pilots is there: what is said of them, merged in any order to the same, and what follows from it.
+"""Membership of a deployment's pilots: a replicated table that merges in any order to the same state. No I/O.
 
-Three kinds of things are said, each of which only ever grows, so that nothing older undoes what is newer:
+It holds three kinds of records, each of which only grows, so that older records never undo newer ones:
 
-- a *word*: what a member says of itself: its start, its incarnation, whether it has left;
-- an *edge*: whether an observer hears a subject, as of one life and incarnation of both; a silent edge is a report, one that
-  hears is a voucher, and good for a few periods;
-- a *verdict*: that a subject, as of one life and incarnation, is dead; said once by a side that is most of the configured.
+- a *word*: what a member states of itself: start, incarnation, and whether it has left;
+- an *edge*: whether an observer hears a subject, as of one life and incarnation of both. A silent edge is a
+  report; one that hears is a voucher, valid for a few periods;
+- a *verdict*: that a subject, as of one life and incarnation, is dead; issued by a side that is the majority
+  of the configured members.
 
-A member that finds a verdict on itself raises its incarnation, and with it all edges and the verdict lose their ground.
+A member that finds a verdict on itself raises its incarnation, which invalidates all edges and the verdict.
 
-No I/O; times are whole microseconds of one clock, passed in. Ownership of slices never follows from the roll.
+Times are microseconds of one clock, passed in. Ownership of slices never follows from this table.
 """
 
 from __future__ import annotations
@@ -19,44 +20,36 @@
 from hashlib import blake2b
 from typing import Callable, Iterable, NamedTuple, Optional
 
-# Constants: unit, then the reason for the size.
-OBSERVERS_PER_MEMBER = 8  # observers of a member: one or two slow or dead ones among them decide nothing
-MIN_REPORTER_SHARE = 0.6  # of a subject's sound observers that must report it, however long one waits
-BASE_PATIENCE_PERIODS = (
-    1.0  # periods from the first report until a verdict when every observer reports: vouchers take as long
-)
-EXTRA_PATIENCE_PERIODS = 8.0  # periods more for all observers that do not report, in proportion
-QUIESCENT_PERIODS = 0.75  # periods without a new report of anyone: what fails together is judged together
-MAX_QUIESCENT_WAIT_PERIODS = (
-    4.0  # periods from a subject's first report after which it is judged though others keep coming
-)
-MAX_QUIESCENT_WAIT_FEW_PERIODS = 2.0  # the same where few are reported: a cut's silences are found within a period of each other, and told in one more
-FEW_SUSPECTS_SHARE = 0.2  # of the configured; while no more are reported and vouched for by nobody, what still comes turns no majority
-VOUCHER_PERIODS = 5.0  # periods that a proof of life stands against reports
-CUT_AFTER_PERIODS = 2.0  # periods of reports and vouchers side by side after which a member counts as cut
-PARTITION_SHARE = (
-    1 / 3
-)  # of the usable members that some hear and others don't: then news travels by few links, and slowly
-MIN_PARTITION_MEMBERS = 3  # members, so that a single link that fails is none of it
-PARTITION_PATIENCE_FACTOR = 4.0  # times the patience while it is so
-PARTITION_VOUCHER_FACTOR = (
-    2.5  # times that a proof of life stands: it is that much older when it has come by many hands
-)
-UPGRADE_AFTER_PERIODS = (
-    6.0  # periods that a side has to be most before what it found as a minority counts as agreed
-)
-UNRELIABLE_AFTER_PERIODS = 2.0  # periods of reports and no voucher after which a member's own reports count for nothing, however few say so
-MAJORITY_WAIT_PERIODS = 2.0  # periods beyond its patience that one waits to hear most of its own subjects, before it speaks for few only
-STABLE_MAJORITY_PERIODS = 2.0  # periods that a side has to be most before its verdict counts: after a heal all are to be probed first
-MIN_ANSWERED_SHARE = 0.7  # of its subjects, where they are a sample of a larger fleet: half a fleet's sample rarely shows so many
-MIN_REPORTERS = 2  # observers, where there are so many: one alone may be the faulty one
+OBSERVERS_PER_MEMBER = 8  # one or two faulty ones decide nothing
+MIN_REPORTER_SHARE = 0.6  # of a subject's reliable observers that must report it
+BASE_PATIENCE_PERIODS = 1.0  # from the first report to a verdict if all observers report
+EXTRA_PATIENCE_PERIODS = 8.0  # times the share of observers that do not report
+QUIESCENT_PERIODS = 0.75  # without any new report, so that simultaneous failures are judged together
+MAX_QUIESCENT_WAIT_PERIODS = 4.0  # after a subject's first report, new reports no longer delay its verdict
+MAX_QUIESCENT_WAIT_FEW_PERIODS = 2.0  # the same while few members are disputed
+FEW_SUSPECTS_SHARE = 0.2  # of the configured members; so few cannot turn the majority
+VOUCHER_PERIODS = 5.0  # lifetime of a voucher
+CUT_AFTER_PERIODS = 2.0  # of concurrent reports and vouchers until a member counts as cut
+PARTITION_SHARE = 1 / 3  # of the usable members that are disputed; news then travels slowly
+MIN_PARTITION_MEMBERS = 3  # above the effect of a single failed link
+PARTITION_PATIENCE_FACTOR = 4.0  # on the patience during a partition
+PARTITION_VOUCHER_FACTOR = 2.5  # on the lifetime of vouchers, which arrive late then
+UPGRADE_AFTER_PERIODS = 6.0  # of majority until minority verdicts count as agreed
+UNRELIABLE_AFTER_PERIODS = 2.0  # of reports without a voucher until a member's own reports are ignored
+MAJORITY_WAIT_PERIODS = 2.0  # to hear a majority before a verdict counts as a minority's
+STABLE_MAJORITY_PERIODS = 2.0  # of majority before its verdicts count, so that all are probed after a heal
+MIN_ANSWERED_SHARE = 0.7  # of the subjects, where they are a sample of a larger fleet
+MIN_REPORTERS = 2  # a single observer may be the faulty one
 
 ALIVE, SUSPECT, CUT, DEAD, LEFT, UNHEARD = "alive", "suspect", "cut", "dead", "left", "unheard"
 USABLE = (ALIVE, SUSPECT, CUT)
 
 
 class Word(NamedTuple):
-    """Ordered by start, then by having left, then by incarnation."""
+    """What a member states of itself; ordered by start, then by having left, then by incarnation.
+
+    The class name is part of the digest that members compare.
+    """
 
     start: int
     left: bool
@@ -64,8 +57,11 @@
 
 
 class Edge(NamedTuple):
-    """Ordered by the observer's start, then by `seq`, which the observer counts up. `at`: when its proof of life was sent, or
-    when the silence was found (us, this clock; as old as was told when it was heard first)."""
+    """Whether an observer hears a subject; ordered by the observer's start, then by its counter `seq`.
+
+    `at`: when the answered probe was sent, or when the silence was found (us, this clock; derived from the
+    age stated when the edge was first received).
+    """
 
     observer_start: int
     seq: int
@@ -77,7 +73,10 @@
 
 
 class Verdict(NamedTuple):
-    """`side`: how many members stood on the side that agreed."""
+    """That a member is dead. `side`: how many members were on the side that agreed.
+
+    The class name is part of the digest that members compare.
+    """
 
     start: int
     incarnation: int
@@ -85,7 +84,7 @@
 
 
 class Change(NamedTuple):
-    """One member's new state and what it rests on."""
+    """A member's new state and its evidence."""
 
     name: str
     before: str
@@ -99,7 +98,7 @@
 
     @property
     def agreed(self) -> bool:
-        """Whether most of the configured stand behind it; what a minority believes is to be taken as that."""
+        """Whether a majority of the configured members agrees; otherwise it is a minority's view."""
         return 2 * self.side > self.configured
 
 
@@ -108,9 +107,12 @@
 
 
 class Rings:
-    """Who observes whom: in each of some rings, ordered by a digest of the names, a member observes the next usable one.
-    Small fleets observe each other all. The same names give the same rings everywhere, and whoever is the observer of a subject
-    has it among its subjects."""
+    """Assigns observers: in each of several rings, ordered by a hash of the names, a member observes the next
+    usable one.
+
+    In small fleets all observe each other. The same names give the same rings everywhere, and observing is
+    consistent in both directions.
+    """
 
     def __init__(self, names: Iterable[str], count: int = OBSERVERS_PER_MEMBER) -> None:
         names = sorted(names)
@@ -137,14 +139,16 @@
         return list(found)
 
     def subjects(self, name: str, usable: Callable[[str], bool]) -> list[str]:
+        """Return the members that `name` observes."""
         return self._next(name, usable, 1)
 
     def observers(self, name: str, usable: Callable[[str], bool]) -> list[str]:
+        """Return the members that observe `name`."""
         return self._next(name, usable, -1)
 
 
 class MemberTable:
-    """`period` in us. `health` of the one who keeps it, 0 for well, lengthens its patience."""
+    """The table of the member `me`; `period` in microseconds."""
 
     def __init__(self, me: str, names: Iterable[str], period: int) -> None:
         self.me = me
@@ -154,23 +158,22 @@
         self.words: dict[str, Word] = {}
         self.edges: dict[str, dict[str, Edge]] = {}  # subject -> observer -> edge
         self.verdicts: dict[str, Verdict] = {}
-        self.minority_verdicts: dict[
-            str, Verdict
-        ] = {}  # what this side found while it was no majority; told to nobody else
+        self.minority_verdicts: dict[str, Verdict] = {}  # found while this side was a minority; not shared
         self.states = {name: UNHEARD for name in self.names}
-        self.since: dict[str, int] = {}  # when the first of the standing reports of a subject was learnt
-        self.changed_at: dict[str, int] = {}  # when a member came to its state
+        self.since: dict[str, int] = {}  # when the first report in force was learnt, by subject (us)
+        self.changed_at: dict[str, int] = {}  # when a member entered its state (us)
         self.last_report_at = -(10**18)
         self.digest = 0  # of all words and verdicts
-        self.silence_digest = 0  # of all silent edges that stand, as of the last look
-        self.disputed_members = 0  # members reported and vouched for by nobody, at the last look
-        self.majority_since: Optional[int] = None  # since when this side is most of the configured
-        self.needs_update = True  # something was merged since the last look
+        self.silence_digest = 0  # of all silent edges in force, as of the last update
+        self.disputed_members = 0  # members reported without a voucher, as of the last update
+        self.majority_since: Optional[int] = None  # since when this side is the majority (us)
+        self.needs_update = True  # something was merged since the last update
         self.look_at = 0
 
     # ---- merging: commutative, associative, idempotent
 
     def merge_word(self, name: str, word: Word) -> bool:
+        """Merge a word; return whether it was news."""
         known = self.words.get(name)
         if name not in self.states or (known is not None and word <= known):
             return False
@@ -185,6 +188,7 @@
         return True
 
     def merge_edge(self, now: int, observer: str, subject: str, edge: Edge) -> bool:
+        """Merge an edge; return whether it was news."""
         if observer not in self.states or subject not in self.states or observer == subject:
             return False
         known = self.edges.get(subject, {}).get(observer)
@@ -200,7 +204,7 @@
         return True
 
     def merge_verdict(self, name: str, verdict: Verdict) -> bool:
-        """Taken over where most of the configured stood behind it; a minority's is its own."""
+        """Merge a verdict that a majority agreed on; return whether it was news."""
         word, known = self.words.get(name), self.verdicts.get(name)
         if (
             name not in self.states
@@ -218,11 +222,11 @@
 
     @staticmethod
     def _answers_verdict(verdict: Verdict, word: Word) -> bool:
-        """Whether the word answers the verdict: by a later life or incarnation, or by having left."""
+        """Whether a word invalidates a verdict: by a later life or incarnation, or by having left."""
         return verdict[:2] < (word.start, word.incarnation) or (word.left and verdict.start <= word.start)
 
     def dead(self, name: str) -> Optional[Verdict]:
-        """The verdict that stands on a member as it is now."""
+        """Return the verdict in force on a member."""
         word = self.words.get(name)
         for verdict in (self.verdicts.get(name), self.minority_verdicts.get(name)):
             if verdict is not None and word is not None and verdict[:2] == (word.start, word.incarnation):
@@ -230,22 +234,29 @@
         return None
 
     def _toggle_digest(self, name: str, record: Optional[tuple]) -> None:
-        """Two members with the same digest hold the same words and verdicts. A verdict's side is left out: it is told once."""
+        """Add a record to the digest, or remove it.
+
+        Members with the same digest hold the same words and verdicts. A verdict's side is left out.
+        """
         if record is not None:
             self.digest ^= _hashed(
                 f"{name} {record[:2] if isinstance(record, Verdict) else tuple(record)} {type(record).__name__}"
             )
 
-    # ---- what follows
+    # ---- evaluation
 
     def usable(self, name: str) -> bool:
+        """Whether a member may be probed and asked for help."""
         return self.states[name] in USABLE
 
     def subjects(self) -> list[str]:
+        """Return the members that this one observes."""
         return self.rings.subjects(self.me, self.usable)
 
     def standing(self, subject: str) -> dict[str, Edge]:
-        """The edges to a subject that hold: of its present life and incarnation, by observers as they are now."""
+        """Return the edges in force to a subject, by observer: those of its present life and incarnation, by
+        usable observers.
+        """
         word = self.words.get(subject)
         if word is None:
             return {}
@@ -257,6 +268,7 @@
         }
 
     def _stands(self, observer: str, edge: Edge) -> bool:
+        """Whether the observer of an edge is usable and unchanged since."""
         word = self.words.get(observer)
         return (
             word is not None
@@ -267,8 +279,12 @@
     def update_states(
         self, now: int, health: int = 0, heard: Callable[[str], Optional[int]] = lambda name: 1 << 62
     ) -> list[Change]:
-        """Brings the states up to now; what changed. Nothing is looked at again before something was merged or is due.
-        `heard`: when a probe of one's own to a subject was sent that was answered, the newest."""
+        """Bring the states up to date; return what changed. Does nothing unless something was merged or is
+        due.
+
+        `health`: the detector's health score, which lengthens the patience. `heard`: when the newest answered
+        probe of one's own to a subject was sent.
+        """
         if not self.needs_update and now < self.look_at:
             return []
         self.needs_update, self.look_at = False, now + 10**12
@@ -304,7 +320,7 @@
             )
         }
         reported = {name: some - unreliable for name, some in silent.items()}
-        # Who is reported and vouched for by nobody may be on the other side of a cut that is just being found.
+        # A member reported without a voucher may be beyond a partition that is just being detected.
         side = sum(name == self.me or not silent.get(name) or bool(vouched.get(name)) for name in here)
         self.disputed_members = len(here) - side
         self.majority_since = (
@@ -356,8 +372,9 @@
         partitioned: bool,
         heard: Callable[[str], Optional[int]],
     ) -> None:
-        """Finds a verdict where the reports are enough, in time, and nobody sound vouches. A minority's verdict becomes one of
-        most as soon as its side is."""
+        """Issue a verdict if there are enough reports, for long enough, and no voucher. A minority's verdict
+        is upgraded once its side is the majority.
+        """
         word, dead = self.words[name], self.dead(name)
         agreed = 2 * side > len(self.names)
         if not reporters:
@@ -419,8 +436,9 @@
             self._schedule_update(due)
 
     def _hears_majority(self, since: int, heard: Callable[[str], Optional[int]]) -> bool:
-        """Whether most of one's own subjects, oneself among them, have answered since then. While a cut is being found, those
-        beyond it of whom no silence was told yet would count for this side; one's own ears tell sooner."""
+        """Whether most of the own subjects have answered since then. During the detection of a partition,
+        members beyond it would otherwise count as on this side.
+        """
         subjects = self.subjects()
         answered = 1 + sum((at := heard(name)) is not None and at >= since for name in subjects)
         if 2 * len(self.names) <= 3 * OBSERVERS_PER_MEMBER:
@@ -428,11 +446,14 @@
         return answered >= MIN_ANSWERED_SHARE * (len(subjects) + 1)
 
     def _voucher_lifetime(self, name: str, edge: Edge, partitioned: bool) -> float:
-        """How long (us) a voucher stands: longer where it answers reports that stood already, as the next may be slow to come."""
+        """Return how long a voucher is valid (us): longer if it answers earlier reports, as the next may be
+        slow to come.
+        """
         longer = partitioned or edge.at >= self.since.get(name, math.inf)
         return VOUCHER_PERIODS * self.period * (PARTITION_VOUCHER_FACTOR if longer else 1.0)
 
     def _state(self, now: int, name: str, reporters: set[str], vouchers: set[str]) -> str:
+        """Return a member's state from the evidence."""
         word = self.words.get(name)
         if word is None:
             return UNHEARD
@@ -457,7 +478,7 @@
         return (word.start, word.incarnation) if word is not None else (0, 0)
 
     def _drop_outdated_edges(self) -> None:
-        """Edges that have lost their ground are dropped: a newer word or verdict stands against them for good."""
+        """Drop edges that a newer word invalidates for good."""
         for subject in list(self.edges):
             word = self.words.get(subject)
             remaining = {
@@ -473,15 +494,16 @@
                 del self.edges[subject]
                 self.since.pop(subject, None)
 
-    # ---- for those who build on it
+    # ---- queries
 
     def side(self) -> int:
-        """How many members are on this side: usable and not given up by half of their observers."""
+        """Return how many members are on this side."""
         return sum(self.usable(name) or name == self.me for name in self.names)
 
     def view(self) -> dict[str, tuple[str, int, int]]:
-        """Name -> (state, start, incarnation)."""
+        """Return name -> (state, start, incarnation)."""
         return {name: (self.states[name], *self._life(name)) for name in self.names}
 
     def counts(self) -> Counter[str]:
+        """Return the number of members in each state."""
         return Counter(self.states.values())
--- a/cedarshift/judge/spending.py
+++ b/cedarshift/judge/spending.py
@@ -1,27 +1,24 @@
-"""Spending a share: a bucket for its rate, and what is asked for by what was wished lately. No I/O; times are whole
+"""Spending of a leased share: a token bucket, and an estimate of the rate to ask for. No I/O; times are
 microseconds.
 
-There is no debt: what is not there is refused. A new share begins with nothing in its bucket, and a smaller one is cut to its own
-burst at once. So what lies in all buckets of a fleet is never above the whole's burst, but for the one token that a
-spender with a small rate may save up: over any span the fleet spends at most whole x (span + burst) + one token a spender.
+There is no debt: without a token a request is refused. A new share starts with an empty bucket, and a smaller
+share truncates the bucket to its own burst at once. So over any interval a fleet spends at most capacity x
+(interval + burst), plus one token for each spender with a small rate.
 """
 
 from __future__ import annotations
 
 from collections import deque
 
-# Constants: unit, then the reason for the size.
-PARTS_PER_TOKEN = 1_000  # of a token, in which rates are divided
+PARTS_PER_TOKEN = 1_000  # resolution in which rates are divided
 SECOND = 1_000_000  # us
-MAX_SAMPLES = 6  # samples of what was wished; the greatest of the last two and the mean of all count
-MIN_INTERVAL_US = SECOND // 10  # us; a shorter span tells of single wishes
-HEADROOM = (
-    1.25  # of a rate that is asked for over what was wished, so that growth finds room before it is refused
-)
+MAX_SAMPLES = 6
+MIN_INTERVAL_US = SECOND // 10  # shorter intervals are too noisy
+HEADROOM = 1.25  # times the measured rate, so that demand can grow without refusals
 
 
 class TokenBucket:
-    """`burst` in us of the rate; `drift` is taken off the filling, as this clock may run fast. Level in parts x us / s."""
+    """`burst` in microseconds of the rate; `drift` is deducted when refilling, as this clock may run fast."""
 
     def __init__(self, burst: int, drift: float, now: int) -> None:
         self.burst = burst
@@ -29,7 +26,7 @@
         self.rate = 0  # parts a second
         self.until = now
         self.updated_at = now
-        self.tokens = 0.0  # tokens
+        self.tokens = 0.0
         self.spent = 0
         self.refused = 0
 
@@ -37,7 +34,7 @@
         return max(1.0, self.rate * self.burst / SECOND / PARTS_PER_TOKEN) if self.rate else 0.0
 
     def _settle(self, now: int) -> None:
-        """Fills up to now, or to the share's end, after which nothing is left."""
+        """Refill up to `now`; after the end of the share the bucket is empty."""
         interval = min(now, self.until) - self.updated_at
         if interval > 0:
             self.tokens = min(
@@ -49,7 +46,7 @@
             self.tokens, self.rate = 0.0, 0
 
     def grant(self, now: int, rate: int, until: int) -> None:
-        """From now on `rate` parts a second until `until`."""
+        """Set the rate to `rate` parts a second until `until`."""
         self._settle(now)
         if not self.rate:
             self.tokens = 0.0
@@ -57,7 +54,7 @@
         self.tokens = min(self.tokens, self._max_tokens())
 
     def take(self, now: int) -> bool:
-        """One token, if there is one."""
+        """Take one token; return whether there was one."""
         self._settle(now)
         if self.tokens < 1.0:
             self.refused += 1
@@ -67,7 +64,7 @@
         return True
 
     def time_to_next(self, now: int) -> int:
-        """us until there may be a token under the present share; a second where it has none."""
+        """Return the microseconds until the next token under the present share; one second if it has none."""
         self._settle(now)
         if not self.rate:
             return SECOND
@@ -75,25 +72,26 @@
 
 
 class DemandEstimator:
-    """What is asked for: by what was wished, granted or not, in the spans between two looks."""
+    """Estimates the rate to ask for from the requests made lately, granted or not."""
 
     def __init__(self, now: int) -> None:
         self.since = now
         self.count = 0
-        self.samples: deque[tuple[int, int]] = deque(maxlen=MAX_SAMPLES)  # span, wishes
+        self.samples: deque[tuple[int, int]] = deque(maxlen=MAX_SAMPLES)  # (interval in us, requests)
 
     def record(self) -> None:
+        """Count one request."""
         self.count += 1
 
     def close_interval(self, now: int) -> None:
-        """Ends a span; one that is too short goes on."""
+        """End the current interval, unless it is too short."""
         interval = now - self.since
         if interval >= MIN_INTERVAL_US:
             self.samples.append((interval, self.count))
             self.since, self.count = now, 0
 
     def rate(self) -> int:
-        """Parts a second to ask for, by the spans that have ended."""
+        """Return the rate to ask for, in parts a second, from the completed intervals."""
         if not any(requests for _, requests in self.samples):
             return 0
         mean = (
--- a/cedarshift/judge/trials.py
+++ b/cedarshift/judge/trials.py
@@ -1,11 +1,13 @@
-"""When a sick endpoint is tried again, by whom, and how fast it gets its share back: one trial for the whole fleet. No I/O.
+"""Circuit breaker for sick endpoints, shared by the fleet: when one is probed, by whom, and how it recovers.
+No I/O.
 
-At sites without slices each proxy picks among all endpoints and avoids by itself one that failed it. Left to themselves a thousand proxies
-try a sick endpoint a thousand times each few seconds, and all send it their full share at the first good answer. Here an endpoint that enough
-proxies shun is shut for all; the pilot to which it falls by lot lets one proxy at a time try it; then its share doubles, step by step.
+At sites without slices each proxy picks among all endpoints and avoids those that failed it. Unsupervised, a
+thousand proxies would probe a sick endpoint a thousand times each few seconds, and all return at its first
+good answer. Here an endpoint that enough proxies shun is closed for all; one pilot lets one proxy at a time
+probe it, and then its share is doubled step by step.
 
-Which pilot: the highest digest of endpoint and pilot among those that live and have proxies. Pilots that disagree on who lives may
-try twice for as long as they do; nothing else hangs on it. Spans are microseconds.
+That pilot is chosen by rendezvous hashing among the live ones that have proxies. While pilots disagree on who
+lives, an endpoint may be probed twice; this does no harm. Times are microseconds.
 """
 
 from __future__ import annotations
@@ -16,33 +18,32 @@
 from hashlib import blake2b
 from typing import Iterable, NamedTuple, Optional
 
-from cedarshift.judge.rng import Lcg
-
-# Constants: unit, then the reason for the size.
-MIN_SHUN_SHARE = 0.2  # of the fleet's proxies; fewer may have a bad way to it
-MIN_SHUNNING_PROXIES = 2  # proxies, where there are so many
-PROBE_INTERVAL_US = (
-    1_000_000  # us between two probes of the whole fleet; doubled each time that it was shut again soon
-)
-MAX_PROBE_INTERVAL_US = 8_000_000  # us
-PROBE_TIMEOUT_US = 3_000_000  # us for a probe to be told, made and reported
-PROBES_TO_RAMP = 3  # in a row; what fails every second op passes one in eight times
-RAMP_INITIAL_SHARE = 1 / 16  # of its share
-RAMP_INTERVAL_US = 1_000_000  # us until that is doubled: sums of the step before have come by then
-MIN_RAMP_TRIES = 4  # of a step, before its failures count
-MAX_RAMP_ABORT_SHARE = 0.4  # share of them aborted
-STRIKE_MEMORY_US = 60_000_000  # us that a strike counts after an endpoint was well again
-MAX_REPORTED_TRIALS = 8  # told between pilots; more at a time are no single endpoints' matter
+from cedarshift.judge.chance import Lcg
+
+MIN_SHUN_SHARE = 0.2  # of the fleet's proxies; fewer may have a network problem of their own
+MIN_SHUNNING_PROXIES = 2
+PROBE_INTERVAL_US = 1_000_000  # for the whole fleet; doubled with each strike
+MAX_PROBE_INTERVAL_US = 8_000_000
+PROBE_TIMEOUT_US = 3_000_000  # to deliver, make and report a probe
+PROBES_TO_RAMP = 3  # consecutive good probes
+RAMP_INITIAL_SHARE = 1 / 16
+RAMP_INTERVAL_US = 1_000_000  # then the share is doubled
+MIN_RAMP_TRIES = 4  # in a step, before its failures count
+MAX_RAMP_ABORT_SHARE = 0.4
+STRIKE_MEMORY_US = 60_000_000  # time for which a strike counts after recovery
+MAX_REPORTED_TRIALS = 8
 
 
 @lru_cache(maxsize=1 << 16)
 def tag_of(endpoint: str) -> int:
-    """An endpoint's name as 32 bits, for what pilots tell each other."""
+    """Return a 32-bit hash of an endpoint's name, as exchanged between pilots."""
     return int.from_bytes(blake2b(endpoint.encode(), digest_size=4).digest(), "big")
 
 
 class TrialReport(NamedTuple):
-    """What a pilot tells: how many proxies it has, by tag how many of them shun an endpoint, and the share and strikes of those that it tries."""
+    """What a pilot tells the others: its number of proxies, how many of them shun an endpoint (by tag), and
+    share and strikes of its own trials.
+    """
 
     proxies: int
     shuns: dict[int, int]
@@ -51,7 +52,9 @@
 
 @dataclass
 class Trial:
-    """`share` 0: shut, probed; else growing. `prober` was let try it `asked_at`."""
+    """A trial of one endpoint. `share` 0: closed and probed; otherwise growing. `prober` was asked to probe
+    at `asked_at` (us).
+    """
 
     share: float
     strikes: int
@@ -65,7 +68,7 @@
 
 
 class Trials:
-    """One in each pilot."""
+    """The trials of one pilot, `me`; `seed` is for its random generator."""
 
     def __init__(self, me: str, seed: int) -> None:
         self.me = me
@@ -73,21 +76,26 @@
         self.shuns: dict[str, frozenset[str]] = {}  # by proxy
         self.reports: dict[str, TrialReport] = {}  # by other pilot
         self.own_trials: dict[str, Trial] = {}
-        self.strikes_until: dict[str, tuple[int, int]] = {}  # endpoint -> strikes, until when they count
+        self.strikes_until: dict[str, tuple[int, int]] = {}  # endpoint -> (strikes, until when they count)
 
-    # ---- what is known
+    # ---- input
 
     def on_proxy(self, proxy: str, shunned: Iterable[str]) -> None:
+        """Set the endpoints that a proxy shuns."""
         self.shuns[proxy] = frozenset(shunned)
 
     def on_left(self, proxy: str) -> None:
+        """Forget a proxy that has left."""
         self.shuns.pop(proxy, None)
 
     def on_report(self, pilot: str, report: TrialReport) -> None:
+        """Take in another pilot's report."""
         self.reports[pilot] = report
 
     def on_met(self, now: int, proxy: str, endpoint: str, tries: int, aborted: int) -> None:
-        """What a proxy met there. While it is shut only the one that was asked counts: others' tries began before."""
+        """Count a proxy's ops at an endpoint. While it is closed only its prober counts: other ops began
+        earlier.
+        """
         trial = self.own_trials.get(endpoint)
         if trial is None or not tries:
             return
@@ -98,10 +106,10 @@
             trial.prober = ""
             trial.good_probes = 0 if aborted else trial.good_probes + 1
 
-    # ---- what follows
+    # ---- trials
 
     def owner(self, endpoint: str, living: Iterable[str]) -> str:
-        """The pilot whose trial it is."""
+        """Return the pilot that runs the trial of an endpoint."""
         able = [
             name
             for name in living
@@ -114,7 +122,9 @@
         )
 
     def step(self, now: int, endpoints: Iterable[str], living: Iterable[str]) -> dict[str, float]:
-        """Shares of endpoints that are on trial, here or at another pilot, 0 for shut; absent: as ever. `living`: this one among them."""
+        """Return the shares of the endpoints on trial at any pilot, 0 if closed; others are not restricted.
+        `living`: the live pilots.
+        """
         living_pilots = set(living) | {self.me}
         found: dict[str, float] = {}
         counts = self._shunned(living_pilots)
@@ -132,7 +142,7 @@
         for endpoint in listed:
             tag = tag_of(endpoint)
             if tag not in counts and tag not in remote_tags and endpoint not in self.own_trials:
-                continue  # most are well: nobody has to be found for them
+                continue  # nothing known against it
             owner = self.owner(endpoint, living_pilots)
             if owner != self.me:
                 self.own_trials.pop(endpoint, None)
@@ -150,10 +160,11 @@
         return found
 
     def _own_shuns(self) -> dict[int, int]:
-        """How many of this pilot's proxies shun an endpoint, by tag."""
+        """Return how many of this pilot's proxies shun an endpoint, by tag."""
         return dict(Counter(tag_of(endpoint) for shunned in self.shuns.values() for endpoint in shunned))
 
     def _shunned(self, living_pilots: set[str]) -> dict[int, int]:
+        """Return how many proxies of all live pilots shun an endpoint, by tag."""
         counts = self._own_shuns()
         for name, report in self.reports.items():
             for tag, count in report.shuns.items() if name in living_pilots else ():
@@ -161,7 +172,7 @@
         return counts
 
     def _inherited_strikes(self, tag: int) -> int:
-        """Strikes that a former owner of the trial told of."""
+        """Return the strikes that a former owner of the trial reported."""
         return max(
             (report.trials[tag][1] for report in self.reports.values() if tag in report.trials), default=0
         )
@@ -190,7 +201,7 @@
             trial.prober, trial.good_probes = (
                 "",
                 0,
-            )  # no word of it: the proxy had no op to try it with, or has left
+            )  # no result: the proxy had no op to try it with, or has left
 
     def _ramp(self, now: int, endpoint: str, trial: Trial) -> None:
         if trial.tries >= MIN_RAMP_TRIES and trial.failed > MAX_RAMP_ABORT_SHARE * trial.tries:
@@ -207,7 +218,9 @@
                 self.strikes_until[endpoint] = (trial.strikes, now + STRIKE_MEMORY_US)
 
     def probe(self, now: int, proxy: str) -> Optional[str]:
-        """An endpoint that this proxy may try once now, chosen by lot among the proxies as they beat."""
+        """Return an endpoint that this proxy may probe once now; the proxy is picked at random among those
+        that send heartbeats.
+        """
         for endpoint, trial in self.own_trials.items():
             if (
                 not trial.share
@@ -224,7 +237,7 @@
         return None
 
     def report(self) -> TrialReport:
-        """What the other pilots are to know."""
+        """Return what the other pilots need to know."""
         counts = self._own_shuns()
         most = sorted(counts, key=lambda tag: (-counts[tag], tag))[:MAX_REPORTED_TRIALS]
         own_trials = sorted(
--- a/cedarshift/judge/trust.py
+++ b/cedarshift/judge/trust.py
@@ -1,47 +1,37 @@
-"""How far a fact that a peer lent is believed. No I/O; times are microseconds of this pilot's own clock, passed in.
+"""Weighs facts borrowed from other pilots. No I/O; times are microseconds of this pilot's clock, passed in.
 
-A fact's time is the *oldest* at which its origin can have heard it: what the lender states as its age, and all that
-passed here from the asking on. So nothing grows fresher by travelling, in a ring neither.
+A fact's time is the *earliest* at which its origin can have heard it: the age stated by the lender plus all
+time since the request. So facts never become fresher by being passed on, not even in a ring.
 
-Of what lenders say of an endpoint two things are kept a source: the newest bad news and the newest good news. Each is
-kept by a total order, so the order in which facts arrive, and how often, makes no difference. Bad news is that an
-endpoint drains, is gone, or was found sick; good news that it is on. What this pilot hears first-hand stands beside
-them, and is never mixed into what it lends as its own.
+For each endpoint and source the newest bad report (draining, gone or sick) and the newest good report (on)
+are kept, by a total order: neither arrival order nor duplicates matter. First-hand information is kept
+separately and is never lent as borrowed.
 """
 
 from __future__ import annotations
 
 from typing import NamedTuple, Optional
 
-# Constants: unit, then the reason for the size.
-GOOD_HALF_LIFE_US = (
-    10_000_000  # us; a list is confirmed every few seconds, so good news of 10 s ago is half a guess
-)
-BAD_HALF_LIFE_US = (
-    60_000_000  # us; believing for too long that an endpoint is bad costs room, the reverse costs rules
-)
-SICK_HALF_LIFE_US = (
-    30_000_000  # us; the module's own hold on a sick endpoint is 15 s, doubled with each strike
-)
-HOP_FACTOR = 0.7  # of the weight left by each borrowing: every hand is one that may have erred
-MIN_GOOD_WEIGHT = 0.5  # weight from which good news counts: fresh, and first-hand at the lender or nearly so
-MIN_BAD_WEIGHT = 0.1  # weight from which bad news counts: an old warning is still one
-UNSOUND_FACTOR = 0.5  # of the weight of good news left when the lender is cut off: bad news keeps its own
-LIST_STALE_AFTER_US = (
-    6_000_000  # us without a word from its list after which a lender counts as cut off from it
-)
-CLOCK_DRIFT = 0.01  # share by which a clock elsewhere may run slow
-MAX_WARNED_SHARE = (
-    0.34  # share of the endpoints on this pilot's list that lenders may talk it out of: a lender
-)
-# that calls more of them bad is wrong or lies, and must not empty a pool
-MAX_HOPS = 4  # a fact handed on more often is not taken: its weight is under a quarter
+GOOD_HALF_LIFE_US = 10_000_000  # lists are confirmed every few seconds
+BAD_HALF_LIFE_US = 60_000_000  # a stale warning costs only capacity
+SICK_HALF_LIFE_US = 30_000_000
+HOP_FACTOR = 0.7  # weight kept per hop
+MIN_GOOD_WEIGHT = 0.5  # below it a good report is ignored
+MIN_BAD_WEIGHT = 0.1  # below it a bad report is ignored
+UNSOUND_FACTOR = 0.5  # weight kept by good reports of a lender that is cut off
+LIST_STALE_AFTER_US = 6_000_000  # list silence after which a lender counts as cut off
+CLOCK_DRIFT = 0.01  # share by which another clock may run slow or fast
+# Of the listed endpoints; more warnings are ignored, so that a faulty lender cannot empty a pool
+MAX_WARNED_SHARE = 0.34
+MAX_HOPS = 4  # facts with more hops are dropped
 
 ON, BAD = "on", ("fading", "off")
 
 
 class PhaseReport(NamedTuple):
-    """What one source said of an endpoint's phase, ordered: newer revision, newer time, then the worse, then by name."""
+    """An endpoint's phase according to one source, ordered by revision, time, severity and names. `heard` is
+    in microseconds.
+    """
 
     rev: int
     heard: int  # us
@@ -53,7 +43,7 @@
 
 
 class SicknessReport(NamedTuple):
-    """Found sick by a pilot's sums: until when, told when."""
+    """A pilot's finding that an endpoint is sick: until when, and when it was heard (us)."""
 
     until: int
     heard: int
@@ -62,7 +52,7 @@
 
 
 class OwnEntry(NamedTuple):
-    """This pilot's own entry: what its list says, and when that list last answered."""
+    """This pilot's own list entry, and when its list last answered (`confirmed`, us)."""
 
     phase: str
     start: str
@@ -73,54 +63,60 @@
 
 
 def age_of(heard: int, now: int) -> int:
+    """Return the age in microseconds, never negative."""
     return max(0, now - heard)
 
 
 def oldest_heard_at(asked: int, stated_age: int) -> int:
-    """The oldest time at which it can have been heard: the age, with a slow clock's part, before the asking."""
+    """Return the earliest time at which a fact can have been heard: its age, allowing for a slow clock,
+    before the request.
+    """
     return asked - stated_age - int(stated_age * CLOCK_DRIFT)
 
 
 def latest_start(received: int, stated_age: int) -> int:
-    """The latest time at which a process of that age can have started: the answer may have been written just now, and the
-    clock that measured the age may run fast. A cold endpoint must not pass for a warm one while its facts travel."""
+    """Return the latest time at which a process of the stated age can have started.
+
+    The answer may have been written just now, and the clock that measured the age may run fast. A cold
+    endpoint must not pass for a warm one.
+    """
     return received - stated_age + int(stated_age * CLOCK_DRIFT)
 
 
 def weight(age: int, hops: int, half_life: int, lender_soundness: float = 1.0) -> float:
+    """Return the weight of a fact: it decays with age and with each hop."""
     return 0.5 ** (age / half_life) * HOP_FACTOR**hops * lender_soundness
 
 
 class Lender(NamedTuple):
-    """What a lender says of itself, with the time at which its list had answered last, as seen from here."""
+    """What a lender states of itself, and when its list had last answered (us, this clock)."""
 
     life: str
     list_heard: int
     in_charge: bool
 
     def soundness(self, now: int) -> float:
-        """Believed by its ages, whatever else it claims."""
+        """Return the factor for this lender's good reports: 1 while its list is recent and it is in charge."""
         return (
             1.0 if age_of(self.list_heard, now) <= LIST_STALE_AFTER_US and self.in_charge else UNSOUND_FACTOR
         )
 
 
 class BorrowedFacts:
-    """All that was borrowed of the endpoints."""
+    """All borrowed facts about endpoints."""
 
     def __init__(self) -> None:
         self.good: dict[tuple[str, str], PhaseReport] = {}  # (endpoint, source)
         self.bad: dict[tuple[str, str], PhaseReport] = {}
-        self.starts: dict[
-            tuple[str, str], int
-        ] = {}  # (endpoint, process) -> us at which it had started, at the latest
+        self.starts: dict[tuple[str, str], int] = {}  # (endpoint, process) -> latest possible start, us
         self.sickness: dict[str, SicknessReport] = {}
-        self.lender_soundness: dict[str, float] = {}  # origin -> soundness of the lender that brought it
+        self.lender_soundness: dict[str, float] = {}  # by origin
         self.sources: dict[str, set[str]] = {}
 
-    # ---- merging: the greatest of an order, whatever comes first
+    # ---- merging: commutative, associative, idempotent
 
     def merge_phase(self, endpoint: str, source: str, report: PhaseReport) -> None:
+        """Merge a phase report of one source."""
         kept = self.bad if report.bad else self.good
         if endpoint not in self.sources:
             self.sources[endpoint] = set()
@@ -128,22 +124,23 @@
         kept[endpoint, source] = max(report, kept.get((endpoint, source), report))
 
     def merge_start(self, endpoint: str, process: str, latest: int) -> None:
-        """`latest` is a bound, so of several of one process the earliest says most."""
+        """Merge an upper bound (us) on a process's start; the lowest bound is kept."""
         key = (endpoint, process)
         self.starts[key] = min(latest, self.starts.get(key, latest))
 
     def forget_starts(self, before: int) -> None:
-        """Those of processes that are warm by now tell nothing more."""
+        """Drop the starts before `before`: those processes are warm by now."""
         self.starts = {key: at for key, at in self.starts.items() if at >= before}
 
     def merge_sickness(self, endpoint: str, sickness: SicknessReport) -> None:
+        """Merge a sickness report."""
         self.sickness[endpoint] = max(sickness, self.sickness.get(endpoint, sickness))
 
     def set_soundness(self, origin: str, lender_soundness: float) -> None:
-        """How sound the lender was that brought this origin's facts last."""
+        """Store the soundness of the lender that last brought this origin's facts."""
         self.lender_soundness[origin] = lender_soundness
 
-    # ---- judging
+    # ---- evaluation
 
     def good_weight(self, report: PhaseReport, now: int) -> float:
         return weight(
@@ -157,8 +154,9 @@
         return weight(age_of(report.heard, now), report.hops, BAD_HALF_LIFE_US)
 
     def warning(self, endpoint: str, own: Optional[OwnEntry], now: int) -> Optional[PhaseReport]:
-        """The bad news of an endpoint that stands: fresh enough, and lifted neither by newer good news of the same source
-        nor by this pilot's own list."""
+        """Return the strongest bad report in force for an endpoint: recent enough, and superseded neither by
+        a newer good report of the same source nor by this pilot's own list.
+        """
         standing = []
         for source in sorted(self.sources.get(endpoint, ())):
             report = self.bad.get((endpoint, source))
@@ -173,21 +171,24 @@
 
     @staticmethod
     def _superseded_by_own(report: PhaseReport, source: str, own: OwnEntry) -> bool:
-        """First-hand news replaces borrowed news. Of one and the same list the newer revision is the newer news, whoever
-        heard it later; of different lists the later word is."""
+        """Whether first-hand information replaces a report: by revision if both are of the same list, else by
+        time.
+        """
         if own.source == source:
             return own.rev >= report.rev
         return own.confirmed > report.heard
 
     def started(self, endpoint: str, own: OwnEntry, now: int, warm_within: int) -> Optional[int]:
-        """A start that this pilot's own list does not tell of; only of the process that it lists."""
+        """Return a borrowed start (us) of the listed process where the own list states none and it is still
+        warming up.
+        """
         latest = self.starts.get((endpoint, own.start))
         if latest is None or own.started is not None or now - latest >= warm_within:
             return None
         return latest
 
     def sick_until(self, endpoint: str, now: int) -> int:
-        """0 where no borrowed judgement stands."""
+        """Return until when (us) an endpoint counts as sick; 0 if no report is in force."""
         sickness = self.sickness.get(endpoint)
         if sickness is None or sickness.until <= now:
             return 0
@@ -198,7 +199,9 @@
         )
 
     def offered(self, now: int) -> dict[str, PhaseReport]:
-        """What a pilot without a list of its own may take for one: endpoints with good news that counts, no warning."""
+        """Return the endpoints with usable good reports and no warning, for a pilot that has no list of its
+        own.
+        """
         found: dict[str, PhaseReport] = {}
         for (endpoint, _), report in sorted(self.good.items()):
             if self.good_weight(report, now) >= MIN_GOOD_WEIGHT and self.warning(endpoint, None, now) is None:
@@ -206,8 +209,9 @@
         return found
 
     def warnings(self, own: dict[str, OwnEntry], now: int) -> dict[str, PhaseReport]:
-        """The warnings that hold against this pilot's own list: all, or none where they would talk it out of more than
-        DOUBT_MOST of what it lists as on; the heaviest first, so that a few true ones are not lost among many."""
+        """Return the warnings against endpoints of this pilot's list; none if they exceed MAX_WARNED_SHARE of
+        those that are on.
+        """
         running = [name for name, entry in own.items() if entry.phase == ON]
         found = {
             name: report for name in running if (report := self.warning(name, own[name], now)) is not None
