--- a/cedarshift/judge/budgets.py
+++ b/cedarshift/judge/budgets.py
@@ -118,15 +118,15 @@
         return given
     for name in unfilled:
         given[name] = left * weight_of.get(name, 1) // weight
-    over = left - sum(given[name] for name in unfilled)
+    leftover = left - sum(given[name] for name in unfilled)
     names = sorted(unfilled)
-    for at in range(over):
+    for at in range(leftover):
         given[names[(at + rotation) % len(names)]] += 1
     return given
 
 
 class Plan:
-    """The validated tree of budgets. `holders`: how many there are with a floor each. Raises InvalidBudget."""
+    """The validated tree of budgets. `holders`: how many have a floor each. Raises InvalidBudget."""
 
     def __init__(self, budgets: Iterable[Budget], holders: int) -> None:
         self.budgets = {budget.name: budget for budget in budgets}
@@ -488,8 +488,8 @@
         if not self.suspicions:
             return set()
         asking = {holder for _, holder, _ in self.accounts}
-        told = [name for one, names in self.suspicions.items() if one in asking for name in names]
-        return {name for name in set(told) if 2 * told.count(name) > len(asking)}
+        suspected_names = [name for one, names in self.suspicions.items() if one in asking for name in names]
+        return {name for name in set(suspected_names) if 2 * suspected_names.count(name) > len(asking)}
 
     def _grant(
         self, now: int, key: Key, target: int, presented: int
--- a/cedarshift/judge/charge.py
+++ b/cedarshift/judge/charge.py
@@ -92,7 +92,7 @@
         an unknown pilot.
         """
         if pilot not in self.absent_since:
-            raise ValueError(f"pilot {pilot!r} is none of {', '.join(self.pilots)}")
+            raise ValueError(f"unknown pilot {pilot!r}, configured: {', '.join(self.pilots)}")
         self.last_session += 1
         self.holders[pilot] = PilotSession(self.last_session, now, now + self.lease)
         for row in self.rows.values():
@@ -149,10 +149,12 @@
             return row.pilot
         if not row.pilot and now - self.absent_since[home] < self.takeover:
             return None
-        live = [name for name in self.pilots if name in self.holders]
-        if row.pilot in live:
+        live_pilots = [name for name in self.pilots if name in self.holders]
+        if row.pilot in live_pilots:
             return row.pilot
-        return max(live, key=lambda name: (self._rendezvous_score(name, row.slice), name), default=None)
+        return max(
+            live_pilots, key=lambda name: (self._rendezvous_score(name, row.slice), name), default=None
+        )
 
     @staticmethod
     def _rendezvous_score(pilot: str, slice_id: int) -> bytes:
@@ -190,10 +192,10 @@
 
     def due(self, now: int) -> int:
         """Return when `step` may have something to do next (us)."""
-        times = [holder.until for holder in self.holders.values()]
-        times += [holder.since + self.back_after for holder in self.holders.values()]
-        times += [at + self.takeover for at in self.absent_since.values()]
-        return min((at for at in times if at > now), default=now + self.lease)
+        deadlines = [holder.until for holder in self.holders.values()]
+        deadlines += [holder.since + self.back_after for holder in self.holders.values()]
+        deadlines += [at + self.takeover for at in self.absent_since.values()]
+        return min((at for at in deadlines if at > now), default=now + self.lease)
 
     # ---- orders
 
@@ -202,7 +204,7 @@
         row = self.rows.get(slice_id)
         holder = self.holders.get(pilot)
         if row is None:
-            return f"there is no slice {slice_id}"
+            return f"unknown slice {slice_id}"
         if holder is None or holder.number != session or now >= holder.until:
             return "the session has ended"
         if row.pilot != pilot:
--- a/cedarshift/judge/claims.py
+++ b/cedarshift/judge/claims.py
@@ -52,7 +52,7 @@
     """
 
     def __init__(self, lease: int, era: int, recovery_until: int) -> None:
-        assert lease > 0, "a claim without an end could never pass on"
+        assert lease > 0, "the lease must be positive"
         self.lease = lease
         self.era = era
         self.recovery_until = recovery_until
--- a/cedarshift/judge/membership.py
+++ b/cedarshift/judge/membership.py
@@ -129,8 +129,8 @@
         affected = {node.endpoint}
         if before is not None and before.endpoint != node.endpoint:
             affected |= self._remove_node(name)
-        known = self.endpoints.setdefault(node.endpoint, EndpointHistory())
-        self._identify_process(now, known, node)
+        history = self.endpoints.setdefault(node.endpoint, EndpointHistory())
+        self._identify_process(now, history, node)
         self.nodes[name] = node
         self.nodes_by_endpoint.setdefault(node.endpoint, set()).add(name)
         return affected
@@ -146,38 +146,38 @@
             del self.nodes_by_endpoint[node.endpoint]
         return {node.endpoint}
 
-    def _identify_process(self, now: int, known: EndpointHistory, node: Node) -> None:
+    def _identify_process(self, now: int, history: EndpointHistory, node: Node) -> None:
         """Detect whether a node belongs to another process than the known one.
 
         A start stated by the node decides. Otherwise two concurrent sessions are two processes, and a
         returning endpoint is the same process if it was absent briefly or acked in the meantime.
         """
-        if not known.process:
-            known.process, known.start, known.owner = node.start or "0", node.start, node.owner
+        if not history.process:
+            history.process, history.start, history.owner = node.start or "0", node.start, node.owner
             return
-        if node.owner == known.owner and node.start == known.start:
+        if node.owner == history.owner and node.start == history.start:
             return
-        alive = [
+        live_nodes = [
             self.nodes[n]
             for n in self.nodes_by_endpoint.get(node.endpoint, ())
-            if self.nodes[n].owner == known.owner
+            if self.nodes[n].owner == history.owner
         ]
-        if node.start or known.start:
-            restarted = node.start != known.start
-        elif alive:
-            restarted = node.created_zxid > max(one.created_zxid for one in alive)
+        if node.start or history.start:
+            restarted = node.start != history.start
+        elif live_nodes:
+            restarted = node.created_zxid > max(one.created_zxid for one in live_nodes)
         else:
-            restarted = not self._same_after_absence(now, known)
+            restarted = not self._same_after_absence(now, history)
         if restarted:
-            known.generation += 1
-            known.process = node.start or str(known.generation)
+            history.generation += 1
+            history.process = node.start or str(history.generation)
             self.counts["restarts"] += 1
-        known.start, known.owner = node.start, node.owner
+        history.start, history.owner = node.start, node.owner
 
     @staticmethod
-    def _same_after_absence(now: int, known: EndpointHistory) -> bool:
-        left = known.absent_since if known.absent_since is not None else now
-        tries, aborted = known.outcomes_since(left)
+    def _same_after_absence(now: int, history: EndpointHistory) -> bool:
+        left = history.absent_since if history.absent_since is not None else now
+        tries, aborted = history.outcomes_since(left)
         if tries >= MIN_LOSS_OPS:
             return aborted < LOSS_SHARE * tries
         return now - left <= SAME_PROCESS_WITHIN_US
@@ -195,8 +195,8 @@
         if last is None or last.phase == OFF or endpoint in self.gone:
             return
         self.counts["vanished"] += 1
-        known = self.endpoints[endpoint]
-        known.absent_since = now
+        history = self.endpoints[endpoint]
+        history.absent_since = now
         # A node that is off, or that drained before, is removed at once.
         held = self.hold_us if entry is None and last.phase == ON else 0
         self.gone[endpoint] = VanishedEndpoint(now, now + held, last)
--- a/cedarshift/judge/overload.py
+++ b/cedarshift/judge/overload.py
@@ -1,11 +1,13 @@
-"""What a fleet lets in when its endpoints can't carry all that comes: the picture of load, and the answer to it. No I/O.
+"""Overload control: measures the load of the fleet and decides which share of it is admitted. No I/O.
 
-Each pilot tells the others a `Row` of what its proxies saw. From the rows that it holds each works out the same answer: which share of
-the offered work may be let in, filled by the op types that earn most for their cost. Ways weighed: `docs/design/overload.md`.
+Each pilot sends the others a `LoadReport` of what its proxies saw. From the reports that it has, each
+computes the same answer: the share of the offered work to admit, filled with the op types that earn most for
+their cost. The design is described in `docs/design/overload.md`.
 
-Shares are of 1, rates a second, spans microseconds. *Pressure* is how long an op that comes now will take at the middle endpoint, as a
-part of the tightest target latency. It is told by what is under way and what is acked (Little, 1961), not by what acks took: those came in
-before the queue was what it is. Unlike a mean the middle is not moved by a third of the endpoints that are dead, slow, or misreported.
+Shares are fractions of 1, rates per second, times microseconds. *Pressure* is the expected latency of a new
+op at the median endpoint, as a fraction of the tightest target latency. It is computed from ops in flight and
+acked (Little's law), not from measured latencies, which lag behind the queue. Unlike a mean, the median is
+not moved by a third of the endpoints being dead, slow or misreported.
 """
 
 from __future__ import annotations
@@ -15,74 +17,59 @@
 from dataclasses import dataclass, field
 from typing import Iterable, NamedTuple, Optional, Sequence
 
-# Constants: unit, then the reason for the size.
-TARGET_PRESSURE = (
-    0.3  # of the target; where endpoints never run dry and acks are in time with room for the unlucky
-)
-ENGAGE_PRESSURE = (
-    0.5  # of the target; beyond it what comes is shed: acks of twice the middle's time are late then
-)
-EASE_PRESSURE = 0.2  # of the target; under it the endpoints run dry, and more is let in
-ENGAGE_STEPS = 2  # looks in a row; one late sum sheds nothing
-ENGAGE_STEPS_AT_START = (
-    6  # looks in a row, while nothing was ever carried: the first ops of a start tell nothing
-)
-JOIN_OTHERS_SHARE = 0.9  # of the others; a pilot that sees nothing by itself sheds with them
-ENGAGE_NOW_PRESSURE = 0.65  # of the target; so much is no chance any more, and each half second counts
-GAIN_FACTOR = 0.8  # of the target by the delay of what is told: at 1.6 (a quarter turn of lag) the answer would swing for ever
-MAX_GAIN = 1.5  # of what is carried, a target's length from the aim; more would empty the queues of endpoints that are well
-MAX_PRESSURE_ERROR = 1.0  # of the target from the aim; beyond it the answer is as strong as it gets
-RISE_PER_S = 0.25  # of the known capacity a second, while endpoints run dry: all is back within four seconds
-FITS_SHARE = 0.95  # of the known capacity; what comes then is tried whole, while nobody waits for long
-CALM_AFTER_US = 3_000_000  # us that all fits before the limits are taken away
-SMOOTHING = 0.5  # weight of a new look at what is acked: the chance of a hundred ops a second is a tenth
-CAPACITY_DECAY = 0.99  # a look; a capacity that was seen once is forgotten within a minute
-MIN_SHARE = 0.05  # always let in: without any ack nothing would tell that the endpoints are back
-FULL_PRESSURE = 1.5  # of the target; what an op counts for that an endpoint was too full to take
-MAX_PRESSURE = 4.0  # of the target; an endpoint that answers nothing tells no more
-MIN_ACKED = 0.5  # acks within the view; with fewer one op under way would tell of a jam
-FRESH_FOR_US = 2_000_000  # us; a row younger than this counts whole
-STALE_AFTER_US = 8_000_000  # us; an older one counts for nothing
-OUTLIER_FACTOR = 4.0  # times the middle row; beyond it a row is taken for nonsense, and cut
-MIN_REPORTS_TO_CLAMP = 3  # rows from which there is a middle to hold one against
-CONSENSUS_PULL = (
-    0.3  # of the way to the middle of the others' shares: what differs by late rows does not stay apart
-)
-RESTART_GAP_US = 2_500_000  # us without a look, as after a stop: what was worked out before is worth nothing
-JAM_AFTER_US = 2_000_000  # us that what comes would fit and is not carried: longer than any burst's own queue takes to drain
-JAM_OFFERED_SHARE = 0.9  # of the known capacity; fresh work under it ought to be carried
-JAM_CARRIED_SHARE = (
-    0.3  # of the known capacity; queues that are full, and ops that come to nothing, leave more than that
-)
-JAM_LIMIT_SHARE = (
-    0.5  # of the known capacity, while a jam is ended: queues drain in the time that they took to fill
-)
-MAX_JAM_US = 8_000_000  # us; then it is no jam but less capacity, and is answered as that
-JAM_COOLDOWN_US = 20_000_000  # us before another may be found: the way out must not become a habit
-MAX_REPEAT_RATIO = 0.1  # repeats for each fresh op, in peace
+TARGET_PRESSURE = 0.3  # endpoints stay busy, with room for slow ops
+ENGAGE_PRESSURE = 0.5  # above it load is shed
+EASE_PRESSURE = 0.2  # below it endpoints run idle and more is admitted
+ENGAGE_STEPS = 2  # consecutive steps
+ENGAGE_STEPS_AT_START = 6  # consecutive steps, before anything was carried
+JOIN_OTHERS_SHARE = 0.9  # below it a pilot joins the others in shedding
+ENGAGE_NOW_PRESSURE = 0.65  # above it a single step is enough
+GAIN_FACTOR = 0.8  # below the stability limit of 1.6 (a quarter turn of lag)
+MAX_GAIN = 1.5
+MAX_PRESSURE_ERROR = 1.0
+RISE_PER_S = 0.25  # of the known capacity
+FITS_SHARE = 0.95  # of the known capacity
+CALM_AFTER_US = 3_000_000  # time for which all load fits before the limit is lifted
+SMOOTHING = 0.5  # weight of the newest sample of acked work
+CAPACITY_DECAY = 0.99  # per step; an outdated capacity is forgotten within a minute
+MIN_SHARE = 0.05  # always admitted, so that recovery is noticed
+FULL_PRESSURE = 1.5  # pressure of an op that an endpoint had no room for
+MAX_PRESSURE = 4.0
+MIN_ACKED = 0.5  # floor of the acked ops in the view
+FRESH_FOR_US = 2_000_000  # age up to which a report has its full weight
+STALE_AFTER_US = 8_000_000  # age from which a report has no weight
+OUTLIER_FACTOR = 4.0  # times the median; larger figures are clamped
+MIN_REPORTS_TO_CLAMP = 3
+CONSENSUS_PULL = 0.3  # towards the median of the others' shares, so that pilots do not drift apart
+RESTART_GAP_US = 2_500_000  # longest time between steps; then earlier state is discarded
+JAM_AFTER_US = 2_000_000  # longer than a burst's queue takes to drain
+JAM_OFFERED_SHARE = 0.9  # of the known capacity
+JAM_CARRIED_SHARE = 0.3  # of the known capacity; less means that the cause persists
+JAM_LIMIT_SHARE = 0.5  # of the known capacity, while queues drain
+MAX_JAM_US = 8_000_000  # after which the capacity counts as reduced
+JAM_COOLDOWN_US = 20_000_000  # until the next jam may be detected
+MAX_REPEAT_RATIO = 0.1  # repeats per fresh op while calm
+# By state
 REJECT_WAIT_US = {
     "calm": 200_000,
     "limited": 1_000_000,
     "jam": 2_000_000,
-}  # us that a rejected client is asked to wait
+}
+# Bounds of an endpoint's share, relative to the fleet's
 MIN_SHARE_FACTOR, MAX_SHARE_FACTOR = (
     0.1,
     3.0,
-)  # times the fleet's share that an endpoint's own may be; more comes of too few ops
-SHARE_FACTOR_SMOOTHING = (
-    0.7  # weight of a new look; what was acked is smooth already, and what is under way is told exactly
-)
-MIN_ENDPOINT_OPS = 8.0  # ops behind an endpoint's own share, at least
-SHARE_FACTOR_GROWTH = (
-    1.5  # a look, of an endpoint that was spared while the fleet is calm: it has all again within two seconds
 )
-OVERLOADED_STEPS = 4  # looks in a row before an endpoint is spared while the fleet is calm: a jam of all is the fleet's to answer
+SHARE_FACTOR_SMOOTHING = 0.7  # weight of the newest sample
+MIN_ENDPOINT_OPS = 8.0  # fewer ops give no share of its own
+SHARE_FACTOR_GROWTH = 1.5  # per step, while the fleet is calm
+OVERLOADED_STEPS = 4  # consecutive steps before a single endpoint is relieved while the fleet is calm
 STATES = ("calm", "limited", "jam")
-MAX_RATE = 1e7  # a second; no fleet of this kind comes near
+MAX_RATE = 1e7  # per second; larger figures are implausible
 
 
 class OpValue(NamedTuple):
-    """An op type: what an ack in time earns, and the work it takes against the others."""
+    """An op type: what an ack in time earns, and its cost relative to the others."""
 
     name: str
     earnings: float
@@ -90,7 +77,9 @@
 
 
 class Flow(NamedTuple):
-    """Of one op type, a second. `full`: turned away by endpoints that had no room. `took`: mean us of the acked."""
+    """Rates of one op type, per second. `full`: ops refused by endpoints without room. `took`: mean latency
+    of acked ops (us).
+    """
 
     fresh: float = 0.0
     repeats: float = 0.0
@@ -102,7 +91,9 @@
 
 
 class LoadReport(NamedTuple):
-    """What one pilot tells. `at`: when it held, by the hearer's clock. `ops`: behind the pressure, a second. `share`: its answer."""
+    """What one pilot reports. `at`: when it held, by the receiver's clock (us). `ops`: ops a second behind
+    the pressure. `share`: its answer.
+    """
 
     start: int
     seq: int
@@ -115,8 +106,9 @@
 
 
 class Totals(NamedTuple):
-    """The fleet's, a second: work `offered` (by fresh ops alone) and `acked`, the `pressure`, repeats, and of how many pilots. `mix`: each
-    op type's part of the offered work."""
+    """Totals of the fleet, per second: work `offered` (fresh ops only) and `acked`, the `pressure`, repeats,
+    and the number of pilots. `mix`: each op type's part of the offered work.
+    """
 
     offered: float
     acked: float
@@ -127,8 +119,9 @@
 
 
 class Answer(NamedTuple):
-    """`share` of the offered work is let in, the types in `order` first; `again`: repeats for each fresh op; `wait`: us for who is
-    rejected."""
+    """`share` of the offered work is admitted, op types in `order`; `again`: repeats allowed per fresh op;
+    `wait`: delay that rejected clients are asked for (us).
+    """
 
     state: str
     share: float
@@ -142,7 +135,7 @@
 
 
 def is_plausible(row: LoadReport, kinds: int) -> bool:
-    """Whether a row may be counted at all: its figures are numbers within what can be."""
+    """Whether a report may be counted: all its figures are finite and within bounds."""
     figures = [value for flow in row.flows for value in flow[:6]] + [row.ops]
     times = [flow.took for flow in row.flows]
     return (
@@ -156,18 +149,18 @@
 
 
 def weighted_median(values: Iterable[tuple[float, float]]) -> float:
-    """The middle of (value, weight); 0 of nothing."""
+    """Return the median of (value, weight) pairs; 0 if there is no weight."""
     rows = sorted((value, weight) for value, weight in values if weight > 0)
-    half, seen = sum(weight for _, weight in rows) / 2, 0.0
+    half, cumulative = sum(weight for _, weight in rows) / 2, 0.0
     for value, weight in rows:
-        seen += weight
-        if seen >= half:
+        cumulative += weight
+        if cumulative >= half:
             return value
     return 0.0
 
 
 class FleetLoad:
-    """The newest row of each pilot."""
+    """The newest report of each pilot."""
 
     def __init__(self, me: str, op_values: Sequence[OpValue]) -> None:
         self.me = me
@@ -175,7 +168,7 @@
         self.rows: dict[str, LoadReport] = {}
 
     def add_report(self, pilot: str, row: LoadReport) -> bool:
-        """Whether it is newer than what is held, and can be at all."""
+        """Store a report; return whether it is plausible and newer than the stored one."""
         if not is_plausible(row, len(self.op_values)):
             return False
         held = self.rows.get(pilot)
@@ -185,7 +178,7 @@
         return True
 
     def weight(self, pilot: str, now: int) -> float:
-        """How much a row still counts: whole while it is fresh, then less with its age."""
+        """Return a report's weight: 1 while it is fresh, then falling with its age."""
         age = now - self.rows[pilot].at
         return (
             1.0
@@ -194,7 +187,9 @@
         )
 
     def totals(self, now: int, gone: Iterable[str] = ()) -> Totals:
-        """`gone`: pilots that left, or that most hold for dead; their proxies' ops come to others now."""
+        """Return the totals. `gone`: pilots that left or are considered dead; their proxies' ops reach other
+        pilots.
+        """
         left = set(gone) - {self.me}
         known = {name: self.weight(name, now) for name in self.rows if name not in left}
         flows = self._clamp_outliers(
@@ -228,7 +223,7 @@
     def _clamp_outliers(
         self, rows: list[tuple[tuple[Flow, ...], float]]
     ) -> list[tuple[tuple[Flow, ...], float]]:
-        """Rows far above the middle are cut to a multiple of it, figure by figure: one that reports nonsense moves little."""
+        """Clamp each figure to a multiple of its median, so that a faulty report has little effect."""
         if len(rows) < MIN_REPORTS_TO_CLAMP:
             return rows
         tops = [
@@ -256,13 +251,15 @@
 
     @staticmethod
     def _median_flow(kind: int, rows: list[tuple[tuple[Flow, ...], float]]) -> Flow:
-        """What stands for a pilot whose row has faded: neither nought nor its last word."""
+        """Return the stand-in for a pilot whose report has lost weight."""
         return Flow._make(
             [*(weighted_median((flows[kind][n], weight) for flows, weight in rows) for n in range(6)), 0.0]
         )
 
     def _pressure(self, known: dict[str, float]) -> float:
-        """The middle of the pilots' pressures by the ops behind each, none for more than the middle: so one alone is never half of them."""
+        """Return the median of the pilots' pressures, weighted by ops. No pilot's weight exceeds the median
+        one, so that none dominates.
+        """
         reported = [(self.rows[name].pressure, weight, self.rows[name].ops) for name, weight in known.items()]
         most = weighted_median((ops, weight) for _, weight, ops in reported)
         return weighted_median(
@@ -270,7 +267,7 @@
         )
 
     def others_share(self, now: int, gone: Iterable[str] = ()) -> Optional[float]:
-        """The middle of the other pilots' shares, of two the larger; None without a row that still counts."""
+        """Return the median of the other pilots' shares, of two the larger; None if no report has weight."""
         left = {*gone, self.me}
         reported = [
             (row.share, self.weight(name, now)) for name, row in self.rows.items() if name not in left
@@ -283,18 +280,21 @@
 
 
 def gain_for_delay(target: int, delay: int) -> float:
-    """How much of what is carried a target's length of waiting takes away, where what is told is `delay` us old: the more in step the less
-    the wait that is aimed at can be kept."""
+    """Return the controller's gain for reports that are `delay` (us) old; a longer delay needs a lower gain
+    to be stable.
+    """
     return min(MAX_GAIN, GAIN_FACTOR * target / max(1, delay))
 
 
 def merit_order(op_values: Sequence[OpValue]) -> tuple[int, ...]:
-    """Places of the op types, those that earn most for their cost first; ties by place."""
+    """Return the indexes of the op types, by earnings for their cost, highest first."""
     return tuple(sorted(range(len(op_values)), key=lambda n: (-op_values[n].earnings / op_values[n].cost, n)))
 
 
 def shares(share: float, order: Sequence[int], mix: Sequence[float]) -> list[float]:
-    """What part of each op type is let in where `share` of all work is: the first in order wholly before the next at all."""
+    """Return the admitted part of each op type where `share` of all work is admitted: each type in order is
+    filled before the next.
+    """
     found = [1.0] * len(mix)
     left = share
     for kind in order:
@@ -304,7 +304,9 @@
 
 
 def fair_cap(rates: Sequence[float], share: float) -> float:
-    """The rate to which each is cut so that `share` of the sum is left (max-min fairness); inf where all of it may pass."""
+    """Return the rate to cap each at so that `share` of the sum remains (max-min fairness); inf if nothing is
+    capped.
+    """
     if share >= 1.0 or not rates:
         return math.inf
     left = share * sum(rates)
@@ -318,21 +320,24 @@
 
 @dataclass
 class OverloadController:
-    """Turns what the fleet carries into the share that is let in. One in each pilot; the same totals give the same answer.
+    """Computes the share to admit from what the fleet carries. The same totals give the same answer on every
+    pilot.
 
-    While endpoints are busy what is acked *is* what they can carry, so the share follows it and the pressure's distance from the aim;
-    while they run dry more is let in step by step, up to what was carried before."""
+    While endpoints are busy, the acked work is their capacity, so the share follows it, corrected by the
+    pressure's distance from its target; while they run idle, more is admitted step by step, up to what was
+    carried before.
+    """
 
     op_values: list[OpValue]
     now: int
-    gain: float = 1.0  # as `gain_for` tells
+    gain: float = 1.0  # see `gain_for_delay`
     state: str = "calm"
     share: float = 1.0
     carried: float = 0.0  # work acked a second, smoothed
-    known: float = 0.0  # work a second that was carried in time, lately
-    limit: float = 0.0  # work a second that is let in while limited
-    steps_above: int = 0  # looks in a row with the pressure beyond
-    steps_others_shed: int = 0  # looks in a row in which the others shed
+    known: float = 0.0  # known capacity: work a second carried in time lately
+    limit: float = 0.0  # work a second admitted while limited
+    steps_above: int = 0  # consecutive steps above ENGAGE_PRESSURE
+    steps_others_shed: int = 0  # consecutive steps in which the others shed
     fits_since: Optional[int] = None
     stuck_since: Optional[int] = None
     jam_until: int = 0
@@ -343,91 +348,91 @@
     def __post_init__(self) -> None:
         self.order = merit_order(self.op_values)
 
-    def step(self, now: int, seen: Totals, others: Optional[float] = None) -> Answer:
-        """`others`: the middle of what the other pilots answer."""
+    def step(self, now: int, totals: Totals, others: Optional[float] = None) -> Answer:
+        """Return the answer for the present totals. `others`: the median share of the other pilots."""
         elapsed, self.now = now - self.now, now
-        if (
-            elapsed > RESTART_GAP_US
-        ):  # stopped meanwhile: the others' answer holds until there is one of its own
-            self._restart(seen, 1.0 if others is None else others)
-            return self._answer(seen)
-        self.carried += SMOOTHING * (seen.acked - self.carried) if self.carried else seen.acked
-        if seen.pressure <= ENGAGE_PRESSURE:
+        if elapsed > RESTART_GAP_US:  # suspended meanwhile: adopt the others' share
+            self._restart(totals, 1.0 if others is None else others)
+            return self._answer(totals)
+        self.carried += SMOOTHING * (totals.acked - self.carried) if self.carried else totals.acked
+        if totals.pressure <= ENGAGE_PRESSURE:
             self.known = max(self.known, self.carried)
-        elif self.state == "limited":  # busy, and yet less is carried: that is what there is
+        elif self.state == "limited":  # busy, and less is carried: the capacity has dropped
             self.known = max(self.carried, CAPACITY_DECAY * self.known)
-        self.steps_above = self.steps_above + 1 if seen.pressure > ENGAGE_PRESSURE else 0
+        self.steps_above = self.steps_above + 1 if totals.pressure > ENGAGE_PRESSURE else 0
         looks = (
             ENGAGE_STEPS_AT_START
             if not self.known
             else 1
-            if seen.pressure > ENGAGE_NOW_PRESSURE
+            if totals.pressure > ENGAGE_NOW_PRESSURE
             else ENGAGE_STEPS
         )
         self.steps_others_shed = (
             self.steps_others_shed + 1 if others is not None and others < JOIN_OTHERS_SHARE else 0
         )
         if self.state == "calm" and self.steps_above >= looks:
-            self._enter("limited", f"ops take {seen.pressure:.2f} of the target")
-            self.limit = self._sustainable(seen)
+            self._enter("limited", f"ops take {totals.pressure:.2f} of the target")
+            self.limit = self._sustainable(totals)
         elif self.state == "calm" and self.steps_others_shed >= ENGAGE_STEPS and others is not None:
-            self._enter("limited", f"the others let {others:.2f} in")
-            self.limit = others * seen.offered
+            self._enter("limited", f"the other pilots admit {others:.2f}")
+            self.limit = others * totals.offered
         elif self.state == "limited":
-            self._adjust_limit(now, elapsed, seen)
+            self._adjust_limit(now, elapsed, totals)
         elif self.state == "jam":
-            self._leave_jam(now, seen)
-        self._detect_jam(now, seen)
+            self._leave_jam(now, totals)
+        self._detect_jam(now, totals)
         own = (
             1.0
             if self.state == "calm"
-            else min(1.0, max(MIN_SHARE, self.limit / seen.offered if seen.offered else 1.0))
+            else min(1.0, max(MIN_SHARE, self.limit / totals.offered if totals.offered else 1.0))
         )
         if others is not None and self.state != "calm":
             own += CONSENSUS_PULL * (others - own)
         self.share = own
-        return self._answer(seen)
+        return self._answer(totals)
 
-    def _restart(self, seen: Totals, share: float) -> None:
-        self._enter("limited" if share < 1.0 else "calm", "this pilot stood still")
-        self.share, self.limit = share, share * seen.offered
+    def _restart(self, totals: Totals, share: float) -> None:
+        self._enter("limited" if share < 1.0 else "calm", "this pilot was suspended")
+        self.share, self.limit = share, share * totals.offered
         self.carried, self.known = 0.0, 0.0
 
-    def _sustainable(self, seen: Totals) -> float:
+    def _sustainable(self, totals: Totals) -> float:
+        """Return the work a second to admit at the present pressure."""
         return self.carried * max(
-            0.0, 1 + self.gain * max(-MAX_PRESSURE_ERROR, TARGET_PRESSURE - seen.pressure)
+            0.0, 1 + self.gain * max(-MAX_PRESSURE_ERROR, TARGET_PRESSURE - totals.pressure)
         )
 
-    def _adjust_limit(self, now: int, elapsed: int, seen: Totals) -> None:
-        fits = seen.pressure < ENGAGE_PRESSURE and seen.offered < FITS_SHARE * self.known
+    def _adjust_limit(self, now: int, elapsed: int, totals: Totals) -> None:
+        """Adjust the limit while load is shed, and lift it once all load has fitted for a while."""
+        fits = totals.pressure < ENGAGE_PRESSURE and totals.offered < FITS_SHARE * self.known
         if (
-            seen.pressure < EASE_PRESSURE or fits
-        ):  # an op may take long though nothing waits: what was carried before is let in again
+            totals.pressure < EASE_PRESSURE or fits
+        ):  # ops may take long without queueing: admit what was carried before
             self.limit = (
                 max(self.limit, self.carried) + RISE_PER_S * max(self.known, self.carried) * elapsed / 1e6
             )
-        elif (
-            seen.pressure < TARGET_PRESSURE
-        ):  # nobody waits for long: what falls is what comes, not what can be carried
-            self.limit = max(self._sustainable(seen), self.limit)
+        elif totals.pressure < TARGET_PRESSURE:  # the offered load falls, not the capacity
+            self.limit = max(self._sustainable(totals), self.limit)
         else:
-            self.limit = self._sustainable(seen)
-        self.limit = max(self.limit, MIN_SHARE * seen.offered)
-        if self.limit < seen.offered:
+            self.limit = self._sustainable(totals)
+        self.limit = max(self.limit, MIN_SHARE * totals.offered)
+        if self.limit < totals.offered:
             self.fits_since = None
         elif self.fits_since is None:
             self.fits_since = now
         elif now - self.fits_since >= CALM_AFTER_US:
-            self._enter("calm", "all that comes fits")
+            self._enter("calm", "all offered work fits")
 
-    def _detect_jam(self, now: int, seen: Totals) -> None:
-        """What comes would fit into what was carried before, and yet the endpoints are behind: the jam keeps itself up."""
+    def _detect_jam(self, now: int, totals: Totals) -> None:
+        """Detect congestion that sustains itself: the offered load is below the known capacity, and yet
+        endpoints are behind.
+        """
         stuck = (
             self.state != "jam"
-            and seen.offered < JAM_OFFERED_SHARE * self.known
-            and seen.pressure > ENGAGE_PRESSURE
+            and totals.offered < JAM_OFFERED_SHARE * self.known
+            and totals.pressure > ENGAGE_PRESSURE
             and self.carried > JAM_CARRIED_SHARE * self.known
-        )  # where next to nothing is carried the cause is still there
+        )  # if next to nothing is carried, the cause persists
         if not stuck:
             self.stuck_since = None
         elif self.stuck_since is None:
@@ -435,51 +440,54 @@
         elif now - self.stuck_since >= JAM_AFTER_US and now >= self.jam_not_before:
             self._enter(
                 "jam",
-                f"{seen.offered:.0f} of work a second come, {self.known:.0f} were carried, {self.carried:.0f} are",
+                f"offered {totals.offered:.0f}, known {self.known:.0f}, carried {self.carried:.0f} a second",
             )
             self.jam_until, self.jam_not_before = now + MAX_JAM_US, now + MAX_JAM_US + JAM_COOLDOWN_US
             self.limit = JAM_LIMIT_SHARE * self.known
 
-    def _leave_jam(self, now: int, seen: Totals) -> None:
-        if seen.pressure < EASE_PRESSURE:
-            self._enter("limited", "the queues are empty again")
+    def _leave_jam(self, now: int, totals: Totals) -> None:
+        """End a jam when queues have drained, or when it has lasted too long."""
+        if totals.pressure < EASE_PRESSURE:
+            self._enter("limited", "the queues have drained")
             self.limit = max(self.carried, JAM_LIMIT_SHARE * self.known)
         elif now >= self.jam_until:
-            self._enter("limited", "it was no jam: less can be carried than before")
+            self._enter("limited", "no jam: the capacity has dropped")
             self.known = self.carried
-            self.limit = self._sustainable(seen)
+            self.limit = self._sustainable(totals)
 
     def _enter(self, state: str, why: str) -> None:
         self.state, self.why = state, why
         self.fits_since, self.stuck_since, self.steps_above, self.steps_others_shed = None, None, 0, 0
 
-    def _answer(self, seen: Totals) -> Answer:
-        if self.state == "calm" or not seen.mix:
+    def _answer(self, totals: Totals) -> Answer:
+        if self.state == "calm" or not totals.mix:
             return CALM._replace(
-                state=self.state, order=self.order, mix=seen.mix, wait=REJECT_WAIT_US[self.state]
+                state=self.state, order=self.order, mix=totals.mix, wait=REJECT_WAIT_US[self.state]
             )
         again = 0.0 if self.state == "jam" else MAX_REPEAT_RATIO * self.share
-        return Answer(self.state, self.share, self.order, seen.mix, again, REJECT_WAIT_US[self.state])
+        return Answer(self.state, self.share, self.order, totals.mix, again, REJECT_WAIT_US[self.state])
 
 
 @dataclass
 class EndpointLoad:
-    """One endpoint as this pilot's proxies meet it; amounts fall away with time."""
+    """The load of one endpoint as seen by this pilot's proxies; amounts decay with time."""
 
     tries: float = 0.0
     acked: float = 0.0
     full: float = 0.0
-    came: float = 0.0  # ops for its slices, the rejected too
-    in_flight: float = 0.0  # under way, as proxies told last
-    share_factor: float = 1.0  # its share against the fleet's
-    looks_overloaded: int = 0  # looks in a row with its pressure beyond
+    came: float = 0.0  # ops for its slices, including rejected ones
+    in_flight: float = 0.0  # ops in flight, as last reported by proxies
+    share_factor: float = 1.0  # its share relative to the fleet's
+    looks_overloaded: int = 0  # consecutive steps above ENGAGE_PRESSURE
 
 
 class EndpointLoads:
-    """Endpoints by what was met there, over the last `span` us or so. They give the pressure, and each endpoint's own share: where
-    one is behind and another runs dry, the fleet's one share would drown the first and waste the second.
+    """Loads of the endpoints over about the last `span` microseconds. They give the pressure and each
+    endpoint's own share, since one share for all would overload the slow endpoints and waste the fast ones.
 
-    A thousand proxies tell of hundreds of endpoints twice a second: what they tell is added up as it comes, and falls away at the looks."""
+    Reports are added as they come and decay only at each step, as a thousand proxies report on hundreds of
+    endpoints twice a second.
+    """
 
     def __init__(self, target: int, elapsed: int, gain: float = 1.0) -> None:
         self.target = target
@@ -487,20 +495,21 @@
         self.elapsed = elapsed
         self.decayed_at = 0
         self.lanes: defaultdict[str, EndpointLoad] = defaultdict(EndpointLoad)
-        self.held: dict[str, dict[str, float]] = {}  # by who told: what it has under way at each endpoint
+        self.held: dict[str, dict[str, float]] = {}  # reporter -> endpoint -> ops in flight
 
     def met(self, endpoint: str, tries: float, aborted: float, full: float = 0.0) -> None:
-        """`full`: of the aborted, those that the endpoint had no room for."""
+        """Count op outcomes. `full`: of the aborted ops, those that the endpoint had no room for."""
         lane = self.lanes[endpoint]
         lane.tries += tries
         lane.acked += tries - aborted
         lane.full += full
 
     def came(self, endpoint: str, ops: float) -> None:
+        """Count ops for an endpoint, including rejected ones."""
         self.lanes[endpoint].came += ops
 
     def set_in_flight(self, who: str, under_way: dict[str, float]) -> None:
-        """What `who` has under way now, in the place of what it told before; nothing, of one that has left."""
+        """Replace a reporter's ops in flight; empty for one that has left."""
         for endpoint, count in self.held.pop(who, {}).items():
             lane = self.lanes[endpoint]
             lane.in_flight = max(0.0, lane.in_flight - count)
@@ -510,6 +519,7 @@
             self.lanes[endpoint].in_flight += count
 
     def _decay(self, now: int) -> None:
+        """Decay all amounts up to `now`."""
         left = math.exp((self.decayed_at - now) / self.elapsed) if now > self.decayed_at else 1.0
         self.decayed_at = max(now, self.decayed_at)
         for lane in self.lanes.values() if left < 1.0 else ():
@@ -527,8 +537,11 @@
         return min(MAX_PRESSURE, waits + FULL_PRESSURE * lane.full / max(1.0, lane.acked + lane.full))
 
     def look(self, now: int) -> tuple[float, float]:
-        """The pressure and the ops a second behind it. An endpoint counts by what it answers, so one that answers nothing counts little
-        beside others; where none answers anything they all count by what is under way."""
+        """Return the pressure and the ops a second behind it.
+
+        Endpoints are weighted by their answered ops, so a hung one counts little; if none answers, by ops in
+        flight.
+        """
         self._decay(now)
         reported = []
         for endpoint, lane in list(self.lanes.items()):
@@ -546,8 +559,11 @@
         return weighted_median(reported), sum(ops for _, ops in reported) * 1e6 / self.elapsed
 
     def shares(self, now: int, share: float) -> dict[str, float]:
-        """Of endpoints at which another share than the fleet's is let in. While the fleet sheds they only move it: what is let in at one
-        endpoint more is let in at others less. While it does not, an endpoint that stays behind is spared alone."""
+        """Return the endpoints whose share differs from the fleet's.
+
+        While the fleet sheds load this only redistributes it; otherwise an endpoint that stays overloaded is
+        relieved alone.
+        """
         self._decay(now)
         wanted = {endpoint: self._wanted(lane) for endpoint, lane in self.lanes.items()}
         reported = [
@@ -578,7 +594,7 @@
         return {endpoint: own for endpoint, own in found.items() if abs(own - share) > 0.01 * share}
 
     def _wanted(self, lane: EndpointLoad) -> Optional[float]:
-        """What part of all that comes for it an endpoint could do; None where too little came to tell."""
+        """Return the part of the offered ops that an endpoint can serve; None if there were too few."""
         pressure = self._pressure(lane)
         if pressure is None or lane.came < MIN_ENDPOINT_OPS:
             return None
--- a/cedarshift/judge/roll.py
+++ b/cedarshift/judge/roll.py
@@ -233,14 +233,14 @@
                 return verdict
         return None
 
-    def _toggle_digest(self, name: str, record: Optional[tuple]) -> None:
+    def _toggle_digest(self, name: str, entry: Optional[tuple]) -> None:
         """Add a record to the digest, or remove it.
 
         Members with the same digest hold the same words and verdicts. A verdict's side is left out.
         """
-        if record is not None:
+        if entry is not None:
             self.digest ^= _hashed(
-                f"{name} {record[:2] if isinstance(record, Verdict) else tuple(record)} {type(record).__name__}"
+                f"{name} {entry[:2] if isinstance(entry, Verdict) else tuple(entry)} {type(entry).__name__}"
             )
 
     # ---- evaluation
@@ -304,25 +304,27 @@
                 for name, found in standing.items()
             }
 
-        here = [name for name in self.names if self.usable(name) or name == self.me]
+        usable_members = [name for name in self.names if self.usable(name) or name == self.me]
         vouched = fresh(True)
-        disputed = sum(bool(silent.get(name)) and bool(vouched.get(name)) for name in here)
-        partitioned = disputed >= max(MIN_PARTITION_MEMBERS, PARTITION_SHARE * len(here))
+        disputed = sum(bool(silent.get(name)) and bool(vouched.get(name)) for name in usable_members)
+        partitioned = disputed >= max(MIN_PARTITION_MEMBERS, PARTITION_SHARE * len(usable_members))
         vouched = fresh(partitioned)
         unreliable = {
             name
-            for name, some in silent.items()
+            for name, observing in silent.items()
             if not vouched[name]
-            and len(some) >= MIN_REPORTERS
+            and len(observing) >= MIN_REPORTERS
             and (
-                2 * len(some) >= len(self.rings.observers(name, self.usable))
+                2 * len(observing) >= len(self.rings.observers(name, self.usable))
                 or now - self.since.get(name, now) >= UNRELIABLE_AFTER_PERIODS * self.period
             )
         }
-        reported = {name: some - unreliable for name, some in silent.items()}
+        reported = {name: observing - unreliable for name, observing in silent.items()}
         # A member reported without a voucher may be beyond a partition that is just being detected.
-        side = sum(name == self.me or not silent.get(name) or bool(vouched.get(name)) for name in here)
-        self.disputed_members = len(here) - side
+        side = sum(
+            name == self.me or not silent.get(name) or bool(vouched.get(name)) for name in usable_members
+        )
+        self.disputed_members = len(usable_members) - side
         self.majority_since = (
             (now if self.majority_since is None else self.majority_since)
             if 2 * side > len(self.names)
@@ -343,8 +345,8 @@
                 self.changed_at[name] = now
         self._drop_outdated_edges()
         self.silence_digest = 0
-        for name, some in silent.items():
-            for observer in some:
+        for name, observing in silent.items():
+            for observer in observing:
                 self.silence_digest ^= _hashed(f"{observer} {name} {standing[name][observer][:2]}")
         return [
             Change(
--- a/cedarshift/judge/trials.py
+++ b/cedarshift/judge/trials.py
@@ -110,13 +110,13 @@
 
     def owner(self, endpoint: str, living: Iterable[str]) -> str:
         """Return the pilot that runs the trial of an endpoint."""
-        able = [
+        candidates = [
             name
             for name in living
             if (len(self.shuns) if name == self.me else name in self.reports and self.reports[name].proxies)
         ]
         return max(
-            able,
+            candidates,
             key=lambda name: (blake2b(f"{endpoint}/{name}".encode(), digest_size=8).digest(), name),
             default=self.me,
         )
@@ -131,7 +131,7 @@
         proxies = len(self.shuns) + sum(
             report.proxies for name, report in self.reports.items() if name in living_pilots
         )
-        enough = min(max(MIN_SHUNNING_PROXIES, MIN_SHUN_SHARE * proxies), max(1, proxies))
+        threshold = min(max(MIN_SHUNNING_PROXIES, MIN_SHUN_SHARE * proxies), max(1, proxies))
         listed = list(endpoints)
         self.own_trials = {
             endpoint: self.own_trials[endpoint] for endpoint in listed if endpoint in self.own_trials
@@ -151,7 +151,7 @@
                     found[endpoint] = remote[0]
                 continue
             trial = self.own_trials.get(endpoint)
-            if trial is None and counts.get(tag, 0) >= enough:
+            if trial is None and counts.get(tag, 0) >= threshold:
                 self.own_trials[endpoint] = trial = self._shut(now, endpoint, self._inherited_strikes(tag))
             if trial is not None:
                 self._advance(now, endpoint, trial)
@@ -239,13 +239,13 @@
     def report(self) -> TrialReport:
         """Return what the other pilots need to know."""
         counts = self._own_shuns()
-        most = sorted(counts, key=lambda tag: (-counts[tag], tag))[:MAX_REPORTED_TRIALS]
+        largest = sorted(counts, key=lambda tag: (-counts[tag], tag))[:MAX_REPORTED_TRIALS]
         own_trials = sorted(
             self.own_trials, key=lambda endpoint: (self.own_trials[endpoint].since, endpoint)
         )[:MAX_REPORTED_TRIALS]
         return TrialReport(
             len(self.shuns),
-            {tag: counts[tag] for tag in most},
+            {tag: counts[tag] for tag in largest},
             {
                 tag_of(endpoint): (self.own_trials[endpoint].share, self.own_trials[endpoint].strikes)
                 for endpoint in own_trials
--- a/cedarshift/judge/trust.py
+++ b/cedarshift/judge/trust.py
@@ -96,7 +96,7 @@
     in_charge: bool
 
     def soundness(self, now: int) -> float:
-        """Return the factor for this lender's good reports: 1 while its list is recent and it is in charge."""
+        """Return the factor for its good reports: 1 while its list is recent and it is in charge."""
         return (
             1.0 if age_of(self.list_heard, now) <= LIST_STALE_AFTER_US and self.in_charge else UNSOUND_FACTOR
         )
--- a/tests/test_deployment.py
+++ b/tests/test_deployment.py
@@ -215,7 +215,7 @@
 @pytest.mark.parametrize(
     "old, new, said",
     [
-        ("floor  = 2", "floor  = 51", "floors of 1 holders sum to 51000 parts, the whole is 50000"),
+        ("floor  = 2", "floor  = 51", "floors of 1 holders sum to 51000 parts, the capacity is 50000"),
         ("rate   = 50", "rate   = 70", "is over that of 'all'"),
         ('within = "all"', 'within = "none"', "which is no budget"),
         ('use  = "probes"', 'use  = "retries"', "limited by 'again' already"),
--- a/tests/test_gossip.py
+++ b/tests/test_gossip.py
@@ -59,7 +59,7 @@
                     draw.randrange(3),
                 ),
             )
-    roll._tidy()
+    roll._drop_outdated_edges()
     return roll.words, roll.edges, roll.verdicts, roll.digest
 
 
