--- a/tests/test_budgets.py
+++ b/tests/test_budgets.py
@@ -1,4 +1,4 @@
-"""Division, shares as leases, buckets: without processes. Faults planted in them are to be found."""
+"""Budgets without processes: division, leased shares, token buckets; and the detection of planted faults."""
 
 import sqlite3
 
@@ -29,8 +29,8 @@
 LEASE = 2 * SECOND
 
 
-def fill(capacity, wants, weights):
-    """Max-min by brute force: one part at a time to whoever has least for its weight and wants more."""
+def brute_force_max_min(capacity, wants, weights):
+    """Max-min by brute force: each part goes to the unsatisfied holder with the least for its weight."""
     given = dict.fromkeys(wants, 0)
     for _ in range(capacity):
         open_ones = [name for name in wants if given[name] < wants[name]]
@@ -46,13 +46,13 @@
     st.lists(st.tuples(st.integers(0, 25), st.integers(1, 4)), min_size=1, max_size=7),
     st.integers(0, 9),
 )
-def test_a_division_is_max_min_to_the_part_and_wastes_none(capacity, rows, rotation):
+def test_a_division_is_max_min_and_wastes_no_part(capacity, rows, rotation):
     wants = {f"n{at}": want for at, (want, _) in enumerate(rows)}
     weights = {f"n{at}": weight for at, (_, weight) in enumerate(rows)}
     got = max_min_shares(capacity, wants, weights, rotation)
     assert sum(got.values()) == min(capacity, sum(wants.values()))
     assert all(0 <= got[name] <= wants[name] for name in wants)
-    for poor in wants:  # nobody with more for its weight than one that wants more, beyond a part
+    for poor in wants:  # nobody has more for its weight than an unsatisfied holder, beyond one part
         if got[poor] < wants[poor]:
             assert all(got[rich] - 1 <= (got[poor] + 1) * weights[rich] / weights[poor] for rich in wants)
 
@@ -62,11 +62,11 @@
 def test_equal_weights_give_what_one_part_at_a_time_gives(capacity, wants):
     named = {f"n{at}": want for at, want in enumerate(wants)}
     assert sorted(max_min_shares(capacity, named).values()) == sorted(
-        fill(capacity, named, dict.fromkeys(named, 1)).values()
+        brute_force_max_min(capacity, named, dict.fromkeys(named, 1)).values()
     )
 
 
-def test_who_is_one_token_short_changes_with_the_turn():
+def test_leftover_tokens_rotate():
     assert {
         name
         for rotation in range(3)
@@ -88,7 +88,7 @@
         ([Budget("a", 3, weight=0)], "a", "weight"),
     ],
 )
-def test_a_plan_that_cannot_hold_is_refused_with_the_budget_to_blame(budgets, blamed, what):
+def test_an_inconsistent_plan_is_refused_with_the_budget_to_blame(budgets, blamed, what):
     with pytest.raises(InvalidBudget, match=what) as refused:
         Plan(budgets, 3)
     assert refused.value.budget == blamed
@@ -108,11 +108,11 @@
     assert got == {"first": {"x": 4}, "b": {"x": 3, "y": 3}, "c": {"y": 2}}
 
 
-# ---- rights
+# ---- shares
 
 
-class Pair:
-    """A giver with holders that hear at once."""
+class Network:
+    """A grantor, and holders that get its answers at once."""
 
     def __init__(self, *budgets, names="pq", now=0):
         self.plan = Plan(budgets, len(names))
@@ -132,78 +132,78 @@
 
 
 def test_nothing_is_given_before_a_lease_has_passed_since_the_start():
-    pair = Pair(Budget("a", 10))
-    pair.ask(LEASE - 1, "p", a=9)
-    assert pair.holders["p"].right(LEASE - 1, "a") == 0
-    pair.ask(LEASE, "p", a=9)
-    assert pair.holders["p"].right(LEASE, "a") == 9
+    network = Network(Budget("a", 10))
+    network.ask(LEASE - 1, "p", a=9)
+    assert network.holders["p"].right(LEASE - 1, "a") == 0
+    network.ask(LEASE, "p", a=9)
+    assert network.holders["p"].right(LEASE, "a") == 9
 
 
 def test_a_share_ends_by_the_asking_less_the_drift_and_is_free_by_the_giving():
-    pair = Pair(Budget("a", 10))
-    pair.ask(LEASE, "p", a=10)
+    network = Network(Budget("a", 10))
+    network.ask(LEASE, "p", a=10)
     end = LEASE + int(LEASE * 0.98)
-    assert (pair.holders["p"].right(end - 1, "a"), pair.holders["p"].right(end, "a")) == (10, 0)
-    pair.ask(2 * LEASE - 1, "q", a=10)
-    assert pair.holders["q"].right(2 * LEASE - 1, "a") == 0
-    assert pair.giver.in_force(2 * LEASE, "a") == 0
-    pair.ask(2 * LEASE + 1, "q", a=10)
-    assert pair.holders["q"].right(2 * LEASE + 1, "a") == 10
+    assert (network.holders["p"].right(end - 1, "a"), network.holders["p"].right(end, "a")) == (10, 0)
+    network.ask(2 * LEASE - 1, "q", a=10)
+    assert network.holders["q"].right(2 * LEASE - 1, "a") == 0
+    assert network.giver.in_force(2 * LEASE, "a") == 0
+    network.ask(2 * LEASE + 1, "q", a=10)
+    assert network.holders["q"].right(2 * LEASE + 1, "a") == 10
 
 
 def test_a_shrink_is_free_once_its_holder_has_said_so():
-    pair = Pair(Budget("a", 10))
-    pair.ask(LEASE, "p", a=10)
-    pair.ask(LEASE, "q", a=10)
-    pair.ask(LEASE + 1, "p", a=10)  # it hears that it has five, and has not said so
-    pair.ask(LEASE + 2, "q", a=10)
-    assert (pair.holders["p"].right(LEASE + 2, "a"), pair.holders["q"].right(LEASE + 2, "a")) == (5, 0)
-    pair.ask(LEASE + 3, "p", a=10)
-    pair.ask(LEASE + 4, "q", a=10)
-    assert (pair.holders["p"].right(LEASE + 4, "a"), pair.holders["q"].right(LEASE + 4, "a")) == (5, 5)
-
-
-def test_one_that_leaves_gives_back_at_once_and_its_late_words_bring_nothing():
-    pair = Pair(Budget("a", 10))
-    pair.ask(LEASE, "p", a=10)
-    pair.giver.leave(LEASE + 1, "p", 1)
-    assert pair.giver.ask(LEASE + 1, "p", 1, 7, 50, [ShareRequest("a", 10)]) == ([], [])
-    pair.ask(LEASE + 2, "q", a=10)
-    assert pair.holders["q"].right(LEASE + 2, "a") == 10
+    network = Network(Budget("a", 10))
+    network.ask(LEASE, "p", a=10)
+    network.ask(LEASE, "q", a=10)
+    network.ask(LEASE + 1, "p", a=10)  # it was told that it has five, but has not claimed them
+    network.ask(LEASE + 2, "q", a=10)
+    assert (network.holders["p"].right(LEASE + 2, "a"), network.holders["q"].right(LEASE + 2, "a")) == (5, 0)
+    network.ask(LEASE + 3, "p", a=10)
+    network.ask(LEASE + 4, "q", a=10)
+    assert (network.holders["p"].right(LEASE + 4, "a"), network.holders["q"].right(LEASE + 4, "a")) == (5, 5)
+
+
+def test_a_departing_holder_releases_at_once_and_its_late_asks_are_ignored():
+    network = Network(Budget("a", 10))
+    network.ask(LEASE, "p", a=10)
+    network.giver.leave(LEASE + 1, "p", 1)
+    assert network.giver.ask(LEASE + 1, "p", 1, 7, 50, [ShareRequest("a", 10)]) == ([], [])
+    network.ask(LEASE + 2, "q", a=10)
+    assert network.holders["q"].right(LEASE + 2, "a") == 10
 
 
 def test_a_row_is_kept_for_what_changes_and_not_for_what_is_prolonged():
-    pair = Pair(Budget("a", 10))
-    assert [row.amount for row in pair.ask(LEASE, "p", a=6)] == [6]
-    assert pair.ask(LEASE + 1, "p", a=6) == []
-    assert [row.amount for row in pair.ask(LEASE + 2, "p", a=8)] == [8]
+    network = Network(Budget("a", 10))
+    assert [row.amount for row in network.ask(LEASE, "p", a=6)] == [6]
+    assert network.ask(LEASE + 1, "p", a=6) == []
+    assert [row.amount for row in network.ask(LEASE + 2, "p", a=8)] == [8]
 
 
 def test_a_giver_that_starts_again_prolongs_what_is_presented_and_no_more():
-    pair = Pair(Budget("a", 10))
-    pair.ask(LEASE, "p", a=4)
-    pair.giver = Grantor(pair.plan, LEASE, 8, LEASE + 1)  # its disk was lost
-    holder = pair.holders["p"]
+    network = Network(Budget("a", 10))
+    network.ask(LEASE, "p", a=4)
+    network.giver = Grantor(network.plan, LEASE, 8, LEASE + 1)  # restarted without its ledger
+    holder = network.holders["p"]
     holder.joined(8)
     number, wants = holder.ask(LEASE + 2, {"a": 10})
-    shares, _ = pair.giver.ask(LEASE + 2, "p", 1, 8, number, wants)
+    shares, _ = network.giver.ask(LEASE + 2, "p", 1, 8, number, wants)
     assert [share.amount for share in shares] == [4] and holder.on_answer(LEASE + 2, number, 8, shares)
-    assert pair.giver.ask(LEASE + 3, "q", 2, 8, 1, [ShareRequest("a", 10)])[0] == []
+    assert network.giver.ask(LEASE + 3, "q", 2, 8, 1, [ShareRequest("a", 10)])[0] == []
 
 
-def test_whom_most_hold_for_dead_counts_no_longer_but_keeps_its_right():
-    pair = Pair(Budget("a", 12), names="pqr")
+def test_a_holder_that_most_consider_dead_has_no_demand_but_keeps_its_grant():
+    network = Network(Budget("a", 12), names="pqr")
     for name in "pqr":
-        pair.ask(LEASE, name, a=4)
+        network.ask(LEASE, name, a=4)
     for name, number in (("p", 90), ("q", 91)):
-        pair.giver.ask(
-            LEASE + 2, name, pair.holders[name].life, 7, number, [ShareRequest("a", 12, 1, 4, 1)], ["r"]
+        network.giver.ask(
+            LEASE + 2, name, network.holders[name].life, 7, number, [ShareRequest("a", 12, 1, 4, 1)], ["r"]
         )
-    assert pair.giver.in_force(LEASE + 2, "a") == 12
-    assert pair.giver.target_shares["a"]["p 1"] == 6 and "r 3" not in pair.giver.target_shares["a"]
+    assert network.giver.in_force(LEASE + 2, "a") == 12
+    assert network.giver.target_shares["a"]["p 1"] == 6 and "r 3" not in network.giver.target_shares["a"]
 
 
-def test_a_thousand_holders_that_ask_for_all_are_within_the_whole_and_forgotten_after_a_lease():
+def test_a_thousand_greedy_holders_stay_within_capacity_and_are_forgotten_after_a_lease():
     giver = Grantor(Plan([Budget("a", 5_000)], 0), LEASE, 7, -LEASE)
     for step in range(4):
         for at in range(1_000):
@@ -213,7 +213,7 @@
     assert not giver.accounts and not giver.heard and giver.sums["a"] == 0
 
 
-# ---- a pilot between
+# ---- pilots
 
 
 def test_a_pilot_hands_on_no_longer_than_its_own_right_and_its_floor_for_good():
@@ -227,7 +227,7 @@
     assert asked == [Share("a", 2, 8, int(SECOND // 2 * 0.98) - 10)]
 
 
-def test_a_pilot_says_that_it_has_shrunk_when_its_proxies_have():
+def test_a_pilot_claims_a_shrink_when_its_proxies_have_shrunk():
     hub = Hub(Plan([Budget("a", 10)], 1), 5, 0.0, SECOND, -SECOND)
     hub.holder.joined(7)
     number, _ = hub.holder.ask(0, {"a": 8})
@@ -241,7 +241,7 @@
     assert hub.holder.ask(6, {"a": 8})[1] == [ShareRequest("a", 8, 2, 3, 2)]
 
 
-# ---- the disk
+# ---- ledger
 
 
 def test_shares_outlive_the_process_and_void_ones_are_dropped(tmp_path):
@@ -304,27 +304,27 @@
     assert [bucket.take(SECOND) for _ in range(3)] == [True, True, False]
 
 
-def test_wishes_ask_for_more_than_was_wished_and_for_nothing_when_it_is_over():
-    wishes = DemandEstimator(0)
+def test_estimated_demand_has_headroom_and_falls_to_zero():
+    demand = DemandEstimator(0)
     for _ in range(10):
-        wishes.record()
-    wishes.close_interval(SECOND)
-    assert 12_000 <= wishes.rate() <= 13_000
+        demand.record()
+    demand.close_interval(SECOND)
+    assert 12_000 <= demand.rate() <= 13_000
     for now in range(2, 10):
-        wishes.close_interval(now * SECOND)
-    assert wishes.rate() == 0
+        demand.close_interval(now * SECOND)
+    assert demand.rate() == 0
 
 
-# ---- all orders of events, and days by seed
+# ---- model checking and random runs
 
 
-def test_every_order_of_a_few_events_keeps_the_whole():
+def test_every_order_of_a_few_events_stays_within_capacity():
     got = explore(8, 25_000)
     assert not got.broken and got.states > 20_000
 
 
 @pytest.mark.parametrize("seed", range(1, 9))
-def test_a_day_keeps_every_whole_and_what_is_spent(seed):
+def test_random_runs_stay_within_capacity(seed):
     day, _ = play(seed)
     assert not day.over and not day.overspent() and day.spends
 
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -1,4 +1,4 @@
-"""From nodes to the module's list: by cases, and by properties over random news."""
+"""Membership: list entries derived from nodes, by cases and by properties over random input."""
 
 import pytest
 from hypothesis import given, settings
@@ -7,15 +7,15 @@
 from cedarshift.judge import membership as ms
 from cedarshift.judge.membership import Membership, Node
 
-S = 1_000_000
-HOLD = S
+SECOND = 1_000_000
+HOLD_US = SECOND
 
 
 def node(endpoint="a", phase="on", owner=1, created_zxid=1, start="", zone="z", size=1.0):
     return Node(endpoint, phase, size, zone, start, owner, created_zxid)
 
 
-def judge(*nodes, zone_pools=False, hold_us=HOLD):
+def make_members(*nodes, zone_pools=False, hold_us=HOLD_US):
     made = Membership(hold_us, zone_pools)
     made.on_nodes(0, {f"n{i}": one for i, one in enumerate(nodes)}, set())
     made.take(0)
@@ -29,41 +29,43 @@
 @pytest.mark.parametrize(
     "back_at, changes", [(0.1, []), (0.99, []), (1.0, [("a", "off")]), (3, [("a", "off")])]
 )
-def test_a_vanished_node_is_told_after_the_hold_unless_it_comes_back(back_at, changes):
-    j, at = judge(node("a"), node("b")), int(back_at * S)
-    j.on_nodes(0, {}, {"n0"})
-    assert j.take(0) == [] and j.due() == HOLD
-    seen = j.take(at)
-    j.on_nodes(at, {"n9": node("a", owner=2, created_zxid=5)}, set())
+def test_a_vanished_node_is_published_after_the_hold_unless_it_returns(back_at, changes):
+    members, at = make_members(node("a"), node("b")), int(back_at * SECOND)
+    members.on_nodes(0, {}, {"n0"})
+    assert members.take(0) == [] and members.due() == HOLD_US
+    seen = members.take(at)
+    members.on_nodes(at, {"n9": node("a", owner=2, created_zxid=5)}, set())
     assert phases(seen) == changes
-    assert phases(j.take(at)) == ([("a", "on")] if changes else [])
+    assert phases(members.take(at)) == ([("a", "on")] if changes else [])
 
 
 @pytest.mark.parametrize(
     "tries, aborted, at_once", [(20, 20, True), (20, 10, True), (20, 9, False), (3, 3, False), (0, 0, False)]
 )
-def test_one_that_the_data_plane_loses_ops_at_is_told_at_once(tries, aborted, at_once):
-    j = judge(node("a"), node("b"))
-    j.on_nodes(0, {}, {"n0"})
-    j.on_sums(S // 10, "a", tries, aborted)
-    assert phases(j.take(S // 10)) == ([("a", "off")] if at_once else [])
+def test_a_vanished_endpoint_that_loses_ops_is_published_at_once(tries, aborted, at_once):
+    members = make_members(node("a"), node("b"))
+    members.on_nodes(0, {}, {"n0"})
+    members.on_sums(SECOND // 10, "a", tries, aborted)
+    assert phases(members.take(SECOND // 10)) == ([("a", "off")] if at_once else [])
 
 
-def test_sums_of_before_the_vanishing_do_not_call_it_dead():
-    j = judge(node("a"), node("b"))
-    j.on_sums(1, "a", 20, 20)
-    j.on_nodes(2, {}, {"n0"})
-    assert j.take(3) == []
+def test_outcomes_before_the_vanishing_do_not_count_as_losses():
+    members = make_members(node("a"), node("b"))
+    members.on_sums(1, "a", 20, 20)
+    members.on_nodes(2, {}, {"n0"})
+    assert members.take(3) == []
 
 
 @pytest.mark.parametrize("phase", ["fading", "off"])
-def test_one_that_drained_or_says_that_it_is_off_is_told_at_once(phase):
-    j = judge(node("a"), node("b"))
-    j.on_nodes(1, {"n0": node("a", phase)}, set())
-    assert phases(j.take(1)) == [("a", phase)]
-    j.on_nodes(2, {}, {"n0"})
+def test_a_drained_or_off_endpoint_is_published_at_once(phase):
+    members = make_members(node("a"), node("b"))
+    members.on_nodes(1, {"n0": node("a", phase)}, set())
+    assert phases(members.take(1)) == [("a", phase)]
+    members.on_nodes(2, {}, {"n0"})
     assert (
-        phases(j.take(2)) == ([("a", "off")] if phase == "fading" else []) and j.due() is None and not j.gone
+        phases(members.take(2)) == ([("a", "off")] if phase == "fading" else [])
+        and members.due() is None
+        and not members.gone
     )
 
 
@@ -74,93 +76,97 @@
             node(owner=1, created_zxid=1),
             node(owner=2, created_zxid=2),
             True,
-        ),  # two sessions at once: two processes
+        ),  # concurrent sessions are two processes
         (
             node(owner=1, created_zxid=1, start="x"),
             node(owner=2, created_zxid=2, start="x"),
             False,
-        ),  # its own word decides
+        ),  # the stated start decides
         (node(owner=1, created_zxid=1, start="x"), node(owner=1, created_zxid=1, start="y"), True),
         (node(owner=1, created_zxid=1), node(owner=1, created_zxid=2), False),
     ],
 )
 def test_two_nodes_of_one_endpoint(first, second, other):
-    j = judge(first)
-    before = j.published["a"].process
-    j.on_nodes(S, {"n1": second}, set())
-    changes = j.take(S)
-    assert bool(changes) is other and (j.published["a"].process != before) is other
-    j.on_nodes(2 * S, {}, {"n0"})  # the old session expires at last: nothing to tell
-    assert j.take(2 * S) == [] and j.take(9 * S) == []
+    members = make_members(first)
+    before = members.published["a"].process
+    members.on_nodes(SECOND, {"n1": second}, set())
+    changes = members.take(SECOND)
+    assert bool(changes) is other and (members.published["a"].process != before) is other
+    members.on_nodes(2 * SECOND, {}, {"n0"})  # the old session expires: no change
+    assert members.take(2 * SECOND) == [] and members.take(9 * SECOND) == []
 
 
-def test_of_two_nodes_the_newest_speaks():
-    j = judge(node("a", created_zxid=1))
-    j.on_nodes(S, {"n1": node("a", "fading", owner=1, created_zxid=7)}, set())
-    assert phases(j.take(S)) == [("a", "fading")]
-    j.on_nodes(S, {"n2": node("a", "on", owner=1, created_zxid=5)}, set())
-    assert j.take(S) == []
+def test_the_newest_of_two_nodes_defines_the_endpoint():
+    members = make_members(node("a", created_zxid=1))
+    members.on_nodes(SECOND, {"n1": node("a", "fading", owner=1, created_zxid=7)}, set())
+    assert phases(members.take(SECOND)) == [("a", "fading")]
+    members.on_nodes(SECOND, {"n2": node("a", "on", owner=1, created_zxid=5)}, set())
+    assert members.take(SECOND) == []
 
 
 @pytest.mark.parametrize(
     "absent, outcomes, other",
     [(5, None, False), (11, None, True), (60, (20, 0), False), (5, (20, 20), True), (60, (2, 0), True)],
 )
-def test_whether_a_return_is_another_process(absent, outcomes, other):
-    j = judge(node("a"), node("b"))
-    j.on_nodes(S, {}, {"n0"})
-    j.take(3 * S)
+def test_whether_a_returning_endpoint_is_another_process(absent, outcomes, other):
+    members = make_members(node("a"), node("b"))
+    members.on_nodes(SECOND, {}, {"n0"})
+    members.take(3 * SECOND)
     if outcomes:
-        j.on_sums(4 * S, "a", *outcomes)
-    j.on_nodes(S + absent * S, {"n5": node("a", owner=2, created_zxid=9)}, set())
-    (entry,) = j.take(S + absent * S)
+        members.on_sums(4 * SECOND, "a", *outcomes)
+    members.on_nodes(SECOND + absent * SECOND, {"n5": node("a", owner=2, created_zxid=9)}, set())
+    (entry,) = members.take(SECOND + absent * SECOND)
     assert entry.phase == "on" and (entry.process != "0") is other
 
 
 @pytest.mark.parametrize("acking, stands", [(("a", "b"), ["a", "b"]), (("a",), ["a"]), ((), [])])
 def test_a_pool_is_not_emptied_while_it_acks(acking, stands):
-    j = judge(node("a"), node("b"))
+    members = make_members(node("a"), node("b"))
     for name in acking:
-        j.on_sums(S, name, 20, 1)
-    j.on_nodes(S, {}, {"n0", "n1"})
-    assert sorted(e for e, phase in phases(j.take(3 * S)) if phase == "off") == sorted(
+        members.on_sums(SECOND, name, 20, 1)
+    members.on_nodes(SECOND, {}, {"n0", "n1"})
+    assert sorted(e for e, phase in phases(members.take(3 * SECOND)) if phase == "off") == sorted(
         {"a", "b"} - set(stands)
     )
-    assert sorted(j.retained) == stands and j.due() is None
-    j.on_nodes(4 * S, {"n7": node("c", created_zxid=8)}, set())
-    assert sorted(phases(j.take(4 * S))) == sorted([("c", "on")] + [(name, "off") for name in stands])
+    assert sorted(members.retained) == stands and members.due() is None
+    members.on_nodes(4 * SECOND, {"n7": node("c", created_zxid=8)}, set())
+    assert sorted(phases(members.take(4 * SECOND))) == sorted(
+        [("c", "on")] + [(name, "off") for name in stands]
+    )
 
 
-def test_one_in_doubt_leaves_when_its_acks_end():
-    j = judge(node("a"))
-    j.on_sums(S, "a", 20, 0)
-    j.on_nodes(S, {}, {"n0"})
-    assert j.take(3 * S) == []
-    assert phases(j.take(S + ms.OUTCOMES_FRESH_US + 1)) == [("a", "off")]
+def test_a_retained_endpoint_is_removed_when_its_acks_end():
+    members = make_members(node("a"))
+    members.on_sums(SECOND, "a", 20, 0)
+    members.on_nodes(SECOND, {}, {"n0"})
+    assert members.take(3 * SECOND) == []
+    assert phases(members.take(SECOND + ms.OUTCOMES_FRESH_US + 1)) == [("a", "off")]
 
 
-def test_where_zones_are_pools_each_has_its_own_doubt():
-    j = judge(node("a", zone="x"), node("b", zone="y"), zone_pools=True)
-    j.on_sums(S, "a", 20, 0)
-    j.on_nodes(S, {}, {"n0"})
-    assert j.take(3 * S) == [] and j.retained == {"a"}
-    j = judge(node("a", zone="x"), node("b", zone="y"), zone_pools=False)
-    j.on_sums(S, "a", 20, 0)
-    j.on_nodes(S, {}, {"n0"})
-    assert phases(j.take(3 * S)) == [("a", "off")]
+def test_with_zone_pools_endpoints_are_retained_per_zone():
+    members = make_members(node("a", zone="x"), node("b", zone="y"), zone_pools=True)
+    members.on_sums(SECOND, "a", 20, 0)
+    members.on_nodes(SECOND, {}, {"n0"})
+    assert members.take(3 * SECOND) == [] and members.retained == {"a"}
+    members = make_members(node("a", zone="x"), node("b", zone="y"), zone_pools=False)
+    members.on_sums(SECOND, "a", 20, 0)
+    members.on_nodes(SECOND, {}, {"n0"})
+    assert phases(members.take(3 * SECOND)) == [("a", "off")]
 
 
-def test_one_that_drained_is_never_in_doubt():
-    j = judge(node("a", "fading"))
-    j.on_sums(S, "a", 20, 0)
-    j.on_nodes(S, {}, {"n0"})
-    assert phases(j.take(S)) == [("a", "off")]
+def test_a_drained_endpoint_is_never_retained():
+    members = make_members(node("a", "fading"))
+    members.on_sums(SECOND, "a", 20, 0)
+    members.on_nodes(SECOND, {}, {"n0"})
+    assert phases(members.take(SECOND)) == [("a", "off")]
 
 
-def test_a_node_that_comes_to_name_another_endpoint():
-    j = judge(node("a"), node("b"))
-    j.on_nodes(S, {"n0": node("z", created_zxid=1)}, set())
-    assert phases(j.take(S)) == [("z", "on")] and phases(j.take(3 * S)) == [("a", "off")]
+def test_a_node_that_changes_its_endpoint():
+    members = make_members(node("a"), node("b"))
+    members.on_nodes(SECOND, {"n0": node("z", created_zxid=1)}, set())
+    assert phases(members.take(SECOND)) == [("z", "on")] and phases(members.take(3 * SECOND)) == [
+        ("a", "off")
+    ]
 
 
 NEWS = st.one_of(
@@ -179,56 +185,62 @@
 
 @settings(max_examples=400, deadline=None)
 @given(news=st.lists(NEWS, max_size=40), looks=st.booleans())
-def test_nobody_stands_past_the_hold_and_no_acking_pool_is_emptied_by_vanishing(news, looks):
-    j, now, created_zxid, state = Membership(HOLD), S, 0, {}
+def test_no_entry_outlives_the_hold_and_no_acking_pool_is_emptied(news, looks):
+    members, now, created_zxid, state = Membership(HOLD_US), SECOND, 0, {}
     for one in news:
         if one[0] == "seen":
             created_zxid += 1
-            j.on_nodes(
+            members.on_nodes(
                 now,
                 {f"n{one[1]}": node(f"e{one[2]}", one[3], owner=one[4], created_zxid=created_zxid)},
                 set(),
             )
         elif one[0] == "gone":
-            j.on_nodes(now, {}, {f"n{one[1]}"})
+            members.on_nodes(now, {}, {f"n{one[1]}"})
         elif one[0] == "sums":
-            j.on_sums(now, f"e{one[1]}", 20, 0 if one[2] else 20)
+            members.on_sums(now, f"e{one[1]}", 20, 0 if one[2] else 20)
         else:
-            now += one[1] * S // 10
+            now += one[1] * SECOND // 10
         if looks or one[0] == "wait":
             before = {name for name, phase in state.items() if phase == "on"}
-            for entry in j.take(now):
+            for entry in members.take(now):
                 state[entry.endpoint] = entry.phase
             on = {name for name, phase in state.items() if phase == "on"}
             for name in on:
-                assert name in j.nodes_by_endpoint or name in j.retained or now < j.gone[name].until
+                assert (
+                    name in members.nodes_by_endpoint
+                    or name in members.retained
+                    or now < members.gone[name].until
+                )
             for name in before - on if not on else ():
                 fresh = [
                     outcomes
-                    for outcomes in j.endpoints[name].outcomes
+                    for outcomes in members.endpoints[name].outcomes
                     if outcomes[0] >= now - ms.OUTCOMES_FRESH_US
                 ]
-                assert name in j.nodes_by_endpoint or not fresh or any(aborted for _, _, aborted in fresh)
-    now += 60 * S
-    for entry in j.take(now):
+                assert (
+                    name in members.nodes_by_endpoint or not fresh or any(aborted for _, _, aborted in fresh)
+                )
+    now += 60 * SECOND
+    for entry in members.take(now):
         state[entry.endpoint] = entry.phase
-    there = {name: j._entry(name).phase for name in j.nodes_by_endpoint}
+    there = {name: members._entry(name).phase for name in members.nodes_by_endpoint}
     assert {n: p for n, p in state.items() if p != "off"} == {n: p for n, p in there.items() if p != "off"}
-    assert not j.gone and j.due() is None
+    assert not members.gone and members.due() is None
 
 
-@pytest.mark.parametrize("looked_at, late", [(HOLD, HOLD), (3 * S, 3 * S)])
-def test_news_that_was_held_back_says_for_how_long(looked_at, late):
-    j = judge(node("a"), node("b"))
-    j.on_nodes(0, {}, {"n0"})
-    assert j.take(HOLD - 1) == []
-    assert [one.late for one in j.take(looked_at)] == [late] and j.published["a"].late == 0
+@pytest.mark.parametrize("looked_at, late", [(HOLD_US, HOLD_US), (3 * SECOND, 3 * SECOND)])
+def test_a_delayed_removal_states_its_delay(looked_at, late):
+    members = make_members(node("a"), node("b"))
+    members.on_nodes(0, {}, {"n0"})
+    assert members.take(HOLD_US - 1) == []
+    assert [one.late for one in members.take(looked_at)] == [late] and members.published["a"].late == 0
 
 
-def test_a_drain_was_not_held_back():
-    j = judge(node("a", "fading"), node("b"))
-    j.on_nodes(S, {}, {"n0"})
-    assert [one.late for one in j.take(S)] == [0]
+def test_the_removal_of_a_drained_endpoint_is_not_delayed():
+    members = make_members(node("a", "fading"), node("b"))
+    members.on_nodes(SECOND, {}, {"n0"})
+    assert [one.late for one in members.take(SECOND)] == [0]
 
 
 @pytest.mark.parametrize(
@@ -242,18 +254,18 @@
         (10, 4, 0.5, (4, 10)),
     ],
 )
-def test_a_vanishing_of_many(listed, vanish, apart, mass):
-    j, now = judge(*[node(f"e{n}") for n in range(listed)], hold_us=30 * S), 0
+def test_mass_vanishing_thresholds(listed, vanish, apart, mass):
+    members, now = make_members(*[node(f"e{n}") for n in range(listed)], hold_us=30 * SECOND), 0
     for n in range(vanish):
-        j.on_nodes(now, {}, {f"n{n}"})
-        now += int(apart * S)
-    got = j.mass(now)
-    assert (got and got[:2]) == mass
-
-
-def test_who_acks_tells_a_cut_from_a_loss():
-    j = judge(*[node(f"e{n}") for n in range(4)], hold_us=30 * S)
-    j.on_nodes(0, {}, {"n0", "n1", "n2"})
-    j.on_sums(1, "e0", 20, 0)
-    j.on_sums(1, "e1", 20, 20)
-    assert j.mass(2) == ms.MassVanishing(3, 4, 1, 1)
+        members.on_nodes(now, {}, {f"n{n}"})
+        now += int(apart * SECOND)
+    found = members.mass(now)
+    assert (found and found[:2]) == mass
+
+
+def test_mass_vanishing_counts_acking_and_losing_endpoints():
+    members = make_members(*[node(f"e{n}") for n in range(4)], hold_us=30 * SECOND)
+    members.on_nodes(0, {}, {"n0", "n1", "n2"})
+    members.on_sums(1, "e0", 20, 0)
+    members.on_sums(1, "e1", 20, 20)
+    assert members.mass(2) == ms.MassVanishing(3, 4, 1, 1)
--- a/tests/test_redial.py
+++ b/tests/test_redial.py
@@ -1,4 +1,4 @@
-"""Waits between two tries, and what a crowd of dialers does to who comes back."""
+"""Retry delays, and the load of many clients that reconnect at once."""
 
 import random
 
@@ -23,34 +23,34 @@
 
 @settings(max_examples=200, deadline=None)
 @given(st.integers(1, 10**6), st.integers(1, 60), st.lists(st.floats(0, 0.999999), min_size=1, max_size=30))
-def test_a_wait_is_never_under_the_least_nor_over_the_most_and_grows_by_three_at_most(first, times, drawn):
+def test_waits_stay_within_their_bounds_and_growth_factor(first, times, drawn):
     draws = iter(drawn)
-    redial, last = Backoff(first, first * times, lambda: next(draws)), first
+    backoff, last = Backoff(first, first * times, lambda: next(draws)), first
     for _ in drawn:
-        wait = redial.wait()
+        wait = backoff.wait()
         assert first <= wait <= min(first * times, GROWTH_FACTOR * last)
         last = wait
 
 
-def test_a_good_try_begins_anew_and_what_is_asked_for_is_kept_to():
-    redial = Backoff(100, 10_000, lambda: 0.999)
-    assert [redial.wait() for _ in range(5)][-1] > 5_000
-    redial.reset()
-    assert redial.wait() < 300 and redial.wait(requested=4_000) >= 4_000
+def test_reset_starts_over_and_a_requested_wait_is_kept():
+    backoff = Backoff(100, 10_000, lambda: 0.999)
+    assert [backoff.wait() for _ in range(5)][-1] > 5_000
+    backoff.reset()
+    assert backoff.wait() < 300 and backoff.wait(requested=4_000) >= 4_000
 
 
-def test_waits_at_the_most_are_spread_over_the_whole_range():
-    chance, found = random.Random(3), []
+def test_waits_at_the_maximum_are_spread_over_the_whole_range():
+    rng, found = random.Random(3), []
     for _ in range(300):
-        redial = Backoff(100_000, 2_000_000, chance.random)
+        backoff = Backoff(100_000, 2_000_000, rng.random)
         for _ in range(12):
-            last = redial.wait()
+            last = backoff.wait()
         found.append(last)
     assert all(sum(low <= one < low + 500_000 for one in found) > 20 for low in range(0, 2_000_000, 500_000))
     assert sum(one > 1_990_000 for one in found) < 15
 
 
-class Told:
+class IgnoringCharge:
     def on_store_given(self, rows):
         pass
 
@@ -63,7 +63,7 @@
 
 @pytest.mark.parametrize("pilots", [8, 40])
 def test_pilots_whose_store_is_gone_do_not_dial_in_step_nor_faster_for_being_more(pilots):
-    """Before, each dialled every 100 ms, all in the same 10 ms."""
+    """Guards against synchronized reconnects."""
     world = World(7)
     dials = []
     for number in range(pilots):
@@ -74,20 +74,20 @@
             ("10.0.1.1", 7000),
             Badge("d", "pilot", f"p{number}"),
             number,
-            Told(),
+            IgnoringCharge(),
             lambda event, host=host, **fields: dials.append(host.loop.now()),
             chance=chance.random,
         )
     begin = host.loop.now()
     world.run(host.loop.spawn(host.loop.sleep(20 * SECOND), "until then"))
     late = [at - begin for at in dials if at - begin > 10 * SECOND]
-    assert len(late) / 10 / pilots < 1.5  # a second, of each; they were ten
-    for at in late:  # in no 10 ms more than a few of them
+    assert len(late) / 10 / pilots < 1.5  # dials a second, per pilot
+    for at in late:  # no burst within 10 ms
         assert sum(at <= other < at + 10_000 for other in late) <= 1 + pilots // 8
 
 
 class NoDials:
-    """A budget of dials that is spent after the first."""
+    """A dial budget that allows only the first dial."""
 
     def __init__(self):
         self.left = 1
@@ -103,10 +103,10 @@
         pass
 
 
-def test_a_charge_ends_at_its_time_while_no_dial_may_be_made():
-    world, told = World(5), Told()
+def test_a_charge_ends_on_time_while_the_dial_budget_is_spent():
+    world, callbacks = World(5), IgnoringCharge()
     door, host = world.host("10.0.1.1"), world.host("10.0.0.1")
-    told.on_store_lost = lambda: lapsed.append(host.loop.now())
+    callbacks.on_store_lost = lambda: lapsed.append(host.loop.now())
     store = StoreService(
         door.loop,
         listen(door.loop, ("10.0.1.1", 7000)),
@@ -124,7 +124,7 @@
             ("10.0.1.1", 7000),
             Badge("d", "pilot", "p0"),
             0,
-            told,
+            callbacks,
             lambda event, **fields: None,
             budgets=NoDials(),
             chance=lambda: 0.5,
@@ -138,8 +138,8 @@
     assert len(lapsed) == 1 and ends <= lapsed[0] < ends + 100_000
 
 
-def test_what_came_together_after_a_restart_asks_at_phases_of_its_own():
-    """Forty proxies join in one instant; from then on their beats are spread over the whole period."""
+def test_heartbeats_are_spread_over_the_period_after_a_simultaneous_join():
+    """Guards against synchronized heartbeats of proxies that join at the same instant."""
     world = World(9)
     door = world.host("10.0.1.1")
     beats = []
@@ -182,7 +182,7 @@
 
 
 def test_a_store_that_is_back_within_the_lease_finds_each_pilot_in_time():
-    """Whatever chance draws: waits that have grown must not outlast a charge that still stands."""
+    """A wait that has grown must not outlast a lease that is still in force."""
     world = World(4)
     names = [f"p{n}" for n in range(24)]
     ledger = MemoryLedger(48)
@@ -211,7 +211,7 @@
             ("127.0.0.1", 7000),
             Badge("d", "pilot", name),
             n,
-            Told(),
+            IgnoringCharge(),
             host.loop.report,
             chance=random.Random(n).random,
         )
@@ -220,9 +220,7 @@
     def day():
         yield from runner.loop.sleep(4 * SECOND)
         first.end()
-        yield from runner.loop.sleep(
-            1_200_000
-        )  # a renewal is half a second old at most: a lease of two has 1.5 s left
+        yield from runner.loop.sleep(1_200_000)  # of the lease of 2 s, at least 1.5 s are left
         store(world.host("store"))
         yield from runner.loop.sleep(4 * SECOND)
 
@@ -231,8 +229,8 @@
     assert lapsed == []
 
 
-def test_who_joins_in_a_crowd_is_given_a_turn_and_comes_back_then(tmp_path):
-    """Three hundred proxies at a pilot that takes forty a second: none is lost, none more than that join, those that are joined keep their leases."""
+def test_deferred_joins_return_in_their_slots(tmp_path):
+    """No proxy is lost, the join rate is kept, and proxies that have joined keep their leases."""
     loop = virtual_loop()
     f = Fleet(loop, deployment(tmp_path, pilots=1, proxy="joins_per_s = 40"), proxies=10)
     f.run(2)
@@ -251,5 +249,5 @@
         for event, fields in loop.heard
         if event.startswith("session_") and fields["peer"] in {f"x{n}" for n in range(10)}
     ]
-    assert {fields["reason"] for fields in lost} <= {"done: read"}  # their reads at the store, before
+    assert {fields["reason"] for fields in lost} <= {"done: read"}  # their earlier reads at the store
     assert all(loop.now() < f.agents[f"x{n}"].tables.views["p0"].lease_until for n in range(10))
