--- a/cedarshift/judge/budgets.py
+++ b/cedarshift/judge/budgets.py
@@ -192,17 +192,17 @@
     def targets(
         self,
         demands: Mapping[str, Mapping[str, int]],
-        wholes: Mapping[str, int],
+        capacities: Mapping[str, int],
         rotation: int = 0,
         weights: Optional[Mapping[str, int]] = None,
     ) -> dict[str, dict[str, int]]:
         """Return who should have what, by leaf and holder, beyond floors. `demands`: by leaf and holder;
-        `wholes`: capacities of the roots; `weights`: of holders.
+        `capacities`: of the roots; `weights`: of holders.
         """
         found: dict[str, dict[str, int]] = {}
         for root in self.roots:
             self._fill(
-                root, min(wholes[root], self._wanted(root, demands)), demands, rotation, weights, found
+                root, min(capacities[root], self._wanted(root, demands)), demands, rotation, weights, found
             )
         return found
 
@@ -266,7 +266,7 @@
 
     def in_force(self, now: int) -> int:
         """Return the largest amount that may still be in use."""
-        return max((right.amount for right in self.grants if right.until > now), default=0)
+        return max((grant.amount for grant in self.grants if grant.until > now), default=0)
 
 
 class Pool(NamedTuple):
@@ -323,9 +323,9 @@
 
     # ---- grants in force
 
-    def _add(self, now: int, key: Key, right: Grant) -> None:
-        self.accounts[key].grants.append(right)
-        heapq.heappush(self.ends, (right.until, key))
+    def _add(self, now: int, key: Key, grant: Grant) -> None:
+        self.accounts[key].grants.append(grant)
+        heapq.heappush(self.ends, (grant.until, key))
         self._recount(now, key)
 
     def _recount(self, now: int, key: Key) -> None:
@@ -341,7 +341,7 @@
             account = self.accounts.get(key)
             if account is None:
                 continue
-            account.grants = [right for right in account.grants if right.until > now]
+            account.grants = [grant for grant in account.grants if grant.until > now]
             self._recount(now, key)
             if not account.grants and now - account.heard > self.lease:
                 del self.accounts[key]
@@ -364,13 +364,13 @@
 
     def _available(self, now: int, key: Key) -> int:
         """Return what this account may have at most, within all capacities above it."""
-        room = FOREVER
+        available = FOREVER
         for name in self.plan.ancestors[key[0]]:
             capacity = self.plan.leasable(name)
             if name in self.plan.roots:
                 capacity = min(capacity, self._pool(now, name).amount)
-            room = min(room, capacity - self.in_force(now, name, key))
-        return max(0, room)
+            available = min(available, capacity - self.in_force(now, name, key))
+        return max(0, available)
 
     def recovering(self, now: int) -> bool:
         """Whether nothing new may be granted yet after the start."""
@@ -404,11 +404,13 @@
         self.heard[holder, life] = number
         self._expire(now)
         self._set_suspected(holder, set(suspected))
-        known = [want for want in wants if want.budget in self.sums]
-        presented = {want.budget: self._apply_claim(now, (want.budget, holder, life), want) for want in known}
+        known_requests = [want for want in wants if want.budget in self.sums]
+        presented = {
+            want.budget: self._apply_claim(now, (want.budget, holder, life), want) for want in known_requests
+        }
         self._update_targets(now)
         shares, rows = [], []
-        for want in known:
+        for want in known_requests:
             target = self.target_shares[want.budget].get(f"{holder} {life}", 0)
             share, row = self._grant(now, (want.budget, holder, life), target, presented[want.budget])
             if share is not None:
@@ -441,19 +443,21 @@
         account.demand = max(0, want.demand - self.plan.budgets[key[0]].floor)
         account.weight = max(1, want.weight)
         account.number = max(account.number, want.number, want.newest)
-        known = max((right.amount for right in account.grants if right.number == want.number), default=0)
-        if want.amount > known:
+        known_amount = max(
+            (grant.amount for grant in account.grants if grant.number == want.number), default=0
+        )
+        if want.amount > known_amount:
             if self.recovering(now):  # granted by an earlier life of the grantor, within the capacity then
                 self._add(now, key, Grant(want.number, want.amount, now + self.lease))
             else:
                 self.counts["stray"] += 1
         account.grants = [
-            right
-            for right in account.grants
-            if right.number > want.number or right.number == want.number and want.amount
+            grant
+            for grant in account.grants
+            if grant.number > want.number or grant.number == want.number and want.amount
         ]
         self._recount(now, key)
-        return max((right.amount for right in account.grants if right.number == want.number), default=0)
+        return max((grant.amount for grant in account.grants if grant.number == want.number), default=0)
 
     def _update_targets(self, now: int) -> None:
         """Compute who should have what; not at every ask if there are many accounts."""
@@ -470,9 +474,9 @@
             if now - account.heard <= self.lease and holder not in gone:
                 demands[budget][f"{holder} {life}"] = account.demand
                 weights[f"{holder} {life}"] = max(account.weight, weights.get(f"{holder} {life}", 1))
-        wholes = {root: self._pool(now, root).amount for root in self.plan.roots}
+        capacities = {root: self._pool(now, root).amount for root in self.plan.roots}
         self.target_shares = self.plan.targets(
-            demands, wholes, now // (ROTATION_LEASES * self.lease), weights
+            demands, capacities, now // (ROTATION_LEASES * self.lease), weights
         )
 
     def _set_suspected(self, holder: str, names: set[str]) -> None:
@@ -501,11 +505,11 @@
         if len(account.grants) >= MAX_UNCLAIMED_GRANTS:
             return None, None
         newest = account.grants[-1].amount if account.grants else 0
-        room = presented if self.recovering(now) else self._available(now, key)
+        available = presented if self.recovering(now) else self._available(now, key)
         if newest and target and abs(target - newest) <= MIN_CHANGE_SHARE * max(target, newest):
             target = newest
-        amount = min(target, room)
-        duration = self._span(now, key, amount)
+        amount = min(target, available)
+        duration = self._grant_duration(now, key, amount)
         if duration <= 0 or not amount and not newest:
             return None, None
         self.counts["grants"] += 1
@@ -519,7 +523,7 @@
             row = Row(*key, account.number, amount, duration)
         return Share(key[0], account.number, amount, duration), row
 
-    def _span(self, now: int, key: Key, amount: int) -> int:
+    def _grant_duration(self, now: int, key: Key, amount: int) -> int:
         """Return the duration of a grant (us): it ends no later than what it is made of; the permanent part
         is granted for a whole lease.
         """
@@ -539,7 +543,7 @@
                     "life": key[2],
                     "demand": account.demand + budget.floor,
                     "given": account.in_force(now),
-                    "ends_in_us": max((right.until for right in account.grants), default=now) - now,
+                    "ends_in_us": max((grant.until for grant in account.grants), default=now) - now,
                     "heard_us_ago": now - account.heard,
                 }
                 for key, account in sorted(self.accounts.items())
--- a/cedarshift/judge/claims.py
+++ b/cedarshift/judge/claims.py
@@ -92,9 +92,8 @@
         lease = self.leases.get(request.resource)
         if lease is not None and lease.until > now:
             own = (lease.holder, lease.life) == (holder, life)
-            self.counts["stray"] += (
-                request.held and not own
-            )  # two holders of one claim: a clock beyond the drift bound
+            # Two holders of one claim: a clock beyond the drift bound.
+            self.counts["stray"] += request.held and not own
             return own
         return request.held or now >= self.recovery_until
 
--- a/cedarshift/judge/membership.py
+++ b/cedarshift/judge/membership.py
@@ -286,13 +286,13 @@
         full = {self._pool_of(entry) for entry in listed.values() if entry.phase == ON}
         found = []
         for endpoint, one in sorted(self.gone.items()):
-            stands = (
+            retain = (
                 endpoint not in listed
                 and one.last.phase == ON
                 and self._pool_of(one.last) not in full
                 and self._is_acking(now, endpoint, one)
             )
-            if stands:
+            if retain:
                 found.append(endpoint)
         self.counts["doubted"] += len(set(found) - self.retained)
         self.retained = set(found)
--- a/cedarshift/judge/overload.py
+++ b/cedarshift/judge/overload.py
@@ -134,17 +134,17 @@
 CALM = Answer("calm", 1.0, (), (), MAX_REPEAT_RATIO, REJECT_WAIT_US["calm"])
 
 
-def is_plausible(row: LoadReport, kinds: int) -> bool:
+def is_plausible(report: LoadReport, kinds: int) -> bool:
     """Whether a report may be counted: all its figures are finite and within bounds."""
-    figures = [value for flow in row.flows for value in flow[:6]] + [row.ops]
-    times = [flow.took for flow in row.flows]
+    figures = [value for flow in report.flows for value in flow[:6]] + [report.ops]
+    times = [flow.took for flow in report.flows]
     return (
-        len(row.flows) == kinds
-        and row.state in STATES
+        len(report.flows) == kinds
+        and report.state in STATES
         and all(0 <= value <= MAX_RATE for value in figures)
         and all(0 <= value < math.inf for value in times)
-        and 0 <= row.pressure < math.inf
-        and 0 <= row.share <= 1
+        and 0 <= report.pressure < math.inf
+        and 0 <= report.share <= 1
     )
 
 
@@ -167,14 +167,14 @@
         self.op_values = list(op_values)
         self.rows: dict[str, LoadReport] = {}
 
-    def add_report(self, pilot: str, row: LoadReport) -> bool:
+    def add_report(self, pilot: str, report: LoadReport) -> bool:
         """Store a report; return whether it is plausible and newer than the stored one."""
-        if not is_plausible(row, len(self.op_values)):
+        if not is_plausible(report, len(self.op_values)):
             return False
         held = self.rows.get(pilot)
-        if held is not None and (row.start, row.seq) <= (held.start, held.seq):
+        if held is not None and (report.start, report.seq) <= (held.start, held.seq):
             return False
-        self.rows[pilot] = row
+        self.rows[pilot] = report
         return True
 
     def weight(self, pilot: str, now: int) -> float:
@@ -191,9 +191,9 @@
         pilots.
         """
         left = set(gone) - {self.me}
-        known = {name: self.weight(name, now) for name in self.rows if name not in left}
+        weights = {name: self.weight(name, now) for name in self.rows if name not in left}
         flows = self._clamp_outliers(
-            [(self.rows[name].flows, weight) for name, weight in sorted(known.items())]
+            [(self.rows[name].flows, weight) for name, weight in sorted(weights.items())]
         )
         median = [self._median_flow(kind, flows) for kind in range(len(self.op_values))]
         summed = [
@@ -214,9 +214,9 @@
         return Totals(
             offered=offered,
             acked=sum(cost * flow.acked for cost, flow in zip(costs, summed)),
-            pressure=self._pressure(known),
+            pressure=self._pressure(weights),
             mix=tuple(one / offered for one in work) if offered else (),
-            pilots=len(known),
+            pilots=len(weights),
             repeats=sum(flow.repeats for flow in summed),
         )
 
@@ -256,21 +256,23 @@
             [*(weighted_median((flows[kind][n], weight) for flows, weight in rows) for n in range(6)), 0.0]
         )
 
-    def _pressure(self, known: dict[str, float]) -> float:
+    def _pressure(self, weights: dict[str, float]) -> float:
         """Return the median of the pilots' pressures, weighted by ops. No pilot's weight exceeds the median
         one, so that none dominates.
         """
-        reported = [(self.rows[name].pressure, weight, self.rows[name].ops) for name, weight in known.items()]
-        most = weighted_median((ops, weight) for _, weight, ops in reported)
+        reported = [
+            (self.rows[name].pressure, weight, self.rows[name].ops) for name, weight in weights.items()
+        ]
+        median_ops = weighted_median((ops, weight) for _, weight, ops in reported)
         return weighted_median(
-            (pressure, weight * min(ops, most or ops)) for pressure, weight, ops in reported
+            (pressure, weight * min(ops, median_ops or ops)) for pressure, weight, ops in reported
         )
 
     def others_share(self, now: int, gone: Iterable[str] = ()) -> Optional[float]:
         """Return the median of the other pilots' shares, of two the larger; None if no report has weight."""
         left = {*gone, self.me}
         reported = [
-            (row.share, self.weight(name, now)) for name, row in self.rows.items() if name not in left
+            (report.share, self.weight(name, now)) for name, report in self.rows.items() if name not in left
         ]
         return (
             1.0 - weighted_median((1.0 - share, weight) for share, weight in reported)
@@ -360,7 +362,7 @@
         elif self.state == "limited":  # busy, and less is carried: the capacity has dropped
             self.known = max(self.carried, CAPACITY_DECAY * self.known)
         self.steps_above = self.steps_above + 1 if totals.pressure > ENGAGE_PRESSURE else 0
-        looks = (
+        required_steps = (
             ENGAGE_STEPS_AT_START
             if not self.known
             else 1
@@ -370,7 +372,7 @@
         self.steps_others_shed = (
             self.steps_others_shed + 1 if others is not None and others < JOIN_OTHERS_SHARE else 0
         )
-        if self.state == "calm" and self.steps_above >= looks:
+        if self.state == "calm" and self.steps_above >= required_steps:
             self._enter("limited", f"ops take {totals.pressure:.2f} of the target")
             self.limit = self._sustainable(totals)
         elif self.state == "calm" and self.steps_others_shed >= ENGAGE_STEPS and others is not None:
@@ -405,9 +407,8 @@
     def _adjust_limit(self, now: int, elapsed: int, totals: Totals) -> None:
         """Adjust the limit while load is shed, and lift it once all load has fitted for a while."""
         fits = totals.pressure < ENGAGE_PRESSURE and totals.offered < FITS_SHARE * self.known
-        if (
-            totals.pressure < EASE_PRESSURE or fits
-        ):  # ops may take long without queueing: admit what was carried before
+        if totals.pressure < EASE_PRESSURE or fits:
+            # Ops may take long without queueing: admit what was carried before.
             self.limit = (
                 max(self.limit, self.carried) + RISE_PER_S * max(self.known, self.carried) * elapsed / 1e6
             )
@@ -427,12 +428,13 @@
         """Detect congestion that sustains itself: the offered load is below the known capacity, and yet
         endpoints are behind.
         """
+        # If next to nothing is carried, the cause persists.
         stuck = (
             self.state != "jam"
             and totals.offered < JAM_OFFERED_SHARE * self.known
             and totals.pressure > ENGAGE_PRESSURE
             and self.carried > JAM_CARRIED_SHARE * self.known
-        )  # if next to nothing is carried, the cause persists
+        )
         if not stuck:
             self.stuck_since = None
         elif self.stuck_since is None:
@@ -478,31 +480,31 @@
     came: float = 0.0  # ops for its slices, including rejected ones
     in_flight: float = 0.0  # ops in flight, as last reported by proxies
     share_factor: float = 1.0  # its share relative to the fleet's
-    looks_overloaded: int = 0  # consecutive steps above ENGAGE_PRESSURE
+    steps_overloaded: int = 0  # consecutive steps above ENGAGE_PRESSURE
 
 
 class EndpointLoads:
-    """Loads of the endpoints over about the last `span` microseconds. They give the pressure and each
+    """Loads of the endpoints over about the last `window` microseconds. They give the pressure and each
     endpoint's own share, since one share for all would overload the slow endpoints and waste the fast ones.
 
     Reports are added as they come and decay only at each step, as a thousand proxies report on hundreds of
     endpoints twice a second.
     """
 
-    def __init__(self, target: int, elapsed: int, gain: float = 1.0) -> None:
+    def __init__(self, target: int, window: int, gain: float = 1.0) -> None:
         self.target = target
         self.gain = gain
-        self.elapsed = elapsed
+        self.window = window
         self.decayed_at = 0
         self.lanes: defaultdict[str, EndpointLoad] = defaultdict(EndpointLoad)
         self.held: dict[str, dict[str, float]] = {}  # reporter -> endpoint -> ops in flight
 
     def met(self, endpoint: str, tries: float, aborted: float, full: float = 0.0) -> None:
         """Count op outcomes. `full`: of the aborted ops, those that the endpoint had no room for."""
-        lane = self.lanes[endpoint]
-        lane.tries += tries
-        lane.acked += tries - aborted
-        lane.full += full
+        load = self.lanes[endpoint]
+        load.tries += tries
+        load.acked += tries - aborted
+        load.full += full
 
     def came(self, endpoint: str, ops: float) -> None:
         """Count ops for an endpoint, including rejected ones."""
@@ -511,8 +513,8 @@
     def set_in_flight(self, who: str, under_way: dict[str, float]) -> None:
         """Replace a reporter's ops in flight; empty for one that has left."""
         for endpoint, count in self.held.pop(who, {}).items():
-            lane = self.lanes[endpoint]
-            lane.in_flight = max(0.0, lane.in_flight - count)
+            load = self.lanes[endpoint]
+            load.in_flight = max(0.0, load.in_flight - count)
         if under_way:
             self.held[who] = under_way
         for endpoint, count in under_way.items():
@@ -520,21 +522,23 @@
 
     def _decay(self, now: int) -> None:
         """Decay all amounts up to `now`."""
-        left = math.exp((self.decayed_at - now) / self.elapsed) if now > self.decayed_at else 1.0
+        left = math.exp((self.decayed_at - now) / self.window) if now > self.decayed_at else 1.0
         self.decayed_at = max(now, self.decayed_at)
-        for lane in self.lanes.values() if left < 1.0 else ():
-            lane.tries, lane.acked, lane.full, lane.came = (
-                lane.tries * left,
-                lane.acked * left,
-                lane.full * left,
-                lane.came * left,
+        for load in self.lanes.values() if left < 1.0 else ():
+            load.tries, load.acked, load.full, load.came = (
+                load.tries * left,
+                load.acked * left,
+                load.full * left,
+                load.came * left,
             )
 
-    def _pressure(self, lane: EndpointLoad) -> Optional[float]:
-        if lane.acked + lane.full + lane.in_flight < 1:
+    def _pressure(self, load: EndpointLoad) -> Optional[float]:
+        if load.acked + load.full + load.in_flight < 1:
             return None
-        waits = lane.in_flight / max(MIN_ACKED, lane.acked) * self.elapsed / self.target
-        return min(MAX_PRESSURE, waits + FULL_PRESSURE * lane.full / max(1.0, lane.acked + lane.full))
+        queue_pressure = load.in_flight / max(MIN_ACKED, load.acked) * self.window / self.target
+        return min(
+            MAX_PRESSURE, queue_pressure + FULL_PRESSURE * load.full / max(1.0, load.acked + load.full)
+        )
 
     def look(self, now: int) -> tuple[float, float]:
         """Return the pressure and the ops a second behind it.
@@ -544,19 +548,19 @@
         """
         self._decay(now)
         reported = []
-        for endpoint, lane in list(self.lanes.items()):
-            pressure = self._pressure(lane)
+        for endpoint, load in list(self.lanes.items()):
+            pressure = self._pressure(load)
             if pressure is not None:
-                reported.append((pressure, lane.acked + lane.full))
-            elif lane.tries + lane.came + lane.in_flight < 0.01:
+                reported.append((pressure, load.acked + load.full))
+            elif load.tries + load.came + load.in_flight < 0.01:
                 del self.lanes[endpoint]
         if reported and not any(ops > MIN_ACKED for _, ops in reported):
             reported = [
-                (pressure, lane.in_flight)
-                for lane in self.lanes.values()
-                if (pressure := self._pressure(lane)) is not None
+                (pressure, load.in_flight)
+                for load in self.lanes.values()
+                if (pressure := self._pressure(load)) is not None
             ]
-        return weighted_median(reported), sum(ops for _, ops in reported) * 1e6 / self.elapsed
+        return weighted_median(reported), sum(ops for _, ops in reported) * 1e6 / self.window
 
     def shares(self, now: int, share: float) -> dict[str, float]:
         """Return the endpoints whose share differs from the fleet's.
@@ -565,41 +569,47 @@
         relieved alone.
         """
         self._decay(now)
-        wanted = {endpoint: self._wanted(lane) for endpoint, lane in self.lanes.items()}
+        wanted = {endpoint: self._wanted(load) for endpoint, load in self.lanes.items()}
         reported = [
             (part, self.lanes[endpoint].came) for endpoint, part in wanted.items() if part is not None
         ]
         came = sum(ops for _, ops in reported)
-        usual = sum(part * ops for part, ops in reported) / came if came else 0.0
+        mean_part = sum(part * ops for part, ops in reported) / came if came else 0.0
         for endpoint, part in wanted.items():
-            lane = self.lanes[endpoint]
-            pressed = (self._pressure(lane) or 0.0) > ENGAGE_PRESSURE
-            lane.looks_overloaded = lane.looks_overloaded + 1 if pressed else 0
+            load = self.lanes[endpoint]
+            overloaded = (self._pressure(load) or 0.0) > ENGAGE_PRESSURE
+            load.steps_overloaded = load.steps_overloaded + 1 if overloaded else 0
             if (
                 part is None
-                or not usual
-                or (share >= 1.0 and lane.share_factor >= 1.0 and lane.looks_overloaded < OVERLOADED_STEPS)
+                or not mean_part
+                or (share >= 1.0 and load.share_factor >= 1.0 and load.steps_overloaded < OVERLOADED_STEPS)
             ):
-                lane.share_factor = 1.0
+                load.share_factor = 1.0
                 continue
-            to = part / usual if share < 1.0 else part if pressed else lane.share_factor * SHARE_FACTOR_GROWTH
-            lane.share_factor += SHARE_FACTOR_SMOOTHING * (
-                min(MAX_SHARE_FACTOR, max(MIN_SHARE_FACTOR, to)) - lane.share_factor
+            target_factor = (
+                part / mean_part
+                if share < 1.0
+                else part
+                if overloaded
+                else load.share_factor * SHARE_FACTOR_GROWTH
+            )
+            load.share_factor += SHARE_FACTOR_SMOOTHING * (
+                min(MAX_SHARE_FACTOR, max(MIN_SHARE_FACTOR, target_factor)) - load.share_factor
             )
         found = {
-            endpoint: min(1.0, share * lane.share_factor)
-            for endpoint, lane in self.lanes.items()
-            if lane.share_factor != 1.0
+            endpoint: min(1.0, share * load.share_factor)
+            for endpoint, load in self.lanes.items()
+            if load.share_factor != 1.0
         }
         return {endpoint: own for endpoint, own in found.items() if abs(own - share) > 0.01 * share}
 
-    def _wanted(self, lane: EndpointLoad) -> Optional[float]:
+    def _wanted(self, load: EndpointLoad) -> Optional[float]:
         """Return the part of the offered ops that an endpoint can serve; None if there were too few."""
-        pressure = self._pressure(lane)
-        if pressure is None or lane.came < MIN_ENDPOINT_OPS:
+        pressure = self._pressure(load)
+        if pressure is None or load.came < MIN_ENDPOINT_OPS:
             return None
         return (
-            lane.acked
-            / lane.came
+            load.acked
+            / load.came
             * max(MIN_SHARE_FACTOR, 1 + self.gain * max(-MAX_PRESSURE_ERROR, TARGET_PRESSURE - pressure))
         )
--- a/cedarshift/judge/roll.py
+++ b/cedarshift/judge/roll.py
@@ -264,10 +264,10 @@
             observer: edge
             for observer, edge in self.edges.get(subject, {}).items()
             if (edge.start, edge.incarnation) == (word.start, word.incarnation)
-            and self._stands(observer, edge)
+            and self._is_valid(observer, edge)
         }
 
-    def _stands(self, observer: str, edge: Edge) -> bool:
+    def _is_valid(self, observer: str, edge: Edge) -> bool:
         """Whether the observer of an edge is usable and unchanged since."""
         word = self.words.get(observer)
         return (
@@ -394,19 +394,21 @@
         ):
             self._schedule_update(math.ceil(self.majority_since + UPGRADE_AFTER_PERIODS * self.period))
             return
-        first = self.since.setdefault(name, now)
+        first_report_at = self.since.setdefault(name, now)
         observers = set(self.rings.observers(name, self.usable)) - unreliable | reporters
         share = len(reporters) / len(observers)
         patience = (
             self.period * (BASE_PATIENCE_PERIODS + EXTRA_PATIENCE_PERIODS * (1 - share)) * patience_factor
         )
-        most = (
+        max_wait = (
             MAX_QUIESCENT_WAIT_FEW_PERIODS
             if self.disputed_members <= FEW_SUSPECTS_SHARE * len(self.names)
             else MAX_QUIESCENT_WAIT_PERIODS
         )
-        settled = min(self.last_report_at + QUIESCENT_PERIODS * self.period, first + most * self.period)
-        due = math.ceil(max(first + patience, settled))
+        settled = min(
+            self.last_report_at + QUIESCENT_PERIODS * self.period, first_report_at + max_wait * self.period
+        )
+        due = math.ceil(max(first_report_at + patience, settled))
         others = sum(self.usable(one) for one in self.names if one not in (name, self.me)) + 1
         if vouchers:
             ends = [
@@ -418,11 +420,11 @@
         if share < MIN_REPORTER_SHARE or len(reporters) < min(MIN_REPORTERS, others):
             self._schedule_update(math.ceil(now + self.period))
         elif now >= due:
-            steady = (
+            stable = (
                 self.majority_since is not None
                 and now - self.majority_since >= STABLE_MAJORITY_PERIODS * self.period
             )
-            if agreed and not (steady and self._hears_majority(first, heard)):
+            if agreed and not (stable and self._hears_majority(first_report_at, heard)):
                 if now < due + MAJORITY_WAIT_PERIODS * self.period:
                     self._schedule_update(math.ceil(now + self.period / 4))
                     return
--- a/cedarshift/judge/trials.py
+++ b/cedarshift/judge/trials.py
@@ -152,7 +152,9 @@
                 continue
             trial = self.own_trials.get(endpoint)
             if trial is None and counts.get(tag, 0) >= threshold:
-                self.own_trials[endpoint] = trial = self._shut(now, endpoint, self._inherited_strikes(tag))
+                self.own_trials[endpoint] = trial = self._close_endpoint(
+                    now, endpoint, self._inherited_strikes(tag)
+                )
             if trial is not None:
                 self._advance(now, endpoint, trial)
                 if endpoint in self.own_trials:
@@ -177,9 +179,9 @@
             (report.trials[tag][1] for report in self.reports.values() if tag in report.trials), default=0
         )
 
-    def _shut(self, now: int, endpoint: str, strikes: int) -> Trial:
-        known, until = self.strikes_until.get(endpoint, (0, 0))
-        strikes = max(strikes, known + 1 if now < until else 0)
+    def _close_endpoint(self, now: int, endpoint: str, strikes: int) -> Trial:
+        previous, until = self.strikes_until.get(endpoint, (0, 0))
+        strikes = max(strikes, previous + 1 if now < until else 0)
         self.strikes_until[endpoint] = (strikes, now + STRIKE_MEMORY_US)
         return Trial(0.0, strikes, now, now + self._probe_interval(strikes))
 
@@ -198,14 +200,12 @@
                 0,
             )
         elif trial.prober and now - trial.asked_at >= PROBE_TIMEOUT_US:
-            trial.prober, trial.good_probes = (
-                "",
-                0,
-            )  # no result: the proxy had no op to try it with, or has left
+            # No result: the proxy had no op to try it with, or has left.
+            trial.prober, trial.good_probes = "", 0
 
     def _ramp(self, now: int, endpoint: str, trial: Trial) -> None:
         if trial.tries >= MIN_RAMP_TRIES and trial.failed > MAX_RAMP_ABORT_SHARE * trial.tries:
-            self.own_trials[endpoint] = self._shut(now, endpoint, trial.strikes)
+            self.own_trials[endpoint] = self._close_endpoint(now, endpoint, trial.strikes)
         elif now >= trial.next_at:
             trial.share, trial.next_at, trial.tries, trial.failed = (
                 2 * trial.share,
--- a/cedarshift/rehearsal/planted.py
+++ b/cedarshift/rehearsal/planted.py
@@ -113,7 +113,7 @@
     def __init__(self, *given: Any) -> None:
         super().__init__(*given)
         giver = self.giver
-        giver._span = lambda now, key, amount: giver.lease  # type: ignore[method-assign]
+        giver._grant_duration = lambda now, key, amount: giver.lease  # type: ignore[method-assign]
 
 
 class SaidTooSoon(b.Hub):
