--- a/cedarshift/agent/client.py
+++ b/cedarshift/agent/client.py
@@ -10,7 +10,7 @@
 from cedarshift.agent.tables import NoPick, OpKind, Pick, Tables
 from cedarshift.codec import Badge, ProtocolError, Session
 from cedarshift.codec import messages as m
-from cedarshift.judge.redial import Redial
+from cedarshift.judge.redial import Backoff
 from cedarshift.link import Link, connect
 from cedarshift.loop import Loop, StreamBroken, TimedOut
 from cedarshift.loop.core import Coroutine, Waker
@@ -156,13 +156,13 @@
 
     def _stream_loop(self, names: list[str]) -> Coroutine:
         """Keeps one stream open to any of `names`, tried in turn from a random one."""
-        backoff = Redial(MIN_REDIAL_DELAY_US, MAX_REDIAL_DELAY_US, self.rng)
+        backoff = Backoff(MIN_REDIAL_DELAY_US, MAX_REDIAL_DELAY_US, self.rng)
         attempt = int(self.rng() * len(names))
         while True:
             name, min_wait = names[attempt % len(names)], 0
             try:
                 link, first = yield from self._dial(name)
-                backoff.well()
+                backoff.reset()
                 yield from self._run_session(name, link, first)
             except (StreamBroken, ProtocolError, TimedOut) as error:
                 min_wait = getattr(error, "after", 0)
@@ -316,7 +316,7 @@
 
     def _read_store(self, address: tuple[str, int]) -> Coroutine:
         """Fetches the store's tables once at the start, so that reads work before any pilot is reached."""
-        backoff = Redial(MIN_REDIAL_DELAY_US, MAX_REDIAL_DELAY_US, self.rng)
+        backoff = Backoff(MIN_REDIAL_DELAY_US, MAX_REDIAL_DELAY_US, self.rng)
         while True:
             min_wait = 0
             try:
--- a/cedarshift/agent/gate.py
+++ b/cedarshift/agent/gate.py
@@ -10,7 +10,7 @@
 
 from cedarshift.agent.thinning import Thinning
 from cedarshift.codec import messages as m
-from cedarshift.judge.overload import AGAIN, WAIT, shares
+from cedarshift.judge.overload import MAX_REPEAT_RATIO, REJECT_WAIT_US, shares
 
 POLICY_TTL_US = 3_000_000
 MAX_SAVED_REPEATS = 10.0  # bounds the burst of repeats after a quiet period
@@ -140,7 +140,8 @@
             if fresh:
                 policy = self.active_policy(now, pilot)
                 self.repeats = min(
-                    MAX_SAVED_REPEATS, self.repeats + (policy.again if policy is not None else AGAIN)
+                    MAX_SAVED_REPEATS,
+                    self.repeats + (policy.again if policy is not None else MAX_REPEAT_RATIO),
                 )
 
     def admit(
@@ -188,7 +189,7 @@
 
     def retry_delay(self, policy: Optional[m.Told] = None) -> int:
         """Returns a jittered delay (us) after which a rejected client may retry."""
-        return int((policy.wait if policy is not None else WAIT["calm"]) * (0.5 + self.rng()))
+        return int((policy.wait if policy is not None else REJECT_WAIT_US["calm"]) * (0.5 + self.rng()))
 
     def on_try_finished(
         self, now: int, pilot: str, endpoint: str, op_type: int, outcome: str, took: int
--- a/cedarshift/agent/shares.py
+++ b/cedarshift/agent/shares.py
@@ -7,8 +7,8 @@
 import msgspec
 
 from cedarshift.codec import messages as m
-from cedarshift.judge.budgets import ASK_LEAST, ASKS_A_LEASE, Holder, Share
-from cedarshift.judge.spending import Bucket, Wishes
+from cedarshift.judge.budgets import ASKS_PER_LEASE, MIN_ASK_INTERVAL_US, Holder, Share
+from cedarshift.judge.spending import DemandEstimator, TokenBucket
 
 MAX_RETRY_CREDIT = 10.0  # tokens; bounds the burst of repeats after a quiet period
 
@@ -24,8 +24,8 @@
         self.terms: dict[str, m.BudgetOf] = {}  # by budget
         self.budget_by_use: dict[str, str] = {}
         self.holders: dict[str, Holder] = {}  # by pilot
-        self.buckets: dict[tuple[str, str], Bucket] = {}  # by budget and pilot
-        self.demand: dict[str, Wishes] = {}  # by budget
+        self.buckets: dict[tuple[str, str], TokenBucket] = {}  # by budget and pilot
+        self.demand: dict[str, DemandEstimator] = {}  # by budget
         self.joined: set[str] = set()  # pilots
         self.asked_at: dict[str, int] = {}  # by pilot
         self.ask_interval: dict[str, int] = {}  # by pilot, from the duration of its last shares
@@ -48,7 +48,7 @@
             )
             self.buckets = {key: bucket for key, bucket in self.buckets.items() if key[1] != pilot}
             self.buckets.update(
-                {(budget.name, pilot): Bucket(budget.burst, budget.drift, now) for budget in terms}
+                {(budget.name, pilot): TokenBucket(budget.burst, budget.drift, now) for budget in terms}
             )
         if terms:
             self.joined.add(pilot)
@@ -62,7 +62,7 @@
         self.budget_by_use = {budget.use: budget.name for budget in self.terms.values()}
         for name in self.terms:
             if name not in self.demand:
-                self.demand[name] = Wishes(now)
+                self.demand[name] = DemandEstimator(now)
                 self.retry_credit[name] = MAX_RETRY_CREDIT
 
     def on_lost(self, now: int, pilot: str) -> None:
@@ -77,7 +77,7 @@
 
     def add_request(self, now: int, pilot: str, beat: m.Beat) -> m.Beat:
         """Adds a request for shares to a heartbeat if one is due, and returns it."""
-        interval = self.ask_interval.get(pilot, ASK_LEAST)
+        interval = self.ask_interval.get(pilot, MIN_ASK_INTERVAL_US)
         if pilot not in self.joined or now - self.asked_at.get(pilot, -interval) < interval:
             return beat
         self.asked_at[pilot] = now
@@ -92,12 +92,12 @@
         holder = self.holders.get(pilot)
         if holder is None or not answer.era:
             return
-        if holder.hear(
+        if holder.on_answer(
             now, answer.ask, answer.era, [Share(*msgspec.structs.astuple(one)) for one in answer.shares]
         ):
             spans = [share.span for share in answer.shares]
             # One more request per span than needed, as requests wait for heartbeats.
-            self.ask_interval[pilot] = max(ASK_LEAST, min(spans, default=0) // (ASKS_A_LEASE + 1))
+            self.ask_interval[pilot] = max(MIN_ASK_INTERVAL_US, min(spans, default=0) // (ASKS_PER_LEASE + 1))
             for name in holder.floors:
                 self.buckets[name, pilot].grant(now, holder.right(now, name), holder.until(now, name))
         elif answer.era != holder.era:
@@ -107,7 +107,7 @@
     def _demands(self, now: int) -> dict[str, int]:
         """Returns the demand of each budget to request from one pilot: an equal part from each."""
         for demand in self.demand.values():
-            demand.look(now)
+            demand.close_interval(now)
         return {name: -(-demand.rate() // max(1, len(self.joined))) for name, demand in self.demand.items()}
 
     # ---- spending
@@ -126,7 +126,7 @@
         limited = self.terms[name].of_fresh > 0
         if limited and self.retry_credit[name] < 1.0:
             return False
-        self.demand[name].wish()
+        self.demand[name].record()
         for (budget, _), bucket in self.buckets.items():
             if budget == name and bucket.take(now):
                 self.retry_credit[name] -= 1.0 if limited else 0.0
--- a/cedarshift/judge/budgets.py
+++ b/cedarshift/judge/budgets.py
@@ -1,16 +1,19 @@
-"""Budgets of a whole fleet as leased shares: who may spend how much, until when. No I/O; times are whole microseconds.
-
-A budget is one whole, in parts. A *giver* divides it among *holders*: a right to so many parts until an end that the holder
-counts from its asking, shortened by the clock drift, and the giver from its giving. What was given and is not known to be
-over counts as in force; so at no instant is the sum of what all may spend above the whole, whatever is lost, late, doubled,
-killed, stopped or restored. A pilot is holder to the store and giver to its proxies, by the same two classes.
-
-Rights of one holder's life and budget are numbered and replace each other. A holder that says "I hold number n" will never
-spend on an older one again, so a shrink is in force at the giver once its number is claimed, or the larger one has ended.
-After a start a giver can't know what its former life, or a lost write, had given: for one longest lease it gives nothing
-new and prolongs only what a holder presents as in force, which was part of the whole when the giver began.
-
-Fairness is weighted max-min on integers: Bertsekas and Gallager, Data Networks, section 6.5 (progressive filling).
+"""Fleet-wide budgets, divided into leased shares: who may spend how much, until when. No I/O; times are
+microseconds.
+
+A *grantor* divides a budget's capacity among *holders*. A holder counts the end of its share from its
+request, shortened by the clock drift; the grantor counts from the grant. A grant not known to be over counts
+as in force, so the sum of all that may be spent never exceeds the capacity, whatever messages are lost, late
+or duplicated and whatever processes are killed, suspended or restored. A pilot is a holder towards the store
+and a grantor towards its proxies, by the same two classes.
+
+Grants of one holder life and budget are numbered and replace each other. A holder that claims number n never
+again spends on an older one, so a shrink takes effect at the grantor once its number is claimed or the larger
+grant has ended. A grantor that starts cannot know what an earlier life, or a lost write, had granted: for one
+longest lease it grants nothing new and renews only what holders present as in force.
+
+Fairness is weighted max-min on integers: Bertsekas and Gallager, Data Networks, section 6.5 (progressive
+filling).
 """
 
 from __future__ import annotations
@@ -20,24 +23,19 @@
 from collections import deque
 from typing import Callable, Iterable, Mapping, NamedTuple, Optional
 
-# Constants: unit, then the reason for the size.
-ASKS_A_LEASE = 4  # asks in a lease, so that three may be lost
-ASK_LEAST = 200_000  # us between two asks of one holder: a thousand proxies are heard by one pilot
-KEEP_PART = (
-    0.04  # of a share; a target that differs by less moves nothing: it would be paid for by a shrink first
-)
-WEIGHED_EACH_TIME = 64  # accounts; with more, targets are worked out now and then: a pilot hears each of a thousand proxies often
-WEIGHED_A_LEASE = 16
-ROTATE = 8  # leases between two turns of those for whom there is one token too few
-LEFT_KEPT = 1_000  # lives that have left; their last words are seconds late at most
-OPEN_RIGHTS = (
-    24  # of one life and budget that nobody has claimed; a holder that asks on without claiming gets no more
-)
+ASKS_PER_LEASE = 4  # so that three may be lost
+MIN_ASK_INTERVAL_US = 200_000  # per holder; bounds the load of a thousand proxies on a pilot
+MIN_CHANGE_SHARE = 0.04  # smaller changes of a target are not worth a shrink
+MAX_ACCOUNTS_PER_ASK = 64  # with more accounts, targets are not computed at every ask
+TARGET_UPDATES_PER_LEASE = 16
+ROTATION_LEASES = 8  # leases after which leftover tokens go to other holders
+MAX_DEPARTED_LIVES = 1_000  # departed lives whose late asks are still ignored
+MAX_UNCLAIMED_GRANTS = 24  # of one life and budget; a holder with more gets no further one
 FOREVER = 1 << 62  # us
 
 
-class Refusal(ValueError):
-    """A plan that can't hold. `budget` is the one to blame; the text says why."""
+class InvalidBudget(ValueError):
+    """Budgets that are inconsistent; `budget` names the one to blame."""
 
     def __init__(self, budget: str, what: str) -> None:
         super().__init__(what)
@@ -45,86 +43,90 @@
 
 
 class Budget(NamedTuple):
-    """`whole` in parts. `floor`: parts that each configured holder has without asking. `within`: the budget that it draws on;
-    among those that draw on one, a lower `priority` is filled first, equal ones by `weight`."""
+    """A configured budget. `capacity` in parts; `floor`: parts that each configured holder has without
+    asking; `within`: the parent budget. Among the children of one budget a lower `priority` is served first,
+    equal ones by `weight`.
+    """
 
     name: str
-    whole: int
+    capacity: int
     floor: int = 0
     within: str = ""
     priority: int = 0
     weight: int = 1
 
 
-class Want(NamedTuple):
-    """What a holder asks: parts that it could use; the newest number that it holds or, while more is bound below, a lower one,
-    and how much of that stands; and the newest number that it ever took."""
+class ShareRequest(NamedTuple):
+    """What a holder asks for: the parts that it could use (`demand`); the newest grant that it holds or,
+    while more is spent below, an older one, with the amount in force; and the newest number that it ever
+    took.
+    """
 
     budget: str
     demand: int
     number: int = 0
     amount: int = 0
     newest: int = 0
-    weight: int = 1  # how many spend below: a pilot of many proxies is more than one of few
+    weight: int = 1  # number of spenders below
 
 
 class Share(NamedTuple):
-    """`span` (us) counts from the asking."""
+    """A granted share; `duration` (us) counts from the request."""
 
     budget: str
     number: int
     amount: int
-    span: int
+    duration: int
 
 
 class Row(NamedTuple):
-    """A right as it is kept durably before it is told."""
+    """A grant as it is stored durably before the holder is told."""
 
     budget: str
     holder: str
     life: int
     number: int
     amount: int
-    span: int
+    duration: int
 
 
 # ---- division
 
 
-def share_out(
-    whole: int, wants: Mapping[str, int], weights: Optional[Mapping[str, int]] = None, turn: int = 0
+def max_min_shares(
+    capacity: int, wants: Mapping[str, int], weights: Optional[Mapping[str, int]] = None, rotation: int = 0
 ) -> dict[str, int]:
-    """Weighted max-min of `whole` among `wants`, in whole parts; the sum is the lesser of `whole` and of all wants.
+    """Weighted max-min division of `capacity` among `wants`, in integers; the sum is the lesser of the
+    capacity and of all wants.
 
-    Single parts that are left over go by name, beginning anew with each `turn`; so the answer is the same everywhere."""
-    weigh = weights or {}
+    Leftover parts go by name, starting at `rotation`, so the result is deterministic.
+    """
+    weight_of = weights or {}
     given = dict.fromkeys(wants, 0)
-    left, weight = max(0, whole), sum(weigh.get(name, 1) for name, want in wants.items() if want > 0)
-    scale = math.lcm(
-        *set(weigh.values())
-    )  # whole numbers: a thousand fractions took half the time of a division
-    open_ones = sorted(
+    left, weight = max(0, capacity), sum(weight_of.get(name, 1) for name, want in wants.items() if want > 0)
+    scale = math.lcm(*set(weight_of.values()))  # integers are faster than fractions
+    unfilled = sorted(
         (name for name, want in wants.items() if want > 0),
-        key=lambda n: (wants[n] * (scale // weigh.get(n, 1)), n),
+        key=lambda n: (wants[n] * (scale // weight_of.get(n, 1)), n),
     )
-    while open_ones and wants[open_ones[0]] * weight <= left * weigh.get(open_ones[0], 1):
-        name = open_ones.pop(0)
+    while unfilled and wants[unfilled[0]] * weight <= left * weight_of.get(unfilled[0], 1):
+        name = unfilled.pop(0)
         given[name] = wants[name]
         left -= wants[name]
-        weight -= weigh.get(name, 1)
-    if not open_ones:
+        weight -= weight_of.get(name, 1)
+    if not unfilled:
         return given
-    for name in open_ones:
-        given[name] = left * weigh.get(name, 1) // weight
-    over = left - sum(given[name] for name in open_ones)
-    names = sorted(open_ones)
-    for at in range(over):
-        given[names[(at + turn) % len(names)]] += 1
+    for name in unfilled:
+        given[name] = left * weight_of.get(name, 1) // weight
+    leftover = left - sum(given[name] for name in unfilled)
+    names = sorted(unfilled)
+    for at in range(leftover):
+        given[names[(at + rotation) % len(names)]] += 1
     return given
 
 
 class Plan:
-    """The budgets as a tree, checked. `holders`: how many there are to have a floor each. Raises Refusal."""
+    """The validated tree of budgets. `holders`: how many have a floor each. Raises InvalidBudget."""
 
     def __init__(self, budgets: Iterable[Budget], holders: int) -> None:
         self.budgets = {budget.name: budget for budget in budgets}
@@ -132,142 +134,157 @@
         self.children: dict[str, list[str]] = {}
         for budget in self.budgets.values():
             if budget.within and budget.within not in self.budgets:
-                raise Refusal(budget.name, f"within names {budget.within!r}, which is no budget")
+                raise InvalidBudget(budget.name, f"within names {budget.within!r}, which is no budget")
             if budget.within:
                 self.children.setdefault(budget.within, []).append(budget.name)
-        self.above = {name: self._line_up(name) for name in self.budgets}
+        self.ancestors = {name: self._ancestry(name) for name in self.budgets}
         self.leaves = [name for name in self.budgets if name not in self.children]
         self.roots = [budget.name for budget in self.budgets.values() if not budget.within]
         self.floors = {name: self._floors(name) for name in self.budgets}
         for budget in self.budgets.values():
             self._check(budget)
 
-    def _line_up(self, name: str) -> list[str]:
-        """The budget and all that it draws on, itself first."""
-        line = [name]
-        while above := self.budgets[line[-1]].within:
-            if above in line:
-                raise Refusal(name, f"within leads back to itself: {', '.join([*line, above])}")
-            line.append(above)
-        return line
+    def _ancestry(self, name: str) -> list[str]:
+        """Return the budget and its ancestors, itself first."""
+        path = [name]
+        while ancestors := self.budgets[path[-1]].within:
+            if ancestors in path:
+                raise InvalidBudget(name, f"within leads back to itself: {', '.join([*path, ancestors])}")
+            path.append(ancestors)
+        return path
 
     def _floors(self, name: str) -> int:
-        """Parts below a budget that are set aside as floors."""
+        """Return the parts below a budget that are reserved as floors."""
         if name in self.children:
             return sum(self._floors(child) for child in self.children[name])
         return self.budgets[name].floor * self.holders
 
     def _check(self, budget: Budget) -> None:
-        if budget.whole < 1:
-            raise Refusal(budget.name, f"a whole of {budget.whole} parts leaves nothing to divide")
+        """Raise InvalidBudget if a budget is inconsistent."""
+        if budget.capacity < 1:
+            raise InvalidBudget(
+                budget.name, f"a capacity of {budget.capacity} parts leaves nothing to divide"
+            )
         if budget.weight < 1:
-            raise Refusal(budget.name, f"weight {budget.weight}, 1 at least")
+            raise InvalidBudget(budget.name, f"weight {budget.weight} is below 1")
         if budget.name in self.children and budget.floor:
-            raise Refusal(
+            raise InvalidBudget(
                 budget.name,
                 f"floor has no meaning where others draw on it: {', '.join(self.children[budget.name])}",
             )
-        if self.floors[budget.name] > budget.whole:
-            raise Refusal(
+        if self.floors[budget.name] > budget.capacity:
+            raise InvalidBudget(
                 budget.name,
                 f"floors of {self.holders} holders sum to {self.floors[budget.name]} parts, "
-                f"the whole is {budget.whole}",
+                f"the capacity is {budget.capacity}",
             )
-        if budget.within and budget.whole > self.budgets[budget.within].whole:
-            raise Refusal(
+        if budget.within and budget.capacity > self.budgets[budget.within].capacity:
+            raise InvalidBudget(
                 budget.name,
-                f"its whole of {budget.whole} parts is over that of {budget.within!r}, "
-                f"{self.budgets[budget.within].whole}",
+                f"its capacity of {budget.capacity} parts is over that of {budget.within!r}, "
+                f"{self.budgets[budget.within].capacity}",
             )
 
-    def leased(self, name: str) -> int:
-        """What may be given beyond floors."""
-        return self.budgets[name].whole - self.floors[name]
+    def leasable(self, name: str) -> int:
+        """Return the parts that may be granted beyond floors."""
+        return self.budgets[name].capacity - self.floors[name]
 
     def targets(
         self,
         demands: Mapping[str, Mapping[str, int]],
-        wholes: Mapping[str, int],
-        turn: int = 0,
+        capacities: Mapping[str, int],
+        rotation: int = 0,
         weights: Optional[Mapping[str, int]] = None,
     ) -> dict[str, dict[str, int]]:
-        """Who should have what: by leaf, then holder. `demands`: the same, beyond floors. `wholes`: of the roots, beyond floors.
-        `weights`: of holders."""
+        """Return who should have what, by leaf and holder, beyond floors. `demands`: by leaf and holder;
+        `capacities`: of the roots; `weights`: of holders.
+        """
         found: dict[str, dict[str, int]] = {}
         for root in self.roots:
-            self._fill(root, min(wholes[root], self._wanted(root, demands)), demands, turn, weights, found)
+            self._fill(
+                root, min(capacities[root], self._wanted(root, demands)), demands, rotation, weights, found
+            )
         return found
 
     def _wanted(self, name: str, demands: Mapping[str, Mapping[str, int]]) -> int:
+        """Return the demand below a budget, up to its capacity."""
         if name in self.children:
-            return min(self.leased(name), sum(self._wanted(child, demands) for child in self.children[name]))
-        return min(self.leased(name), sum(demands.get(name, {}).values()))
+            return min(
+                self.leasable(name), sum(self._wanted(child, demands) for child in self.children[name])
+            )
+        return min(self.leasable(name), sum(demands.get(name, {}).values()))
 
     def _fill(
         self,
         name: str,
         given: int,
         demands: Mapping[str, Mapping[str, int]],
-        turn: int,
+        rotation: int,
         weights: Optional[Mapping[str, int]],
         found: dict[str, dict[str, int]],
     ) -> None:
+        """Divide `given` parts among the children of a budget, by priority and weight."""
         if name not in self.children:
-            found[name] = share_out(given, demands.get(name, {}), weights, turn)
+            found[name] = max_min_shares(given, demands.get(name, {}), weights, rotation)
             return
         left = given
         for priority in sorted({self.budgets[child].priority for child in self.children[name]}):
             tier = [child for child in self.children[name] if self.budgets[child].priority == priority]
-            parts = share_out(
+            parts = max_min_shares(
                 left,
                 {child: self._wanted(child, demands) for child in tier},
                 {child: self.budgets[child].weight for child in tier},
-                turn,
+                rotation,
             )
             for child, part in parts.items():
-                self._fill(child, part, demands, turn, weights, found)
+                self._fill(child, part, demands, rotation, weights, found)
             left -= sum(parts.values())
 
 
-# ---- giving
+# ---- granting
 
 
-class Right(NamedTuple):
+class Grant(NamedTuple):
+    """A granted amount, until it ends."""
+
     number: int
     amount: int
-    until: int  # by the giver's clock
+    until: int  # us, grantor's clock
 
 
 class Account:
     """What one life of one holder may still hold of one budget."""
 
     def __init__(self, heard: int) -> None:
-        self.rights: list[Right] = []
-        self.number = 0  # the highest that is known
+        self.grants: list[Grant] = []
+        self.number = 0  # the highest known
         self.demand = 0
         self.weight = 1
         self.heard = heard
-        self.counted = 0  # of it in the sum of its budget
-        self.kept: Optional[tuple[int, int]] = None  # amount and span as the durable row has them
+        self.counted = 0  # its part of the budget's sum
+        self.kept: Optional[tuple[int, int]] = None  # amount and duration of the durable row
 
     def in_force(self, now: int) -> int:
-        return max((right.amount for right in self.rights if right.until > now), default=0)
+        """Return the largest amount that may still be in use."""
+        return max((grant.amount for grant in self.grants if grant.until > now), default=0)
 
 
 class Pool(NamedTuple):
-    """What a giver has to give of a root now: `amount` until `until`, of which `lasting` has no end."""
+    """What a grantor may grant of a root now: `amount` until `until`, of which `permanent` has no end."""
 
     amount: int
     until: int
-    lasting: int
+    permanent: int
 
 
 Key = tuple[str, str, int]  # budget, holder, life
 
 
-class Giver:
-    """`lease` in us; `era` names this life of the giver: what holders say under another one is not taken. `pool(now, root)`:
-    where the whole is itself a right. `longest`: the longest span that a former life may have given."""
+class Grantor:
+    """`lease` in microseconds; `era` identifies this life of the grantor: asks under another one are not
+    taken. `pool(now, root)`: set where the capacity is itself a share. `longest`: the longest lease that an
+    earlier life may have granted.
+    """
 
     def __init__(
         self,
@@ -279,38 +296,36 @@
         longest: int = 0,
         pool: Optional[Callable[[int, str], Pool]] = None,
     ) -> None:
-        assert lease > 0, "a right without an end could never be divided anew"
+        assert lease > 0, "the lease must be positive"
         self.plan = plan
         self.lease = lease
         self.era = era
         self.pool = pool
         self.accounts: dict[Key, Account] = {}
         self.sums = dict.fromkeys(plan.leaves, 0)  # parts in force
-        self.ends: list[tuple[int, Key]] = []  # when rights end
-        self.heard: dict[
-            tuple[str, int], int
-        ] = {}  # the newest ask of each life: late and doubled ones are passed over
+        self.ends: list[tuple[int, Key]] = []  # when grants end
+        self.heard: dict[tuple[str, int], int] = {}  # newest ask of each life; older ones are ignored
         self.left: deque[tuple[str, int]] = deque()
-        self.wished: dict[str, dict[str, int]] = {}  # targets, worked out at `wished_at`
-        self.wished_at = -FOREVER
-        self.doubts: dict[str, set[str]] = {}  # who holds whom for dead
+        self.target_shares: dict[str, dict[str, int]] = {}  # computed at `targets_at`
+        self.targets_at = -FOREVER
+        self.suspicions: dict[str, set[str]] = {}  # holder -> pilots that it considers dead
         self.counts = {"asks": 0, "other_era": 0, "late": 0, "stray": 0, "grants": 0, "grown": 0, "shrunk": 0}
         kept = list(rows)
-        self.quiet_until = now + max([lease, longest, *(row.span for row in kept)])
+        self.recovery_until = now + max([lease, longest, *(row.duration for row in kept)])
         for row in kept:
             if row.budget in plan.budgets:
                 account = self.accounts.setdefault((row.budget, row.holder, row.life), Account(now))
                 account.number = max(account.number, row.number)
-                account.kept = (row.amount, row.span)
+                account.kept = (row.amount, row.duration)
                 self._add(
-                    now, (row.budget, row.holder, row.life), Right(row.number, row.amount, now + row.span)
+                    now, (row.budget, row.holder, row.life), Grant(row.number, row.amount, now + row.duration)
                 )
 
-    # ---- what is in force
+    # ---- grants in force
 
-    def _add(self, now: int, key: Key, right: Right) -> None:
-        self.accounts[key].rights.append(right)
-        heapq.heappush(self.ends, (right.until, key))
+    def _add(self, now: int, key: Key, grant: Grant) -> None:
+        self.accounts[key].grants.append(grant)
+        heapq.heappush(self.ends, (grant.until, key))
         self._recount(now, key)
 
     def _recount(self, now: int, key: Key) -> None:
@@ -320,14 +335,15 @@
         account.counted = counted
 
     def _expire(self, now: int) -> None:
+        """Drop grants that have ended and accounts that have long been silent."""
         while self.ends and self.ends[0][0] <= now:
             _, key = heapq.heappop(self.ends)
             account = self.accounts.get(key)
             if account is None:
                 continue
-            account.rights = [right for right in account.rights if right.until > now]
+            account.grants = [grant for grant in account.grants if grant.until > now]
             self._recount(now, key)
-            if not account.rights and now - account.heard > self.lease:
+            if not account.grants and now - account.heard > self.lease:
                 del self.accounts[key]
                 self._forget_life(key[1:])
 
@@ -335,30 +351,30 @@
         if not any((leaf, *life) in self.accounts for leaf in self.plan.leaves):
             self.heard.pop(life, None)
 
-    def in_force(self, now: int, budget: str, but: Optional[Key] = None) -> int:
-        """Parts of a budget, or of all that draw on it, that somebody may spend, floors aside."""
+    def in_force(self, now: int, budget: str, excluding: Optional[Key] = None) -> int:
+        """Return the parts of a budget and its descendants that may be spent, floors aside."""
         self._expire(now)
-        total = sum(self.sums[leaf] for leaf in self.plan.leaves if budget in self.plan.above[leaf])
-        return total - (self.accounts[but].counted if but is not None else 0)
+        total = sum(self.sums[leaf] for leaf in self.plan.leaves if budget in self.plan.ancestors[leaf])
+        return total - (self.accounts[excluding].counted if excluding is not None else 0)
 
     def _pool(self, now: int, root: str) -> Pool:
         if self.pool is not None:
             return self.pool(now, root)
-        return Pool(self.plan.leased(root), FOREVER, self.plan.leased(root))
+        return Pool(self.plan.leasable(root), FOREVER, self.plan.leasable(root))
 
-    def _room(self, now: int, key: Key) -> int:
-        """What this account may have at most, so that no whole above it is passed."""
-        room = FOREVER
-        for name in self.plan.above[key[0]]:
-            whole = self.plan.leased(name)
+    def _available(self, now: int, key: Key) -> int:
+        """Return what this account may have at most, within all capacities above it."""
+        available = FOREVER
+        for name in self.plan.ancestors[key[0]]:
+            capacity = self.plan.leasable(name)
             if name in self.plan.roots:
-                whole = min(whole, self._pool(now, name).amount)
-            room = min(room, whole - self.in_force(now, name, key))
-        return max(0, room)
+                capacity = min(capacity, self._pool(now, name).amount)
+            available = min(available, capacity - self.in_force(now, name, key))
+        return max(0, available)
 
-    def quiet(self, now: int) -> bool:
-        """Whether nothing new may be given yet."""
-        return now < self.quiet_until
+    def recovering(self, now: int) -> bool:
+        """Whether nothing new may be granted yet after the start."""
+        return now < self.recovery_until
 
     # ---- asking
 
@@ -369,11 +385,15 @@
         life: int,
         era: int,
         number: int,
-        wants: Iterable[Want],
-        doubted: Iterable[str] = (),
+        wants: Iterable[ShareRequest],
+        suspected: Iterable[str] = (),
     ) -> tuple[list[Share], list[Row]]:
-        """What the holder gets, and the rows that must be kept before it is told. `number` grows from ask to ask of a life.
-        Nothing for words of another era: the answer tells this one, and what is in force is presented anew."""
+        """Return the holder's shares, and the rows to store before it is told. `number` grows with each ask
+        of a life.
+
+        An ask of another era gets nothing: the answer states the present era, and the holder then presents
+        what is in force.
+        """
         self.counts["asks"] += 1
         if era != self.era:
             self.counts["other_era"] += 1
@@ -383,13 +403,15 @@
             return [], []
         self.heard[holder, life] = number
         self._expire(now)
-        self._doubt(holder, set(doubted))
-        known = [want for want in wants if want.budget in self.sums]
-        presented = {want.budget: self._claim(now, (want.budget, holder, life), want) for want in known}
-        self._weigh(now)
+        self._set_suspected(holder, set(suspected))
+        known_requests = [want for want in wants if want.budget in self.sums]
+        presented = {
+            want.budget: self._apply_claim(now, (want.budget, holder, life), want) for want in known_requests
+        }
+        self._update_targets(now)
         shares, rows = [], []
-        for want in known:
-            target = self.wished[want.budget].get(f"{holder} {life}", 0)
+        for want in known_requests:
+            target = self.target_shares[want.budget].get(f"{holder} {life}", 0)
             share, row = self._grant(now, (want.budget, holder, life), target, presented[want.budget])
             if share is not None:
                 shares.append(share)
@@ -398,21 +420,21 @@
         return shares, rows
 
     def leave(self, now: int, holder: str, life: int) -> list[Key]:
-        """A life says that it spends no more, and takes no answer any more: all that it held is free. What rows are void."""
+        """Release all that a life holds, as it spends no more; return the keys of its void rows."""
         gone = [key for key in self.accounts if key[1:] == (holder, life)]
         for key in gone:
-            self.accounts[key].rights.clear()
+            self.accounts[key].grants.clear()
             self._recount(now, key)
             del self.accounts[key]
-        self.heard[holder, life] = FOREVER  # what it asked before and comes late brings nothing back
+        self.heard[holder, life] = FOREVER  # late asks are ignored
         self.left.append((holder, life))
-        if len(self.left) > LEFT_KEPT:
+        if len(self.left) > MAX_DEPARTED_LIVES:
             self.heard.pop(self.left.popleft(), None)
-        self.doubts.pop(holder, None)
+        self.suspicions.pop(holder, None)
         return gone
 
-    def _claim(self, now: int, key: Key, want: Want) -> int:
-        """Takes a holder's word for what it holds; returns how much of it stands."""
+    def _apply_claim(self, now: int, key: Key, want: ShareRequest) -> int:
+        """Apply a holder's claim of what it holds; return how much of it is in force."""
         account = self.accounts.get(key)
         if account is None:
             account = self.accounts[key] = Account(now)
@@ -421,84 +443,98 @@
         account.demand = max(0, want.demand - self.plan.budgets[key[0]].floor)
         account.weight = max(1, want.weight)
         account.number = max(account.number, want.number, want.newest)
-        known = max((right.amount for right in account.rights if right.number == want.number), default=0)
-        if want.amount > known:
-            if self.quiet(now):  # told by a former life of the giver: part of the whole then, so it may stand
-                self._add(now, key, Right(want.number, want.amount, now + self.lease))
+        known_amount = max(
+            (grant.amount for grant in account.grants if grant.number == want.number), default=0
+        )
+        if want.amount > known_amount:
+            if self.recovering(now):  # granted by an earlier life of the grantor, within the capacity then
+                self._add(now, key, Grant(want.number, want.amount, now + self.lease))
             else:
                 self.counts["stray"] += 1
-        account.rights = [
-            right
-            for right in account.rights
-            if right.number > want.number or right.number == want.number and want.amount
+        account.grants = [
+            grant
+            for grant in account.grants
+            if grant.number > want.number or grant.number == want.number and want.amount
         ]
         self._recount(now, key)
-        return max((right.amount for right in account.rights if right.number == want.number), default=0)
-
-    def _weigh(self, now: int) -> None:
-        """Works out who should have what, now and then where there are many."""
-        if len(self.accounts) > WEIGHED_EACH_TIME and now - self.wished_at < self.lease // WEIGHED_A_LEASE:
+        return max((grant.amount for grant in account.grants if grant.number == want.number), default=0)
+
+    def _update_targets(self, now: int) -> None:
+        """Compute who should have what; not at every ask if there are many accounts."""
+        if (
+            len(self.accounts) > MAX_ACCOUNTS_PER_ASK
+            and now - self.targets_at < self.lease // TARGET_UPDATES_PER_LEASE
+        ):
             return
-        self.wished_at = now
-        gone = self._agreed_gone()
+        self.targets_at = now
+        gone = self._agreed_dead()
         demands: dict[str, dict[str, int]] = {leaf: {} for leaf in self.plan.leaves}
         weights: dict[str, int] = {}
         for (budget, holder, life), account in self.accounts.items():
             if now - account.heard <= self.lease and holder not in gone:
                 demands[budget][f"{holder} {life}"] = account.demand
                 weights[f"{holder} {life}"] = max(account.weight, weights.get(f"{holder} {life}", 1))
-        wholes = {root: self._pool(now, root).amount for root in self.plan.roots}
-        self.wished = self.plan.targets(demands, wholes, now // (ROTATE * self.lease), weights)
+        capacities = {root: self._pool(now, root).amount for root in self.plan.roots}
+        self.target_shares = self.plan.targets(
+            demands, capacities, now // (ROTATION_LEASES * self.lease), weights
+        )
 
-    def _doubt(self, holder: str, names: set[str]) -> None:
+    def _set_suspected(self, holder: str, names: set[str]) -> None:
         if names:
-            self.doubts[holder] = names
+            self.suspicions[holder] = names
         else:
-            self.doubts.pop(holder, None)
+            self.suspicions.pop(holder, None)
 
-    def _agreed_gone(self) -> set[str]:
-        """Whom more than half of those that ask hold for dead: its wishes count no longer. Its rights do, to their end."""
-        if not self.doubts:
+    def _agreed_dead(self) -> set[str]:
+        """Return the holders that more than half of those that ask consider dead. Their demand is ignored;
+        their grants stand until they end.
+        """
+        if not self.suspicions:
             return set()
         asking = {holder for _, holder, _ in self.accounts}
-        told = [name for one, names in self.doubts.items() if one in asking for name in names]
-        return {name for name in set(told) if 2 * told.count(name) > len(asking)}
+        suspected_names = [name for one, names in self.suspicions.items() if one in asking for name in names]
+        return {name for name in set(suspected_names) if 2 * suspected_names.count(name) > len(asking)}
 
     def _grant(
         self, now: int, key: Key, target: int, presented: int
     ) -> tuple[Optional[Share], Optional[Row]]:
+        """Grant what the account should have, as far as it is available; return the share, and the row to
+        store if it changed.
+        """
         account = self.accounts[key]
-        if len(account.rights) >= OPEN_RIGHTS:
+        if len(account.grants) >= MAX_UNCLAIMED_GRANTS:
             return None, None
-        newest = account.rights[-1].amount if account.rights else 0
-        room = presented if self.quiet(now) else self._room(now, key)
-        if newest and target and abs(target - newest) <= KEEP_PART * max(target, newest):
+        newest = account.grants[-1].amount if account.grants else 0
+        available = presented if self.recovering(now) else self._available(now, key)
+        if newest and target and abs(target - newest) <= MIN_CHANGE_SHARE * max(target, newest):
             target = newest
-        amount = min(target, room)
-        span = self._span(now, key, amount)
-        if span <= 0 or not amount and not newest:
+        amount = min(target, available)
+        duration = self._grant_duration(now, key, amount)
+        if duration <= 0 or not amount and not newest:
             return None, None
         self.counts["grants"] += 1
         self.counts["grown"] += amount > newest
         self.counts["shrunk"] += amount < newest
         account.number += 1
-        self._add(now, key, Right(account.number, amount, now + span))
+        self._add(now, key, Grant(account.number, amount, now + duration))
         row = None
-        if account.kept is None or account.kept[0] != amount or account.kept[1] < span:
-            account.kept = (amount, span)
-            row = Row(*key, account.number, amount, span)
-        return Share(key[0], account.number, amount, span), row
-
-    def _span(self, now: int, key: Key, amount: int) -> int:
-        """A right ends no later than what it is made of; the part that lasts is given for a whole lease."""
-        root = self.plan.above[key[0]][-1]
+        if account.kept is None or account.kept[0] != amount or account.kept[1] < duration:
+            account.kept = (amount, duration)
+            row = Row(*key, account.number, amount, duration)
+        return Share(key[0], account.number, amount, duration), row
+
+    def _grant_duration(self, now: int, key: Key, amount: int) -> int:
+        """Return the duration of a grant (us): it ends no later than what it is made of; the permanent part
+        is granted for a whole lease.
+        """
+        root = self.plan.ancestors[key[0]][-1]
         pool = self._pool(now, root)
-        if self.in_force(now, root, key) + amount <= pool.lasting:
+        if self.in_force(now, root, key) + amount <= pool.permanent:
             return self.lease
         return min(self.lease, pool.until - now)
 
     def shown(self, now: int) -> list[dict[str, object]]:
-        """For people: by budget the whole, what is set aside, what is given, and to whom."""
+        """Return each budget's capacity, reservations, grants and holders, for the status page."""
         found: list[dict[str, object]] = []
         for name, budget in self.plan.budgets.items():
             holders = [
@@ -507,7 +543,7 @@
                     "life": key[2],
                     "demand": account.demand + budget.floor,
                     "given": account.in_force(now),
-                    "ends_in_us": max((right.until for right in account.rights), default=now) - now,
+                    "ends_in_us": max((grant.until for grant in account.grants), default=now) - now,
                     "heard_us_ago": now - account.heard,
                 }
                 for key, account in sorted(self.accounts.items())
@@ -516,13 +552,13 @@
             found.append(
                 {
                     "budget": name,
-                    "whole": budget.whole,
+                    "whole": budget.capacity,
                     "within": budget.within,
                     "priority": budget.priority,
                     "floor": budget.floor,
                     "floors": self.plan.floors[name],
                     "given": self.in_force(now, name),
-                    "quiet_us": max(0, self.quiet_until - now),
+                    "quiet_us": max(0, self.recovery_until - now),
                     "holders": holders,
                 }
             )
@@ -532,80 +568,90 @@
 # ---- holding
 
 
-class Taken(NamedTuple):
+class HeldShare(NamedTuple):
+    """A share as its holder counts it."""
+
     number: int
     amount: int
-    until: int  # by the holder's clock
+    until: int  # us, holder's clock
 
 
 class Holder:
-    """One life's side. `drift`: how much faster one clock may run than another, as a part of 1; `bound(now, budget)`: parts that
-    are still spent below, floor included, where the holder hands on; the shrink is said only when they are back."""
+    """The holder's side, for one life. `drift`: by how much one clock may run faster than another, as a
+    fraction. `outstanding(now, budget)`: parts still spent below, floor included; a shrink is claimed only
+    when they are back.
+    """
 
     def __init__(
         self,
         floors: Mapping[str, int],
         life: int,
         drift: float,
-        bound: Optional[Callable[[int, str], int]] = None,
+        outstanding: Optional[Callable[[int, str], int]] = None,
     ) -> None:
         self.floors = dict(floors)
         self.life = life
         self.drift = drift
-        self.bound = bound
+        self.outstanding = outstanding
         self.era = 0
-        self.taken: dict[str, list[Taken]] = {
+        self.taken: dict[str, list[HeldShare]] = {
             name: [] for name in floors
-        }  # newest last; older ones only while they bind
-        self.asked: dict[int, int] = {}  # ask's number -> when
-        self.drawn = 0
+        }  # newest last; older ones only while they are spent below
+        self.asked: dict[int, int] = {}  # ask number -> when
+        self.last_number = 0
 
     def joined(self, era: int) -> None:
-        """The giver's present life. What another one had told is kept to its end; its late answers are not taken."""
+        """Set the grantor's present life. Shares of an earlier one are kept to their end; its late answers
+        are ignored.
+        """
         if era != self.era:
             self.era = era
             self.asked.clear()
 
     def lost(self) -> None:
-        """No answer to what was asked counts any more: it may have been asked on a stream that is gone."""
+        """Ignore the answers to all earlier asks: the stream may be gone."""
         self.asked.clear()
 
     def amount(self, now: int, budget: str) -> int:
-        """Parts beyond the floor that may be spent now."""
+        """Return the parts beyond the floor that may be spent now."""
         taken = self.taken[budget]
         return taken[-1].amount if taken and now < taken[-1].until else 0
 
     def right(self, now: int, budget: str) -> int:
+        """Return the parts that may be spent now, floor included."""
         return self.floors[budget] + self.amount(now, budget)
 
     def until(self, now: int, budget: str) -> int:
+        """Return when the present share ends (us)."""
         taken = self.taken[budget]
         return taken[-1].until if taken and now < taken[-1].until else now
 
-    def ask(self, now: int, demands: Mapping[str, int], weight: int = 1) -> tuple[int, list[Want]]:
-        """The number under which it is asked, and what."""
-        self.drawn += 1
-        self.asked[self.drawn] = now
-        self.asked.pop(self.drawn - 64, None)
-        return self.drawn, [
-            self._want(now, name, demands.get(name, 0))._replace(weight=weight) for name in self.floors
+    def ask(self, now: int, demands: Mapping[str, int], weight: int = 1) -> tuple[int, list[ShareRequest]]:
+        """Return the number of the ask, and its requests."""
+        self.last_number += 1
+        self.asked[self.last_number] = now
+        self.asked.pop(self.last_number - 64, None)
+        return self.last_number, [
+            self._request(now, name, demands.get(name, 0))._replace(weight=weight) for name in self.floors
         ]
 
-    def _want(self, now: int, name: str, demand: int) -> Want:
-        """Claims the newest right that covers what is bound below."""
+    def _request(self, now: int, name: str, demand: int) -> ShareRequest:
+        """Claim the newest share that covers what is outstanding below."""
         taken = self.taken[name]
-        bound = self.bound(now, name) if self.bound is not None else 0
-        while len(taken) > 1 and (taken[0].until <= now or bound <= self.floors[name] + taken[-1].amount):
+        outstanding = self.outstanding(now, name) if self.outstanding is not None else 0
+        while len(taken) > 1 and (
+            taken[0].until <= now or outstanding <= self.floors[name] + taken[-1].amount
+        ):
             taken.pop(0)
         if not taken:
-            return Want(name, demand)
+            return ShareRequest(name, demand)
         claimed = taken[0]
-        return Want(
+        return ShareRequest(
             name, demand, claimed.number, claimed.amount if now < claimed.until else 0, taken[-1].number
         )
 
-    def hear(self, now: int, number: int, era: int, shares: Iterable[Share]) -> bool:
-        """An answer; False where it is none to what was asked, or of another era."""
+    def on_answer(self, now: int, number: int, era: int, shares: Iterable[Share]) -> bool:
+        """Take in an answer; return False if it is none to an open ask of this era."""
         asked_at = self.asked.pop(number, None)
         if era != self.era or asked_at is None:
             return False
@@ -613,40 +659,41 @@
             taken = self.taken.get(share.budget)
             if taken is None or taken and share.number <= taken[-1].number:
                 continue
-            until = asked_at + int(share.span * (1 - self.drift))
+            until = asked_at + int(share.duration * (1 - self.drift))
             if until > now:
-                taken.append(Taken(share.number, share.amount, until))
+                taken.append(HeldShare(share.number, share.amount, until))
         return True
 
     def drop(self) -> None:
-        """Everything is given back or void, but for numbers: they never come again in this life."""
+        """Give up all shares. Numbers are kept: they never repeat within a life."""
         for taken in self.taken.values():
             if taken:
-                taken[:] = [Taken(taken[-1].number, 0, 0)]
+                taken[:] = [HeldShare(taken[-1].number, 0, 0)]
 
 
-# ---- both at once
+# ---- holder and grantor
 
 
 class Hub:
-    """A pilot: holder to the store, giver to its proxies. What it hands on ends no later than its own right, and a
-    shrink is said above when what was handed on is back."""
+    """A pilot: holder towards the store, grantor towards its proxies. What it grants ends no later than its
+    own share, and a shrink is claimed above once what was granted below is back.
+    """
 
     def __init__(self, plan: Plan, life: int, drift: float, lease: int, now: int) -> None:
         floors = {leaf: plan.budgets[leaf].floor for leaf in plan.leaves}
-        below = Plan([Budget(leaf, plan.budgets[leaf].whole) for leaf in plan.leaves], 0)
-        self.in_hand: dict[str, int] = {}  # of budgets that are held: what this pilot has under way itself
-        self.holder = Holder(floors, life, drift, self._bound)
-        self.giver = Giver(below, lease, life, now, pool=self._pool)
+        below = Plan([Budget(leaf, plan.budgets[leaf].capacity) for leaf in plan.leaves], 0)
+        self.held_locally: dict[str, int] = {}  # parts that this pilot uses itself, by budget
+        self.holder = Holder(floors, life, drift, self._outstanding)
+        self.giver = Grantor(below, lease, life, now, pool=self._pool)
 
     def _pool(self, now: int, leaf: str) -> Pool:
         return Pool(self.holder.right(now, leaf), self.holder.until(now, leaf), self.holder.floors[leaf])
 
-    def _bound(self, now: int, leaf: str) -> int:
-        return self.giver.in_force(now, leaf) + self.in_hand.get(leaf, 0)
+    def _outstanding(self, now: int, leaf: str) -> int:
+        return self.giver.in_force(now, leaf) + self.held_locally.get(leaf, 0)
 
     def demands(self, now: int) -> dict[str, int]:
-        """What all below ask for, by leaf."""
+        """Return what all proxies ask for, by leaf."""
         found = dict.fromkeys(self.holder.floors, 0)
         for (leaf, _, _), account in self.giver.accounts.items():
             if now - account.heard <= self.giver.lease:
--- a/cedarshift/judge/claims.py
+++ b/cedarshift/judge/claims.py
@@ -1,12 +1,14 @@
-"""Claims: things of which one pilot at a time has the right, each as a lease. No I/O; times are whole microseconds.
+"""Exclusive claims on resources, each granted to one pilot at a time as a lease. No I/O; times are
+microseconds.
 
-Budgets divide a whole into parts. A thing that bears no division is claimed: one holder has all of it until an end that it counts from
-its asking, shortened by the clock drift, and the giver from its giving. Used for cold endpoints: split among all pilots what such an
-endpoint may bear would not hold a single slice of any, and two that each think it theirs push it over.
+Budgets divide a capacity into shares; a claim covers something that cannot be divided. The holder counts a
+lease from its request, shortened by the clock drift, and the grantor from the grant. Claims are used for cold
+endpoints: the load that one may bear is too small to be split among the pilots, and two pilots that both use
+it would overload it.
 
-Safe without a ledger: a giver that starts gives nothing new for one longest lease, and prolongs only what its holder presents as held.
-A thing that a holder names no more is free at once, since it has stopped using it before it said so; an answer to an ask from before
-that time is passed over, so nothing comes back late. Leases after Gray and Cheriton (1989).
+No ledger is needed: a grantor that starts grants nothing new for one longest lease, and renews only what
+holders present as held. A resource that a holder no longer names is free at once, since the holder stops
+using it before it says so; answers to earlier asks are ignored. Leases follow Gray and Cheriton (1989).
 """
 
 from __future__ import annotations
@@ -14,112 +16,118 @@
 from hashlib import blake2b
 from typing import Iterable, NamedTuple
 
-# Constants: unit, then the reason for the size.
-THINGS_MOST = (
-    256  # in one ask; so many endpoints cold at a time are a release, and the rest comes as these grow warm
-)
-LIVES_KEPT = (
-    16  # leases that a silent life's newest number is remembered: what it sent is seconds late at most
-)
-ASKS_KEPT = 64  # asks of a holder that may still be answered; it makes some four a lease
+MAX_CLAIMS_PER_ASK = 256  # more are claimed as earlier ones become warm
+SILENT_LIFE_LEASES = 16  # leases for which the last ask number of a silent life is kept
+MAX_OPEN_ASKS = 64  # asks of a holder that may still be answered
 
 
-class Wish(NamedTuple):
-    """A thing that is asked for, and whether it is held now."""
+class ClaimRequest(NamedTuple):
+    """A requested resource, and whether the requester holds it now."""
 
-    thing: str
+    resource: str
     held: bool
 
 
 class Claim(NamedTuple):
-    """`span` (us) counts from the asking."""
+    """A granted claim; `duration` (us) counts from the request."""
 
-    thing: str
-    span: int
+    resource: str
+    duration: int
 
 
-class Right(NamedTuple):
+class ClaimLease(NamedTuple):
+    """A claim as the grantor keeps it."""
+
     holder: str
     life: int
-    until: int  # by the giver's clock
+    until: int  # us, grantor's clock
 
 
-# ---- giving
+# ---- granting
 
 
-class ClaimGiver:
-    """`era` names this life of the giver. Nothing new is given before `quiet_until`."""
+class ClaimGrantor:
+    """`lease` in microseconds; `era` identifies this life of the grantor. Nothing new is granted before
+    `recovery_until`.
+    """
 
-    def __init__(self, lease: int, era: int, quiet_until: int) -> None:
-        assert lease > 0, "a claim without an end could never pass on"
+    def __init__(self, lease: int, era: int, recovery_until: int) -> None:
+        assert lease > 0, "the lease must be positive"
         self.lease = lease
         self.era = era
-        self.quiet_until = quiet_until
-        self.rights: dict[str, Right] = {}
-        self.heard: dict[tuple[str, int], tuple[int, int]] = {}  # holder and life -> newest ask, and when
+        self.recovery_until = recovery_until
+        self.leases: dict[str, ClaimLease] = {}
+        self.heard: dict[tuple[str, int], tuple[int, int]] = {}  # (holder, life) -> (newest ask, when)
         self.swept_at = 0
         self.counts = {"given": 0, "refused": 0, "stray": 0, "late": 0}
 
     def ask(
-        self, now: int, holder: str, life: int, era: int, number: int, wishes: Iterable[Wish]
+        self, now: int, holder: str, life: int, era: int, number: int, requests: Iterable[ClaimRequest]
     ) -> list[Claim]:
-        """What this life has from now on; all else that it had is free. Nothing for an ask of another era, or a late one."""
+        """Return what this life of the holder has from now on; all else that it had is released.
+
+        An ask of another era, or one that arrives out of order, gets nothing.
+        """
         if era != self.era:
             return []
         if number <= self.heard.get((holder, life), (0, 0))[0]:
             self.counts["late"] += 1
             return []
         self.heard[holder, life] = (number, now)
-        self._sweep(now)
-        wanted = list(wishes)[:THINGS_MOST]
-        self._free(holder, life, {wish.thing for wish in wanted})
-        given = [Claim(wish.thing, self.lease) for wish in wanted if self._may_have(now, holder, life, wish)]
+        self._remove_expired(now)
+        requested = list(requests)[:MAX_CLAIMS_PER_ASK]
+        self._release(holder, life, {request.resource for request in requested})
+        given = [
+            Claim(request.resource, self.lease)
+            for request in requested
+            if self._may_grant(now, holder, life, request)
+        ]
         for claim in given:
-            self.rights[claim.thing] = Right(holder, life, now + self.lease)
+            self.leases[claim.resource] = ClaimLease(holder, life, now + self.lease)
         self.counts["given"] += len(given)
-        self.counts["refused"] += len(wanted) - len(given)
+        self.counts["refused"] += len(requested) - len(given)
         return given
 
-    def _may_have(self, now: int, holder: str, life: int, wish: Wish) -> bool:
-        right = self.rights.get(wish.thing)
-        if right is not None and right.until > now:
-            mine = (right.holder, right.life) == (holder, life)
-            self.counts["stray"] += (
-                wish.held and not mine
-            )  # two that both say they hold it: a clock beyond the drift
-            return mine
-        return wish.held or now >= self.quiet_until
+    def _may_grant(self, now: int, holder: str, life: int, request: ClaimRequest) -> bool:
+        lease = self.leases.get(request.resource)
+        if lease is not None and lease.until > now:
+            own = (lease.holder, lease.life) == (holder, life)
+            # Two holders of one claim: a clock beyond the drift bound.
+            self.counts["stray"] += request.held and not own
+            return own
+        return request.held or now >= self.recovery_until
 
     def leave(self, holder: str, life: int) -> None:
-        """A life says that it uses nothing any more, and takes no answer any more."""
-        self._free(holder, life, set())
+        """Release everything that a life holds; later asks of it are ignored."""
+        self._release(holder, life, set())
         self.heard[holder, life] = (1 << 62, self.heard.get((holder, life), (0, 0))[1])
 
-    def _free(self, holder: str, life: int, but: set[str]) -> None:
-        for thing in [
-            thing
-            for thing, right in self.rights.items()
-            if (right.holder, right.life) == (holder, life) and thing not in but
+    def _release(self, holder: str, life: int, kept: set[str]) -> None:
+        for resource in [
+            resource
+            for resource, lease in self.leases.items()
+            if (lease.holder, lease.life) == (holder, life) and resource not in kept
         ]:
-            del self.rights[thing]
+            del self.leases[resource]
 
-    def _sweep(self, now: int) -> None:
-        """Once a lease: what has ended, and lives long silent."""
+    def _remove_expired(self, now: int) -> None:
+        """Once a lease, drop expired claims and lives that have long been silent."""
         if now - self.swept_at < self.lease:
             return
         self.swept_at = now
-        self.rights = {thing: right for thing, right in self.rights.items() if right.until > now}
+        self.leases = {resource: lease for resource, lease in self.leases.items() if lease.until > now}
         self.heard = {
             one: (number, at)
             for one, (number, at) in self.heard.items()
-            if now - at < LIVES_KEPT * self.lease
+            if now - at < SILENT_LIFE_LEASES * self.lease
         }
 
     def shown(self, now: int) -> list[dict[str, object]]:
+        """Return the claims in force, for the status page."""
         return [
-            {"thing": thing, "holder": right.holder, "ends_in_us": right.until - now}
-            for thing, right in sorted(self.rights.items())
-            if right.until > now
+            {"thing": resource, "holder": lease.holder, "ends_in_us": lease.until - now}
+            for resource, lease in sorted(self.leases.items())
+            if lease.until > now
         ]
 
 
@@ -127,79 +135,88 @@
 
 
 class ClaimHolder:
-    """One life's side. `drift`: how much faster one clock may run than another, as a part of 1."""
+    """The holder's side, for one life. `drift`: by how much one clock may run faster than another, as a
+    fraction.
+    """
 
     def __init__(self, drift: float) -> None:
         self.drift = drift
-        self.since: dict[str, int] = {}  # thing -> the ask with which it was wished first, without a break
+        self.since: dict[str, int] = {}  # resource -> first of its consecutive asks
         self.until: dict[str, int] = {}
-        self.asked: dict[int, int] = {}  # ask's number -> when
-
-    def ask(self, now: int, number: int, things: Iterable[str]) -> list[Wish]:
-        """Asks for these; what is not named any more is given up now, before it is said. `number` grows from ask to ask of a life."""
-        wanted = list(dict.fromkeys(things))[:THINGS_MOST]
-        self.since = {thing: self.since.get(thing, number) for thing in wanted}
-        self.until = {thing: until for thing, until in self.until.items() if thing in self.since}
+        self.asked: dict[int, int] = {}  # ask number -> when
+
+    def ask(self, now: int, number: int, resources: Iterable[str]) -> list[ClaimRequest]:
+        """Request these resources; any other is given up at once, before the ask is sent. `number` grows with
+        each ask of a life.
+        """
+        requested = list(dict.fromkeys(resources))[:MAX_CLAIMS_PER_ASK]
+        self.since = {resource: self.since.get(resource, number) for resource in requested}
+        self.until = {resource: until for resource, until in self.until.items() if resource in self.since}
         self.asked[number] = now
-        self.asked.pop(number - ASKS_KEPT, None)
-        return [Wish(thing, now < self.until.get(thing, now)) for thing in wanted]
+        self.asked.pop(number - MAX_OPEN_ASKS, None)
+        return [ClaimRequest(resource, now < self.until.get(resource, now)) for resource in requested]
 
-    def hear(self, now: int, number: int, claims: Iterable[Claim]) -> None:
-        """An answer of the present era; the first to an ask counts."""
+    def on_answer(self, now: int, number: int, claims: Iterable[Claim]) -> None:
+        """Take in an answer of the present era; only the first answer to an ask counts."""
         asked_at = self.asked.pop(number, None)
         if asked_at is None:
             return
         for claim in claims:
-            until = asked_at + int(claim.span * (1 - self.drift))
-            if number >= self.since.get(claim.thing, number + 1) and until > max(
-                now, self.until.get(claim.thing, 0)
+            until = asked_at + int(claim.duration * (1 - self.drift))
+            if number >= self.since.get(claim.resource, number + 1) and until > max(
+                now, self.until.get(claim.resource, 0)
             ):
-                self.until[claim.thing] = until
+                self.until[claim.resource] = until
 
     def lost(self) -> None:
-        """No answer to what was asked counts any more: another life of the giver, or a stream that is gone."""
+        """Ignore the answers to all earlier asks: the grantor restarted, or the stream is gone."""
         self.asked.clear()
 
     def held(self, now: int) -> frozenset[str]:
-        return frozenset(thing for thing, until in self.until.items() if now < until)
+        """Return the resources held now."""
+        return frozenset(resource for resource, until in self.until.items() if now < until)
 
     def next_end(self) -> int:
-        """When the first of what is held ends, if nothing more is heard; beyond any time where nothing is."""
+        """Return when the first held claim ends unless renewed; far in the future if none is held."""
         return min(self.until.values(), default=1 << 62)
 
     def drop(self) -> None:
+        """Give up all claims."""
         self.since.clear()
         self.until.clear()
         self.asked.clear()
 
 
-# ---- who asks first
+# ---- order of asking
 
 
-class Turns:
-    """Which things to ask for: all pilots see the same cold endpoints, and one has to be first. By lot among those that live; the next
-    asks a step later, should the first be gone or want nothing. Rolls that differ make two ask at once, and the giver decides."""
+class ClaimSchedule:
+    """Decides which resources to ask for. All pilots see the same cold endpoints; for each of them rendezvous
+    hashing ranks the live pilots, and each asks one `step` (us) after the previous. If membership views
+    differ and two ask at once, the grantor decides.
+    """
 
     def __init__(self, me: str, step: int) -> None:
         self.me = me
         self.step = step
         self.seen: dict[str, int] = {}
 
-    def wishes(
-        self, now: int, things: Iterable[str], living: Iterable[str], held: frozenset[str]
+    def requests(
+        self, now: int, resources: Iterable[str], living: Iterable[str], held: frozenset[str]
     ) -> list[str]:
+        """Return the held resources and those for which this pilot's time to ask has come."""
         names = {*living, self.me}
-        self.seen = {thing: self.seen.get(thing, now) for thing in sorted(things)}
+        self.seen = {resource: self.seen.get(resource, now) for resource in sorted(resources)}
         return [
-            thing
-            for thing, at in self.seen.items()
-            if thing in held or now - at >= self.step * self._place(thing, names)
+            resource
+            for resource, at in self.seen.items()
+            if resource in held or now - at >= self.step * self._rank(resource, names)
         ]
 
-    def _place(self, thing: str, names: set[str]) -> int:
-        mine = self._lot(thing, self.me)
-        return sum(self._lot(thing, name) > mine for name in names)
+    def _rank(self, resource: str, names: set[str]) -> int:
+        own = self._priority(resource, self.me)
+        return sum(self._priority(resource, name) > own for name in names)
 
     @staticmethod
-    def _lot(thing: str, name: str) -> tuple[bytes, str]:
-        return blake2b(f"{thing}/{name}".encode(), digest_size=8).digest(), name
+    def _priority(resource: str, name: str) -> tuple[bytes, str]:
+        return blake2b(f"{resource}/{name}".encode(), digest_size=8).digest(), name
--- a/cedarshift/judge/spending.py
+++ b/cedarshift/judge/spending.py
@@ -1,98 +1,103 @@
-"""Spending a share: a bucket for its rate, and what is asked for by what was wished lately. No I/O; times are whole
+"""Spending of a leased share: a token bucket, and an estimate of the rate to ask for. No I/O; times are
 microseconds.
 
-There is no debt: what is not there is refused. A new share begins with nothing in its bucket, and a smaller one is cut to its own
-burst at once. So what lies in all buckets of a fleet is never above the whole's burst, but for the one token that a
-spender with a small rate may save up: over any span the fleet spends at most whole x (span + burst) + one token a spender.
+There is no debt: without a token a request is refused. A new share starts with an empty bucket, and a smaller
+share truncates the bucket to its own burst at once. So over any interval a fleet spends at most capacity x
+(interval + burst), plus one token for each spender with a small rate.
 """
 
 from __future__ import annotations
 
 from collections import deque
 
-# Constants: unit, then the reason for the size.
-PARTS = 1_000  # of a token, in which rates are divided
+PARTS_PER_TOKEN = 1_000  # resolution in which rates are divided
 SECOND = 1_000_000  # us
-LOOKED_AT = 6  # samples of what was wished; the greatest of the last two and the mean of all count
-SPAN_LEAST = SECOND // 10  # us; a shorter span tells of single wishes
-HEADROOM = (
-    1.25  # of a rate that is asked for over what was wished, so that growth finds room before it is refused
-)
+MAX_SAMPLES = 6
+MIN_INTERVAL_US = SECOND // 10  # shorter intervals are too noisy
+HEADROOM = 1.25  # times the measured rate, so that demand can grow without refusals
 
 
-class Bucket:
-    """`burst` in us of the rate; `drift` is taken off the filling, as this clock may run fast. Level in parts x us / s."""
+class TokenBucket:
+    """`burst` in microseconds of the rate; `drift` is deducted when refilling, as this clock may run fast."""
 
     def __init__(self, burst: int, drift: float, now: int) -> None:
         self.burst = burst
         self.drift = drift
         self.rate = 0  # parts a second
         self.until = now
-        self.at = now
-        self.level = 0.0  # tokens
+        self.updated_at = now
+        self.tokens = 0.0
         self.spent = 0
         self.refused = 0
 
-    def _most(self) -> float:
-        return max(1.0, self.rate * self.burst / SECOND / PARTS) if self.rate else 0.0
+    def _max_tokens(self) -> float:
+        return max(1.0, self.rate * self.burst / SECOND / PARTS_PER_TOKEN) if self.rate else 0.0
 
     def _settle(self, now: int) -> None:
-        """Fills up to now, or to the share's end, after which nothing is left."""
-        span = min(now, self.until) - self.at
-        if span > 0:
-            self.level = min(self._most(), self.level + self.rate / PARTS * span * (1 - self.drift) / SECOND)
-        self.at = max(self.at, now)
+        """Refill up to `now`; after the end of the share the bucket is empty."""
+        interval = min(now, self.until) - self.updated_at
+        if interval > 0:
+            self.tokens = min(
+                self._max_tokens(),
+                self.tokens + self.rate / PARTS_PER_TOKEN * interval * (1 - self.drift) / SECOND,
+            )
+        self.updated_at = max(self.updated_at, now)
         if now >= self.until:
-            self.level, self.rate = 0.0, 0
+            self.tokens, self.rate = 0.0, 0
 
     def grant(self, now: int, rate: int, until: int) -> None:
-        """From now on `rate` parts a second until `until`."""
+        """Set the rate to `rate` parts a second until `until`."""
         self._settle(now)
         if not self.rate:
-            self.level = 0.0
+            self.tokens = 0.0
         self.rate, self.until = rate if until > now else 0, until
-        self.level = min(self.level, self._most())
+        self.tokens = min(self.tokens, self._max_tokens())
 
     def take(self, now: int) -> bool:
-        """One token, if there is one."""
+        """Take one token; return whether there was one."""
         self._settle(now)
-        if self.level < 1.0:
+        if self.tokens < 1.0:
             self.refused += 1
             return False
-        self.level -= 1.0
+        self.tokens -= 1.0
         self.spent += 1
         return True
 
-    def next_in(self, now: int) -> int:
-        """us until there may be a token under the present share; a second where it has none."""
+    def time_to_next(self, now: int) -> int:
+        """Return the microseconds until the next token under the present share; one second if it has none."""
         self._settle(now)
         if not self.rate:
             return SECOND
-        return max(0, int((1.0 - self.level) * PARTS * SECOND / self.rate / (1 - self.drift)) + 1)
+        return max(0, int((1.0 - self.tokens) * PARTS_PER_TOKEN * SECOND / self.rate / (1 - self.drift)) + 1)
 
 
-class Wishes:
-    """What is asked for: by what was wished, granted or not, in the spans between two looks."""
+class DemandEstimator:
+    """Estimates the rate to ask for from the requests made lately, granted or not."""
 
     def __init__(self, now: int) -> None:
         self.since = now
         self.count = 0
-        self.samples: deque[tuple[int, int]] = deque(maxlen=LOOKED_AT)  # span, wishes
+        self.samples: deque[tuple[int, int]] = deque(maxlen=MAX_SAMPLES)  # (interval in us, requests)
 
-    def wish(self) -> None:
+    def record(self) -> None:
+        """Count one request."""
         self.count += 1
 
-    def look(self, now: int) -> None:
-        """Ends a span; one that is too short goes on."""
-        span = now - self.since
-        if span >= SPAN_LEAST:
-            self.samples.append((span, self.count))
+    def close_interval(self, now: int) -> None:
+        """End the current interval, unless it is too short."""
+        interval = now - self.since
+        if interval >= MIN_INTERVAL_US:
+            self.samples.append((interval, self.count))
             self.since, self.count = now, 0
 
     def rate(self) -> int:
-        """Parts a second to ask for, by the spans that have ended."""
-        if not any(wished for _, wished in self.samples):
+        """Return the rate to ask for, in parts a second, from the completed intervals."""
+        if not any(requests for _, requests in self.samples):
             return 0
-        whole = sum(wished for _, wished in self.samples) * SECOND / sum(span for span, _ in self.samples)
-        last = max(wished * SECOND / span for span, wished in list(self.samples)[-2:])
-        return int(max(whole, last) * HEADROOM * PARTS) + PARTS // 10
+        mean = (
+            sum(requests for _, requests in self.samples)
+            * SECOND
+            / sum(interval for interval, _ in self.samples)
+        )
+        last = max(requests * SECOND / interval for interval, requests in list(self.samples)[-2:])
+        return int(max(mean, last) * HEADROOM * PARTS_PER_TOKEN) + PARTS_PER_TOKEN // 10
--- a/cedarshift/judge/trials.py
+++ b/cedarshift/judge/trials.py
@@ -1,11 +1,13 @@
-"""When a sick endpoint is tried again, by whom, and how fast it gets its share back: one trial for the whole fleet. No I/O.
+"""Circuit breaker for sick endpoints, shared by the fleet: when one is probed, by whom, and how it recovers.
+No I/O.
 
-At sites without slices each proxy picks among all endpoints and avoids by itself one that failed it. Left to themselves a thousand proxies
-try a sick endpoint a thousand times each few seconds, and all send it their full share at the first good answer. Here an endpoint that enough
-proxies shun is shut for all; the pilot to which it falls by lot lets one proxy at a time try it; then its share doubles, step by step.
+At sites without slices each proxy picks among all endpoints and avoids those that failed it. Unsupervised, a
+thousand proxies would probe a sick endpoint a thousand times each few seconds, and all return at its first
+good answer. Here an endpoint that enough proxies shun is closed for all; one pilot lets one proxy at a time
+probe it, and then its share is doubled step by step.
 
-Which pilot: the highest digest of endpoint and pilot among those that live and have proxies. Pilots that disagree on who lives may
-try twice for as long as they do; nothing else hangs on it. Spans are microseconds.
+That pilot is chosen by rendezvous hashing among the live ones that have proxies. While pilots disagree on who
+lives, an endpoint may be probed twice; this does no harm. Times are microseconds.
 """
 
 from __future__ import annotations
@@ -18,31 +20,30 @@
 
 from cedarshift.judge.chance import Lcg
 
-# Constants: unit, then the reason for the size.
-SHUN_PART = 0.2  # of the fleet's proxies; fewer may have a bad way to it
-SHUN_LEAST = 2  # proxies, where there are so many
-PROBE_EVERY = (
-    1_000_000  # us between two probes of the whole fleet; doubled each time that it was shut again soon
-)
-PROBE_MOST = 8_000_000  # us
-PROBE_WITHIN = 3_000_000  # us for a probe to be told, made and reported
-GOOD_PROBES = 3  # in a row; what fails every second op passes one in eight times
-RAMP_FROM = 1 / 16  # of its share
-RAMP_EVERY = 1_000_000  # us until that is doubled: sums of the step before have come by then
-RAMP_TRIES = 4  # of a step, before its failures count
-RAMP_FAILS = 0.4  # share of them aborted
-REMEMBERED = 60_000_000  # us that a strike counts after an endpoint was well again
-TRIALS_MOST = 8  # told between pilots; more at a time are no single endpoints' matter
+MIN_SHUN_SHARE = 0.2  # of the fleet's proxies; fewer may have a network problem of their own
+MIN_SHUNNING_PROXIES = 2
+PROBE_INTERVAL_US = 1_000_000  # for the whole fleet; doubled with each strike
+MAX_PROBE_INTERVAL_US = 8_000_000
+PROBE_TIMEOUT_US = 3_000_000  # to deliver, make and report a probe
+PROBES_TO_RAMP = 3  # consecutive good probes
+RAMP_INITIAL_SHARE = 1 / 16
+RAMP_INTERVAL_US = 1_000_000  # then the share is doubled
+MIN_RAMP_TRIES = 4  # in a step, before its failures count
+MAX_RAMP_ABORT_SHARE = 0.4
+STRIKE_MEMORY_US = 60_000_000  # time for which a strike counts after recovery
+MAX_REPORTED_TRIALS = 8
 
 
 @lru_cache(maxsize=1 << 16)
 def tag_of(endpoint: str) -> int:
-    """An endpoint's name as 32 bits, for what pilots tell each other."""
+    """Return a 32-bit hash of an endpoint's name, as exchanged between pilots."""
     return int.from_bytes(blake2b(endpoint.encode(), digest_size=4).digest(), "big")
 
 
-class Word(NamedTuple):
-    """What a pilot tells: how many proxies it has, by tag how many of them shun an endpoint, and the share and strikes of those that it tries."""
+class TrialReport(NamedTuple):
+    """What a pilot tells the others: its number of proxies, how many of them shun an endpoint (by tag), and
+    share and strikes of its own trials.
+    """
 
     proxies: int
     shuns: dict[int, int]
@@ -51,13 +52,15 @@
 
 @dataclass
 class Trial:
-    """`share` 0: shut, probed; else growing. `prober` was let try it `asked_at`."""
+    """A trial of one endpoint. `share` 0: closed and probed; otherwise growing. `prober` was asked to probe
+    at `asked_at` (us).
+    """
 
     share: float
     strikes: int
     since: int
     next_at: int
-    good: int = 0
+    good_probes: int = 0
     prober: str = ""
     asked_at: int = 0
     tries: int = 0
@@ -65,30 +68,35 @@
 
 
 class Trials:
-    """One in each pilot."""
+    """The trials of one pilot, `me`; `seed` is for its random generator."""
 
     def __init__(self, me: str, seed: int) -> None:
         self.me = me
-        self.chance = Lcg(seed)
+        self.rng = Lcg(seed)
         self.shuns: dict[str, frozenset[str]] = {}  # by proxy
-        self.words: dict[str, Word] = {}  # by other pilot
-        self.mine: dict[str, Trial] = {}
-        self.struck: dict[str, tuple[int, int]] = {}  # endpoint -> strikes, until when they count
+        self.reports: dict[str, TrialReport] = {}  # by other pilot
+        self.own_trials: dict[str, Trial] = {}
+        self.strikes_until: dict[str, tuple[int, int]] = {}  # endpoint -> (strikes, until when they count)
 
-    # ---- what is known
+    # ---- input
 
     def on_proxy(self, proxy: str, shunned: Iterable[str]) -> None:
+        """Set the endpoints that a proxy shuns."""
         self.shuns[proxy] = frozenset(shunned)
 
     def on_left(self, proxy: str) -> None:
+        """Forget a proxy that has left."""
         self.shuns.pop(proxy, None)
 
-    def on_word(self, pilot: str, word: Word) -> None:
-        self.words[pilot] = word
+    def on_report(self, pilot: str, report: TrialReport) -> None:
+        """Take in another pilot's report."""
+        self.reports[pilot] = report
 
     def on_met(self, now: int, proxy: str, endpoint: str, tries: int, aborted: int) -> None:
-        """What a proxy met there. While it is shut only the one that was asked counts: others' tries began before."""
-        trial = self.mine.get(endpoint)
+        """Count a proxy's ops at an endpoint. While it is closed only its prober counts: other ops began
+        earlier.
+        """
+        trial = self.own_trials.get(endpoint)
         if trial is None or not tries:
             return
         if trial.share:
@@ -96,115 +104,150 @@
             trial.failed += aborted
         elif proxy == trial.prober:
             trial.prober = ""
-            trial.good = 0 if aborted else trial.good + 1
+            trial.good_probes = 0 if aborted else trial.good_probes + 1
 
-    # ---- what follows
+    # ---- trials
 
     def owner(self, endpoint: str, living: Iterable[str]) -> str:
-        """The pilot whose trial it is."""
-        able = [
+        """Return the pilot that runs the trial of an endpoint."""
+        candidates = [
             name
             for name in living
-            if (len(self.shuns) if name == self.me else name in self.words and self.words[name].proxies)
+            if (len(self.shuns) if name == self.me else name in self.reports and self.reports[name].proxies)
         ]
         return max(
-            able,
+            candidates,
             key=lambda name: (blake2b(f"{endpoint}/{name}".encode(), digest_size=8).digest(), name),
             default=self.me,
         )
 
     def step(self, now: int, endpoints: Iterable[str], living: Iterable[str]) -> dict[str, float]:
-        """Shares of endpoints that are on trial, here or at another pilot, 0 for shut; absent: as ever. `living`: this one among them."""
-        alive = set(living) | {self.me}
+        """Return the shares of the endpoints on trial at any pilot, 0 if closed; others are not restricted.
+        `living`: the live pilots.
+        """
+        living_pilots = set(living) | {self.me}
         found: dict[str, float] = {}
-        counts = self._shunned(alive)
-        proxies = len(self.shuns) + sum(word.proxies for name, word in self.words.items() if name in alive)
-        enough = min(max(SHUN_LEAST, SHUN_PART * proxies), max(1, proxies))
+        counts = self._shunned(living_pilots)
+        proxies = len(self.shuns) + sum(
+            report.proxies for name, report in self.reports.items() if name in living_pilots
+        )
+        threshold = min(max(MIN_SHUNNING_PROXIES, MIN_SHUN_SHARE * proxies), max(1, proxies))
         listed = list(endpoints)
-        self.mine = {endpoint: self.mine[endpoint] for endpoint in listed if endpoint in self.mine}
-        told = {tag for name, word in self.words.items() if name in alive for tag in word.trials}
+        self.own_trials = {
+            endpoint: self.own_trials[endpoint] for endpoint in listed if endpoint in self.own_trials
+        }
+        remote_tags = {
+            tag for name, report in self.reports.items() if name in living_pilots for tag in report.trials
+        }
         for endpoint in listed:
             tag = tag_of(endpoint)
-            if tag not in counts and tag not in told and endpoint not in self.mine:
-                continue  # most are well: nobody has to be found for them
-            owner = self.owner(endpoint, alive)
+            if tag not in counts and tag not in remote_tags and endpoint not in self.own_trials:
+                continue  # nothing known against it
+            owner = self.owner(endpoint, living_pilots)
             if owner != self.me:
-                self.mine.pop(endpoint, None)
-                theirs = self.words[owner].trials.get(tag)
-                if theirs is not None:
-                    found[endpoint] = theirs[0]
+                self.own_trials.pop(endpoint, None)
+                remote = self.reports[owner].trials.get(tag)
+                if remote is not None:
+                    found[endpoint] = remote[0]
                 continue
-            trial = self.mine.get(endpoint)
-            if trial is None and counts.get(tag, 0) >= enough:
-                self.mine[endpoint] = trial = self._shut(now, endpoint, self._inherited(tag))
+            trial = self.own_trials.get(endpoint)
+            if trial is None and counts.get(tag, 0) >= threshold:
+                self.own_trials[endpoint] = trial = self._close_endpoint(
+                    now, endpoint, self._inherited_strikes(tag)
+                )
             if trial is not None:
-                self._go_on(now, endpoint, trial)
-                if endpoint in self.mine:
-                    found[endpoint] = self.mine[endpoint].share
+                self._advance(now, endpoint, trial)
+                if endpoint in self.own_trials:
+                    found[endpoint] = self.own_trials[endpoint].share
         return found
 
     def _own_shuns(self) -> dict[int, int]:
-        """How many of this pilot's proxies shun an endpoint, by tag."""
+        """Return how many of this pilot's proxies shun an endpoint, by tag."""
         return dict(Counter(tag_of(endpoint) for shunned in self.shuns.values() for endpoint in shunned))
 
-    def _shunned(self, alive: set[str]) -> dict[int, int]:
+    def _shunned(self, living_pilots: set[str]) -> dict[int, int]:
+        """Return how many proxies of all live pilots shun an endpoint, by tag."""
         counts = self._own_shuns()
-        for name, word in self.words.items():
-            for tag, count in word.shuns.items() if name in alive else ():
+        for name, report in self.reports.items():
+            for tag, count in report.shuns.items() if name in living_pilots else ():
                 counts[tag] = counts.get(tag, 0) + count
         return counts
 
-    def _inherited(self, tag: int) -> int:
-        """Strikes that a former owner of the trial told of."""
-        return max((word.trials[tag][1] for word in self.words.values() if tag in word.trials), default=0)
+    def _inherited_strikes(self, tag: int) -> int:
+        """Return the strikes that a former owner of the trial reported."""
+        return max(
+            (report.trials[tag][1] for report in self.reports.values() if tag in report.trials), default=0
+        )
 
-    def _shut(self, now: int, endpoint: str, strikes: int) -> Trial:
-        known, until = self.struck.get(endpoint, (0, 0))
-        strikes = max(strikes, known + 1 if now < until else 0)
-        self.struck[endpoint] = (strikes, now + REMEMBERED)
-        return Trial(0.0, strikes, now, now + self._every(strikes))
+    def _close_endpoint(self, now: int, endpoint: str, strikes: int) -> Trial:
+        previous, until = self.strikes_until.get(endpoint, (0, 0))
+        strikes = max(strikes, previous + 1 if now < until else 0)
+        self.strikes_until[endpoint] = (strikes, now + STRIKE_MEMORY_US)
+        return Trial(0.0, strikes, now, now + self._probe_interval(strikes))
 
     @staticmethod
-    def _every(strikes: int) -> int:
-        return int(min(PROBE_MOST, PROBE_EVERY * 2 ** min(strikes, 10)))
+    def _probe_interval(strikes: int) -> int:
+        return int(min(MAX_PROBE_INTERVAL_US, PROBE_INTERVAL_US * 2 ** min(strikes, 10)))
 
-    def _go_on(self, now: int, endpoint: str, trial: Trial) -> None:
+    def _advance(self, now: int, endpoint: str, trial: Trial) -> None:
         if trial.share:
-            self._grow(now, endpoint, trial)
-        elif trial.good >= GOOD_PROBES:
-            trial.share, trial.next_at, trial.tries, trial.failed = RAMP_FROM, now + RAMP_EVERY, 0, 0
-        elif trial.prober and now - trial.asked_at >= PROBE_WITHIN:
-            trial.prober, trial.good = "", 0  # no word of it: the proxy had no op to try it with, or has left
-
-    def _grow(self, now: int, endpoint: str, trial: Trial) -> None:
-        if trial.tries >= RAMP_TRIES and trial.failed > RAMP_FAILS * trial.tries:
-            self.mine[endpoint] = self._shut(now, endpoint, trial.strikes)
+            self._ramp(now, endpoint, trial)
+        elif trial.good_probes >= PROBES_TO_RAMP:
+            trial.share, trial.next_at, trial.tries, trial.failed = (
+                RAMP_INITIAL_SHARE,
+                now + RAMP_INTERVAL_US,
+                0,
+                0,
+            )
+        elif trial.prober and now - trial.asked_at >= PROBE_TIMEOUT_US:
+            # No result: the proxy had no op to try it with, or has left.
+            trial.prober, trial.good_probes = "", 0
+
+    def _ramp(self, now: int, endpoint: str, trial: Trial) -> None:
+        if trial.tries >= MIN_RAMP_TRIES and trial.failed > MAX_RAMP_ABORT_SHARE * trial.tries:
+            self.own_trials[endpoint] = self._close_endpoint(now, endpoint, trial.strikes)
         elif now >= trial.next_at:
-            trial.share, trial.next_at, trial.tries, trial.failed = 2 * trial.share, now + RAMP_EVERY, 0, 0
+            trial.share, trial.next_at, trial.tries, trial.failed = (
+                2 * trial.share,
+                now + RAMP_INTERVAL_US,
+                0,
+                0,
+            )
             if trial.share >= 1.0:
-                del self.mine[endpoint]
-                self.struck[endpoint] = (trial.strikes, now + REMEMBERED)
+                del self.own_trials[endpoint]
+                self.strikes_until[endpoint] = (trial.strikes, now + STRIKE_MEMORY_US)
 
     def probe(self, now: int, proxy: str) -> Optional[str]:
-        """An endpoint that this proxy may try once now, chosen by lot among the proxies as they beat."""
-        for endpoint, trial in self.mine.items():
+        """Return an endpoint that this proxy may probe once now; the proxy is picked at random among those
+        that send heartbeats.
+        """
+        for endpoint, trial in self.own_trials.items():
             if (
                 not trial.share
                 and not trial.prober
                 and now >= trial.next_at
-                and (self.chance.draw(max(1, len(self.shuns))) == 0 or now >= trial.next_at + PROBE_EVERY)
+                and (self.rng.draw(max(1, len(self.shuns))) == 0 or now >= trial.next_at + PROBE_INTERVAL_US)
             ):
-                trial.prober, trial.asked_at, trial.next_at = proxy, now, now + self._every(trial.strikes)
+                trial.prober, trial.asked_at, trial.next_at = (
+                    proxy,
+                    now,
+                    now + self._probe_interval(trial.strikes),
+                )
                 return endpoint
         return None
 
-    def word(self) -> Word:
-        """What the other pilots are to know."""
+    def report(self) -> TrialReport:
+        """Return what the other pilots need to know."""
         counts = self._own_shuns()
-        most = sorted(counts, key=lambda tag: (-counts[tag], tag))[:TRIALS_MOST]
-        mine = sorted(self.mine, key=lambda endpoint: (self.mine[endpoint].since, endpoint))[:TRIALS_MOST]
-        return Word(
+        largest = sorted(counts, key=lambda tag: (-counts[tag], tag))[:MAX_REPORTED_TRIALS]
+        own_trials = sorted(
+            self.own_trials, key=lambda endpoint: (self.own_trials[endpoint].since, endpoint)
+        )[:MAX_REPORTED_TRIALS]
+        return TrialReport(
             len(self.shuns),
-            {tag: counts[tag] for tag in most},
-            {tag_of(endpoint): (self.mine[endpoint].share, self.mine[endpoint].strikes) for endpoint in mine},
+            {tag: counts[tag] for tag in largest},
+            {
+                tag_of(endpoint): (self.own_trials[endpoint].share, self.own_trials[endpoint].strikes)
+                for endpoint in own_trials
+            },
         )
--- a/cedarshift/pilot/admin.py
+++ b/cedarshift/pilot/admin.py
@@ -44,7 +44,7 @@
             **(s.membership.gauges() if s.membership is not None else {}),
             **(s.budgets.gauges() if s.budgets is not None else {}),
             **(s.overload.gauges() if s.overload is not None else {}),
-            "joins_sent_away": float(s.join_limiter.sent_away),
+            "joins_sent_away": float(s.join_limiter.deferred),
             "slowest_step_seconds": s.loop.slowest / 1e6,
             "in_force_seconds_p50": latencies[len(latencies) // 2] / 1e6 if latencies else 0.0,
             "in_force_seconds_p99": latencies[len(latencies) * 99 // 100] / 1e6 if latencies else 0.0,
@@ -64,7 +64,7 @@
         gauges["source_connected"] = float(source.client.state == "connected")
         gauges["members"] = float(len(source.judge.nodes))
         gauges["members_vanished"] = float(len(source.judge.gone))
-        gauges["members_in_doubt"] = float(len(source.judge.doubted))
+        gauges["members_in_doubt"] = float(len(source.judge.retained))
         gauges["nodes_refused"] = float(len(source.refused))
         gauges.update({f"source_{name}": float(count) for name, count in source.client.counts.items()})
         gauges.update({f"members_{name}_ever": float(count) for name, count in source.judge.counts.items()})
--- a/cedarshift/pilot/learning.py
+++ b/cedarshift/pilot/learning.py
@@ -14,16 +14,16 @@
 from cedarshift.interface import Entry
 from cedarshift.judge.trust import (
     BAD,
-    DOUBT_MOST,
-    HOPS_MOST,
+    MAX_HOPS,
+    MAX_WARNED_SHARE,
     ON,
-    Ill,
+    BorrowedFacts,
     Lender,
-    Own,
-    Trust,
-    Word,
-    heard_at,
-    started_by,
+    OwnEntry,
+    PhaseReport,
+    SicknessReport,
+    latest_start,
+    oldest_heard_at,
 )
 from cedarshift.link import Link, connect
 from cedarshift.loop import StreamBroken, TimedOut
@@ -84,7 +84,7 @@
         self.loop = service.loop
         self.terms = terms
         self.incarnation = incarnation
-        self.trust = Trust()
+        self.trust = BorrowedFacts()
         self.lenders: dict[str, Lender] = {}
         self.endpoints: dict[str, m.EndpointFact] = {}  # newest first-hand fact
         self.slice_stats: dict[int, list[tuple[int, m.LentHeat]]] = {}  # slice -> (heard at, stats)
@@ -203,7 +203,7 @@
         """Merges a chunk's facts. Ages count from the request, so a slow answer makes no fact fresher."""
         if chunk.origin == self.incarnation:
             raise LearningError("the lender is this pilot itself")
-        list_confirmed_at = -(1 << 60) if chunk.list_age < 0 else heard_at(asked_at, chunk.list_age)
+        list_confirmed_at = -(1 << 60) if chunk.list_age < 0 else oldest_heard_at(asked_at, chunk.list_age)
         lender = self.lenders[chunk.origin] = Lender(chunk.origin, list_confirmed_at, chunk.in_charge)
         self.counts["chunks_learnt"] += 1
         self.levels[chunk.origin] = (asked_at, chunk.level)
@@ -213,7 +213,8 @@
             if slice_fact.origin != self.incarnation:
                 self.counts["facts_learnt"] += 1
                 self.slice_stats[slice_fact.slice] = sorted(
-                    ((heard_at(asked_at, stats.age), stats) for stats in slice_fact.heats), key=_heard_at
+                    ((oldest_heard_at(asked_at, stats.age), stats) for stats in slice_fact.heats),
+                    key=_heard_at,
                 )
         for proxy in chunk.proxies:
             self.counts["facts_learnt"] += 1
@@ -224,27 +225,27 @@
     def _apply_endpoint(self, fact: m.EndpointFact, lender: Lender, asked_at: int) -> None:
         """Merges one endpoint's fact; refuses this pilot's own facts and those passed on too often."""
         hops = fact.hops + 1
-        if fact.origin == self.incarnation or hops > HOPS_MOST or fact.phase not in (ON, *BAD):
+        if fact.origin == self.incarnation or hops > MAX_HOPS or fact.phase not in (ON, *BAD):
             self.counts["facts_refused"] += 1
             return
         self.counts["facts_learnt"] += 1
-        heard = heard_at(asked_at, fact.confirmed)
+        heard = oldest_heard_at(asked_at, fact.confirmed)
         trust, name = self.trust, fact.endpoint
-        trust.vouch(fact.origin, lender.soundness(asked_at))
-        trust.hear_phase(
+        trust.set_soundness(fact.origin, lender.soundness(asked_at))
+        trust.merge_phase(
             name,
             fact.source,
-            Word(fact.rev, heard, fact.phase in BAD, fact.phase, fact.start, hops, fact.origin),
+            PhaseReport(fact.rev, heard, fact.phase in BAD, fact.phase, fact.start, hops, fact.origin),
         )
         if fact.started >= 0:
-            trust.hear_start(name, fact.start, started_by(self.loop.now(), fact.started))
+            trust.merge_start(name, fact.start, latest_start(self.loop.now(), fact.started))
         if fact.sick_left:
-            trust.hear_sick(name, Ill(asked_at + fact.sick_left, asked_at, hops, fact.origin))
+            trust.merge_sickness(name, SicknessReport(asked_at + fact.sick_left, asked_at, hops, fact.origin))
         if fact.hops == 0:
             self.endpoints[name] = fact
             if fact.sums and name not in self.endpoint_stats:
                 self.endpoint_stats[name] = sorted(
-                    ((heard_at(asked_at, stats.age), stats) for stats in fact.sums), key=_heard_at
+                    ((oldest_heard_at(asked_at, stats.age), stats) for stats in fact.sums), key=_heard_at
                 )
 
     # ---- inputs for the decision module
@@ -274,13 +275,13 @@
             for name, entry in sorted(applied.items())
             if entry.phase == ON and self.trust.warning(name, None, now) is not None
         ]
-        if len(warned) <= DOUBT_MOST * len(applied):
+        if len(warned) <= MAX_WARNED_SHARE * len(applied):
             entries += warned
         if entries:
             self.service.report("borrowed_list", endpoints=len(entries))
             self.service.on_borrowed_list(entries)
 
-    def overlay(self, own: dict[str, Own], entries: dict[str, Entry]) -> dict[str, Entry]:
+    def overlay(self, own: dict[str, OwnEntry], entries: dict[str, Entry]) -> dict[str, Entry]:
         """Returns this pilot's entries with borrowed warnings and cold starts applied."""
         now, warm_within = self.loop.now(), self.service.deployment.rules.warm_within
         warned = self.trust.warnings(own, now)
@@ -328,7 +329,7 @@
             for name in running
             if name not in observed_endpoints and (until := self.trust.sick_until(name, now))
         }
-        return found if len(found) <= DOUBT_MOST * len(running) else {}
+        return found if len(found) <= MAX_WARNED_SHARE * len(running) else {}
 
     def take_slice_stats(self, number: int) -> list[tuple[int, m.LentHeat]]:
         """Removes and returns the learnt stats of a slice as (heard at, stats), oldest first."""
@@ -368,7 +369,7 @@
                     "origin": sickness.origin,
                     "hops": sickness.hops,
                 }
-                for name, sickness in sorted(trust.ill.items())
+                for name, sickness in sorted(trust.sickness.items())
                 if sickness.until > now
             ],
             "lenders": [
--- a/cedarshift/pilot/service.py
+++ b/cedarshift/pilot/service.py
@@ -23,8 +23,8 @@
 from cedarshift.deployment.deployment import NodeRoster
 from cedarshift.gossip.service import Membership
 from cedarshift.interface import Entry, pulled
-from cedarshift.judge.admission import Gate
-from cedarshift.judge.trust import Own, Word
+from cedarshift.judge.admission import JoinLimiter
+from cedarshift.judge.trust import OwnEntry, PhaseReport
 from cedarshift.link import Link, serve
 from cedarshift.loop import Listener, Loop, StreamBroken
 from cedarshift.loop.core import Coroutine, Waker
@@ -153,7 +153,7 @@
         self.membership: Optional[Membership] = None
         self.budgets: Optional[PilotBudgets] = None
         self.overload: Optional[PilotOverload] = None
-        self.join_limiter = Gate(
+        self.join_limiter = JoinLimiter(
             deployment.proxy.joins_per_s,
             max(1.0, deployment.proxy.joins_per_s / JOIN_BURSTS_PER_S),
             loop.now(),
@@ -259,7 +259,7 @@
             return self.listed
         starts, confirmed = self.source.starts.known, self.source.confirmed or 0
         own = {
-            name: Own(
+            name: OwnEntry(
                 entry.phase,
                 starts.get(name, ("", None))[0],
                 entry.started,
@@ -308,7 +308,7 @@
         """Returns the endpoints that peers have reported on."""
         return set(self.learning.trust.sources) if self.learning is not None else set()
 
-    def borrowed_reports(self, name: str) -> list[tuple[str, Word]]:
+    def borrowed_reports(self, name: str) -> list[tuple[str, PhaseReport]]:
         """Returns the borrowed reports on an endpoint's phase as (source, report)."""
         if self.learning is None:
             return []
@@ -434,7 +434,7 @@
         now = self.loop.now()
         after = self.join_limiter.ask(now, known=now < self.lease_expires_at.get(name, 0))
         if after:
-            raise Busy(f"too many joins at once, {self.join_limiter.sent_away} deferred so far", after)
+            raise Busy(f"too many joins at once, {self.join_limiter.deferred} deferred so far", after)
 
     def _handle_connection(self, link: Link, first: list[m.Message]) -> Coroutine:
         """Handles an accepted connection of a proxy or of another pilot until it ends."""
--- a/cedarshift/pilot/store_client.py
+++ b/cedarshift/pilot/store_client.py
@@ -10,7 +10,7 @@
 
 from cedarshift.codec import Badge, ProtocolError, Session
 from cedarshift.codec import messages as m
-from cedarshift.judge.redial import Redial
+from cedarshift.judge.redial import Backoff
 from cedarshift.link import Link, connect
 from cedarshift.loop import Loop, StreamBroken, TimedOut
 from cedarshift.loop.core import Coroutine
@@ -74,7 +74,7 @@
         self.pending_commits: dict[int, CommitCallback] = {}
         self.budgets = budgets
         self.rng = rng
-        self.backoff = Redial(MIN_REDIAL_DELAY_US, MAX_REDIAL_DELAY_US, rng)
+        self.backoff = Backoff(MIN_REDIAL_DELAY_US, MAX_REDIAL_DELAY_US, rng)
         self.lapsed = True  # no slices are assigned
         self.task = loop.spawn(self._session_loop(), "store session")
 
@@ -168,7 +168,7 @@
                 for message in messages:
                     if isinstance(message, m.Opened):
                         self.link, self.lease = link, message.lease - message.lease // CLOCK_DRIFT_DIVISOR
-                        self.backoff.well()
+                        self.backoff.reset()
                         self._release_slices()  # the store assigns them anew with their committed state
                         self.valid_until = opened_at + self.lease
                         renewer = self.loop.spawn(self._renew_loop(link), "store renew")
--- a/cedarshift/platform/reconnect.py
+++ b/cedarshift/platform/reconnect.py
@@ -6,7 +6,7 @@
 from typing import Callable, Optional
 
 from cedarshift.codec.platform.errors import MalformedStream
-from cedarshift.judge.redial import Redial
+from cedarshift.judge.redial import Backoff
 from cedarshift.loop import Cancelled, Loop, StreamBroken, TimedOut
 from cedarshift.loop.core import Coroutine, Waker
 from cedarshift.web import StreamedResponse, UnexpectedStatus, connect
@@ -48,7 +48,7 @@
         self.lost_event = lost_event
         self.on_status = on_status
         self.report = report
-        self.backoff = Redial(RECONNECT_MIN_DELAY_US, RECONNECT_MAX_DELAY_US, random)
+        self.backoff = Backoff(RECONNECT_MIN_DELAY_US, RECONNECT_MAX_DELAY_US, random)
         self.response: Optional[StreamedResponse] = None  # set once connected
         self.delay_waker: Optional[Waker] = None  # set while waiting for the next attempt
         self.requested_at = loop.now()  # start of the current attempt
@@ -57,7 +57,7 @@
     def change_address(self, address: Address) -> None:
         """Reconnects to `address` at once, ending the current response, attempt or delay."""
         self.address = address
-        self.backoff.well()  # failures at the old address do not count
+        self.backoff.reset()  # failures at the old address do not count
         self.restart()
         if self.delay_waker is not None:
             self.delay_waker.wake()
@@ -92,7 +92,7 @@
                 self.restart()
                 self.response = None
             if self.loop.now() - started_at > STABLE_AFTER_US:
-                self.backoff.well()
+                self.backoff.reset()
             if address == self.address:
                 yield from self._delay()
 
--- a/cedarshift/store/ledger.py
+++ b/cedarshift/store/ledger.py
@@ -15,7 +15,7 @@
 import msgspec
 
 from cedarshift.codec.messages import Level
-from cedarshift.judge.charge import EPOCHS_A_LIFE, Row
+from cedarshift.judge.charge import EPOCHS_PER_LIFE, SliceRecord
 
 FORMAT_VERSION = 1
 RESTORE_START_OFFSET = 1_000  # starts of the store that a backup may be behind
@@ -32,7 +32,7 @@
     """The ledger file is damaged or unusable. The message names the file, the fault and how to recover."""
 
 
-def _checksum(row: Row, levels: bytes) -> int:
+def _checksum(row: SliceRecord, levels: bytes) -> int:
     return zlib.crc32(
         msgspec.msgpack.encode([row.slice, row.epoch, row.version, row.pilot, row.owner, levels])
     )
@@ -76,7 +76,7 @@
     """Keeps the rows in memory, for tests and simulations."""
 
     def __init__(self, slices: int) -> None:
-        self.rows = {n: Row(n) for n in range(slices)}
+        self.rows = {n: SliceRecord(n) for n in range(slices)}
         self.commits = 0
         self.starts = 0
 
@@ -84,15 +84,16 @@
         self.starts += 1
         return self.starts
 
-    def load(self) -> list[Row]:
+    def load(self) -> list[SliceRecord]:
         return [
-            Row(r.slice, r.epoch, r.version, r.pilot, r.owner, list(r.levels)) for r in self.rows.values()
+            SliceRecord(r.slice, r.epoch, r.version, r.pilot, r.owner, list(r.levels))
+            for r in self.rows.values()
         ]
 
-    def put(self, rows: Iterable[Row]) -> None:
+    def put(self, rows: Iterable[SliceRecord]) -> None:
         self.commits += 1
         for r in rows:
-            self.rows[r.slice] = Row(r.slice, r.epoch, r.version, r.pilot, r.owner, list(r.levels))
+            self.rows[r.slice] = SliceRecord(r.slice, r.epoch, r.version, r.pilot, r.owner, list(r.levels))
 
     def close(self) -> None:
         pass
@@ -137,7 +138,7 @@
             stored = dict(self.db.execute("SELECT name, value FROM about"))
             if not stored:
                 self.db.executemany("INSERT INTO about VALUES (?, ?)", sorted(expected.items()))
-                self._write([Row(n) for n in range(self.slices)])
+                self._write([SliceRecord(n) for n in range(self.slices)])
                 stored = expected
         finally:
             self.db.execute("COMMIT")
@@ -167,7 +168,7 @@
             raise self._damaged(str(error)) from None
         return start
 
-    def load(self) -> list[Row]:
+    def load(self) -> list[SliceRecord]:
         """Returns all rows. Raises DamagedLedgerError if one is missing or its checksum is wrong."""
         assert self.db is not None
         rows = []
@@ -178,7 +179,7 @@
         except sqlite3.Error as error:
             raise self._damaged(str(error)) from None
         for number, epoch, version, pilot, owner, levels, checksum in records:
-            row = Row(number, epoch, version, pilot, owner)
+            row = SliceRecord(number, epoch, version, pilot, owner)
             if not isinstance(levels, bytes) or _checksum(row, levels) != checksum:
                 raise self._damaged(f"checksum mismatch in the row of slice {number}")
             row.levels = LEVELS_DECODER.decode(levels)
@@ -187,14 +188,14 @@
             raise self._damaged(f"{len(rows)} slices, {self.slices} expected")
         return rows
 
-    def put(self, rows: Iterable[Row]) -> None:
+    def put(self, rows: Iterable[SliceRecord]) -> None:
         """Writes rows in one synced transaction. Raises sqlite3.Error, with nothing written, if it fails."""
         assert self.db is not None
         with transaction(self.db):
             self._write(rows)
         self.commits += 1
 
-    def _write(self, rows: Iterable[Row]) -> None:
+    def _write(self, rows: Iterable[SliceRecord]) -> None:
         assert self.db is not None
         self.db.executemany(
             "INSERT OR REPLACE INTO slices VALUES (?, ?, ?, ?, ?, ?, ?)",
@@ -222,7 +223,7 @@
 
 
 def restore(
-    path: str, backup: str, deployment: str, slices: int, ahead: int = RESTORE_START_OFFSET * EPOCHS_A_LIFE
+    path: str, backup: str, deployment: str, slices: int, ahead: int = RESTORE_START_OFFSET * EPOCHS_PER_LIFE
 ) -> int:
     """Replaces a damaged file, kept as `.damaged`, by a backup. Returns the number of slices.
 
@@ -240,7 +241,7 @@
     target = Ledger(path, deployment, slices)
     try:
         target.record_start(starts + RESTORE_START_OFFSET)
-        target.put(Row(row.slice, row.epoch + ahead, row.version + 1) for row in rows)
+        target.put(SliceRecord(row.slice, row.epoch + ahead, row.version + 1) for row in rows)
     finally:
         target.close()
     return len(rows)
--- a/cedarshift/store/service.py
+++ b/cedarshift/store/service.py
@@ -7,8 +7,8 @@
 from cedarshift.codec import Badge, Busy, Refused, Session
 from cedarshift.codec import messages as m
 from cedarshift.codec.frames import pack_rows
-from cedarshift.judge.admission import Gate
-from cedarshift.judge.charge import Charge, Row
+from cedarshift.judge.admission import JoinLimiter
+from cedarshift.judge.charge import SliceAssignment, SliceRecord
 from cedarshift.link import Link, serve
 from cedarshift.loop import Listener, Loop, TimedOut
 from cedarshift.loop.core import Coroutine, Waker
@@ -19,7 +19,7 @@
 READER_BURST = 100.0
 
 
-def to_held_row(row: Row) -> m.Held:
+def to_held_row(row: SliceRecord) -> m.Held:
     return m.Held(row.slice, row.epoch, row.version, row.owner, row.levels)
 
 
@@ -56,7 +56,7 @@
         self.listener = listener
         self.ledger = ledger
         self.badge = badge
-        self.assignment = Charge(
+        self.assignment = SliceAssignment(
             ledger.load(), pilots, lease, takeover, back_after, loop.now(), ledger.record_start()
         )
         self.challenge = challenge
@@ -67,7 +67,7 @@
         self.last_number = 0
         self.work_waker: Optional[Waker] = None
         self.denied = 0
-        self.reader_limiter = Gate(MAX_READERS_PER_S, READER_BURST, loop.now())
+        self.reader_limiter = JoinLimiter(MAX_READERS_PER_S, READER_BURST, loop.now())
         self.packed_rows: Any = None  # cache of all rows, packed
         self.tasks = [
             loop.spawn(self._process_loop(), "store-watch"),
@@ -93,10 +93,10 @@
 
     def _admit(self, hello: m.Hello) -> m.Welcome:
         """Accepts a peer. Raises Refused or, if it may retry later, Busy."""
-        if hello.role == "pilot" and hello.id not in self.assignment.gone_since:
+        if hello.role == "pilot" and hello.id not in self.assignment.absent_since:
             raise Refused(f"unknown pilot {hello.id!r}, configured are {', '.join(self.assignment.pilots)}")
         if hello.role == "proxy" and (after := self.reader_limiter.ask(self.loop.now())):
-            raise Busy(f"too many readers at once, {self.reader_limiter.sent_away} deferred so far", after)
+            raise Busy(f"too many readers at once, {self.reader_limiter.deferred} deferred so far", after)
         self.last_number += 1
         return m.Welcome(self.last_number, self.assignment.lease)
 
--- a/tests/test_peer.py
+++ b/tests/test_peer.py
@@ -393,6 +393,6 @@
     learner._apply_reports([ZoneTotals("a", "z", 10, 1, 500_000, 500_000)], [])
     f.run(0.1)
     bound = learner.learning.trust.starts["a", "2"]
-    learner.learning.trust.hear_start("a", "2", bound - 5_000)  # a faster answer gives a tighter bound
+    learner.learning.trust.merge_start("a", "2", bound - 5_000)  # a faster answer gives a tighter bound
     f.run(1)
     assert learner.brain.endpoints["a"].started == before and learner.brain.endpoints["a"].samples
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -8,14 +8,14 @@
 import pytest
 
 from cedarshift.codec.messages import Level
-from cedarshift.judge.charge import Charge, Row
+from cedarshift.judge.charge import SliceAssignment, SliceRecord
 from cedarshift.store.ledger import DamagedLedgerError, Ledger, restore
 
 LEASE, TAKEOVER, BACK = 2_000_000, 500_000, 3_000_000
 
 
 def assignment(slices=4, pilots=("p0", "p1"), now=0, **rows):
-    return Charge([Row(n) for n in range(slices)], list(pilots), LEASE, TAKEOVER, BACK, now)
+    return SliceAssignment([SliceRecord(n) for n in range(slices)], list(pilots), LEASE, TAKEOVER, BACK, now)
 
 
 def holders(c):
@@ -71,7 +71,14 @@
 
 
 def test_after_a_restart_of_the_store_former_sessions_are_respected_for_a_lease():
-    c = Charge([Row(0, 4, 1, "p0", "a"), Row(1, 4, 1, "p1", "b")], ["p0", "p1"], LEASE, TAKEOVER, BACK, 0)
+    c = SliceAssignment(
+        [SliceRecord(0, 4, 1, "p0", "a"), SliceRecord(1, 4, 1, "p1", "b")],
+        ["p0", "p1"],
+        LEASE,
+        TAKEOVER,
+        BACK,
+        0,
+    )
     c.open(10, "p1")
     assert [r.slice for r in c.step(10).given["p1"]] == [1]
     c.renew(LEASE - 1, "p1", 1)
@@ -119,9 +126,9 @@
 def test_a_ledger_keeps_its_rows(tmp_path):
     path = str(tmp_path / "s.db")
     ledger = Ledger(path, "d", 3)
-    ledger.put([Row(1, 5, 6, "p0", "a", [Level(1, 2, 0.5)])])
+    ledger.put([SliceRecord(1, 5, 6, "p0", "a", [Level(1, 2, 0.5)])])
     ledger.close()
-    assert Ledger(path, "d", 3).load()[1] == Row(1, 5, 6, "p0", "a", [Level(1, 2, 0.5)])
+    assert Ledger(path, "d", 3).load()[1] == SliceRecord(1, 5, 6, "p0", "a", [Level(1, 2, 0.5)])
 
 
 @pytest.mark.parametrize(
@@ -142,7 +149,7 @@
 def test_a_damaged_file_is_refused_with_its_name_and_how_to_recover(tmp_path, damage, reason):
     path = tmp_path / "s.db"
     ledger = Ledger(str(path), "d", 3)
-    ledger.put([Row(1, 5, 6, "p0", "a")])
+    ledger.put([SliceRecord(1, 5, 6, "p0", "a")])
     ledger.close()
     damage(path)
     with pytest.raises(DamagedLedgerError, match=reason) as error:
@@ -160,9 +167,9 @@
 def test_a_restored_backup_has_no_owners_and_higher_epochs(tmp_path):
     path, copy = str(tmp_path / "s.db"), str(tmp_path / "copy.db")
     ledger = Ledger(path, "d", 2)
-    ledger.put([Row(0, 5, 6, "p0", "a")])
+    ledger.put([SliceRecord(0, 5, 6, "p0", "a")])
     ledger.backup(copy)
-    ledger.put([Row(0, 9, 20, "p1", "b")])
+    ledger.put([SliceRecord(0, 9, 20, "p1", "b")])
     ledger.close()
     restore(path, copy, "d", 2)
     row = Ledger(path, "d", 2).load()[0]
@@ -172,11 +179,11 @@
 
 WRITER = """
 import sys
-from cedarshift.judge.charge import Row
+from cedarshift.judge.charge import SliceRecord
 from cedarshift.store.ledger import Ledger
 ledger = Ledger(sys.argv[1], "d", 50)
 for n in range(1, 100000):
-    ledger.put([Row(s, n, n, "p0", f"owner-{n}") for s in range(50)])
+    ledger.put([SliceRecord(s, n, n, "p0", f"owner-{n}") for s in range(50)])
     print(n, flush=True)
 """
 
@@ -201,7 +208,7 @@
     epochs = []
     for lost in (False, True):
         ledger = Ledger(str(tmp_path / "store.db"), "d", 2)
-        c = Charge(ledger.load(), ["p0"], 2_000_000, 0, 0, 0, ledger.record_start())
+        c = SliceAssignment(ledger.load(), ["p0"], 2_000_000, 0, 0, 0, ledger.record_start())
         c.open(0, "p0")
         step = c.step(0)
         epochs.append([row.epoch for row in step.changed])
@@ -209,7 +216,7 @@
             ledger.put(step.changed)
         ledger.close()
     ledger = Ledger(str(tmp_path / "store.db"), "d", 2)
-    c = Charge(ledger.load(), ["p0"], 2_000_000, 0, 0, 0, ledger.record_start())
+    c = SliceAssignment(ledger.load(), ["p0"], 2_000_000, 0, 0, 0, ledger.record_start())
     c.open(0, "p0")
     epochs.append([row.epoch for row in c.step(0).changed])
     ledger.close()
@@ -230,7 +237,9 @@
 
 def test_a_new_session_of_a_pilot_moves_none_of_its_slices_before_they_are_released():
     """p0 holds p1's slices. Both reconnect after a store restart, while p0's old session may still run."""
-    c = Charge([Row(n, 1, 1, "p0", "e") for n in range(4)], ["p0", "p1"], LEASE, TAKEOVER, BACK, 0)
+    c = SliceAssignment(
+        [SliceRecord(n, 1, 1, "p0", "e") for n in range(4)], ["p0", "p1"], LEASE, TAKEOVER, BACK, 0
+    )
     c.open(10, "p1")
     c.open(20, "p0")
     step = c.step(20)
