--- a/benchmarks/turns.py
+++ b/benchmarks/turns.py
@@ -33,7 +33,7 @@
 
 import cedarshift.brain
 from benchmarks.fixtures import percentile
-from cedarshift.interface import Entry, OpType, Terms
+from cedarshift.interface import Entry, OpType, PilotConfig
 
 SECOND = 10_000  # tenths of a millisecond
 ZONES = ("a", "b", "c", "d")
@@ -43,10 +43,10 @@
 OPS_A_SLICE = 6  # ops of a slice in a period, on average
 
 
-def terms(slices: int, proxies: int) -> Terms:
+def terms(slices: int, proxies: int) -> PilotConfig:
     """Of the first users' platform, with a channel that grows with the proxies: heads fill 0.3 of it, as theirs do."""
     lines_per_s = 40.0 * proxies
-    return Terms(
+    return PilotConfig(
         op_types=(
             OpType("fetch", 20_000, 60_000, False, False),
             OpType("order", 20_000, 30_000, True, False),
@@ -93,8 +93,8 @@
         pilot = self.pilot
         pilot.on_list(BEGIN, "replace", [self.entry(n, "on") for n in range(self.endpoints)])
         for n, owner in self.owner.items():
-            pilot.on_given(BEGIN, n, True)
-            pilot.on_held(BEGIN, n, owner)
+            pilot.on_slice_assigned(BEGIN, n, True)
+            pilot.on_stored_owner(BEGIN, n, owner)
         for n in range(self.proxies):
             pilot.on_join(BEGIN, n, ZONES[n % 4])
         for n, zone in enumerate(ZONES):
@@ -159,9 +159,9 @@
                 heat.append((n, op_type, self.chance.randrange(2 * OPS_A_SLICE)))
         made = time.perf_counter() - begun
         for name, tries, aborted, took in met:
-            self.pilot.on_met(now, name, zone, tries, aborted, took, PERIOD)
+            self.pilot.on_endpoint_report(now, name, zone, tries, aborted, took, PERIOD)
         for number, op_type, ops in heat:
-            self.pilot.on_heat(now, number, op_type, ops, 0, PERIOD)
+            self.pilot.on_slice_report(now, number, op_type, ops, 0, PERIOD)
         self.at(now + PERIOD, "sums", zone)
         return made
 
@@ -192,7 +192,7 @@
             dataclasses.replace(
                 terms(self.slices, self.proxies),
                 pilots=pilots,
-                place=draw.randrange(pilots),
+                pilot_index=draw.randrange(pilots),
                 seed=seed,
                 gone_binds=draw.random() < 0.5,
                 asks_list=draw.random() < 0.5,
@@ -245,11 +245,11 @@
             self.joined ^= {proxy}
         elif kind == 7:
             number = draw.randrange(self.slices)
-            pilot.on_given(now, number, draw.random() < 0.7)
+            pilot.on_slice_assigned(now, number, draw.random() < 0.7)
             if draw.random() < 0.6:
-                pilot.on_held(now, number, f"e{n:05d}")
+                pilot.on_stored_owner(now, number, f"e{n:05d}")
         elif kind == 8:
-            pilot.on_warned(now, f"e{n:05d}", now + draw.randrange(100_000))
+            pilot.on_sick_warning(now, f"e{n:05d}", now + draw.randrange(100_000))
 
     def sums(self, now: int, zone: str) -> float:
         draw = self.chance
@@ -260,10 +260,10 @@
             lost = 0.5 if (zone, ZONES[n % 4]) in self.lossy else 1.0 if n in self.failing else 0.01
             aborted = sum(draw.random() < lost for _ in range(tries))
             took = 0 if aborted == tries else draw.randrange(300, 9_000) * (3 if n % 5 == 1 else 1)
-            self.pilot.on_met(now, f"e{n:05d}", zone, tries, aborted, took, PERIOD)
+            self.pilot.on_endpoint_report(now, f"e{n:05d}", zone, tries, aborted, took, PERIOD)
         for n in range(self.slices):
             if draw.random() < 0.3:
-                self.pilot.on_heat(
+                self.pilot.on_slice_report(
                     now, n, draw.choice(("fetch", "order")), draw.randrange(80), draw.randrange(5), PERIOD
                 )
         self.at(now + PERIOD, "sums", zone)
--- a/cedarshift/codec/platform/place.py
+++ b/cedarshift/codec/platform/place.py
@@ -9,7 +9,7 @@
 from cedarshift.codec.platform import entries, fields
 from cedarshift.codec.platform.errors import Refused, Spoilt, Unfinished
 from cedarshift.codec.platform.settings import terms
-from cedarshift.interface import Terms
+from cedarshift.interface import PilotConfig
 
 VARIABLES = ("RELAY_NAME", "RELAY_LISTEN", "RELAY_DISCOVERY", "RELAY_CONFIG")
 SOCKETS_LEAST = 64  # descriptors; with fewer a pilot has no room for collectors beside strangers
@@ -32,7 +32,7 @@
     listen: Address
     discovery: Address
     relay: Address
-    terms: Terms
+    terms: PilotConfig
     known: Optional[entries.Listed]
     sockets: int
 
--- a/cedarshift/codec/platform/reports.py
+++ b/cedarshift/codec/platform/reports.py
@@ -21,7 +21,7 @@
 
 
 def tenths_up(ms: float) -> int:
-    return units.up(round(ms * 1000), 100)
+    return units.round_up(round(ms * 1000), 100)
 
 
 def kind(message: dict[str, Any]) -> str:
--- a/cedarshift/codec/platform/settings.py
+++ b/cedarshift/codec/platform/settings.py
@@ -5,34 +5,34 @@
 from typing import Any
 
 from cedarshift import units
-from cedarshift.interface import OpType, Terms
+from cedarshift.interface import OpType, PilotConfig
 
 UNIT = 100_000  # nanoseconds in a tenth of a millisecond
 
 
-def up(ns: Any) -> int:
-    return units.up(ns, UNIT)
+def round_up(ns: Any) -> int:
+    return units.round_up(ns, UNIT)
 
 
-def down(ns: Any) -> int:
-    return units.down(ns, UNIT)
+def round_down(ns: Any) -> int:
+    return units.round_down(ns, UNIT)
 
 
-def terms(seed: Any, env: dict) -> Terms:
+def terms(seed: Any, env: dict) -> PilotConfig:
     """The settings in the module's words and units."""
     fam, rules = env.get("family_info") or {}, env.get("rules") or {}
     mutating, local = fam.get("mutating") or [], fam.get("stays_local") or []
     ops = tuple(
         OpType(
             c.get("name") or "",
-            up(c.get("on_time_ns")),
-            up(c.get("deadline_ns")),
+            round_up(c.get("on_time_ns")),
+            round_up(c.get("deadline_ns")),
             bool(mutating[i]) if i < len(mutating) else False,
             bool(local[i]) if i < len(local) else False,
         )
         for i, c in enumerate(env.get("classes") or [])
     )
-    return Terms(
+    return PilotConfig(
         op_types=ops,
         zones=tuple(env.get("zones") or ()),
         slices=int(fam.get("ranges") or 0),
@@ -43,21 +43,21 @@
         retry_default=int(fam.get("retry_default") or 0),
         seed=int(seed or 0),
         pilots=int(env.get("fleet_size") or 1),
-        place=int(env.get("position") or 0),
+        pilot_index=int(env.get("position") or 0),
         lines_per_message=float(fam.get("per_message") or 0),
         lines_waiting_most=float(fam.get("pending_max") or 0),
         lines_per_s=float(fam.get("push_rate") or 0),
         messages_most=int(fam.get("messages_most") or 0),
-        messages_span=up(fam.get("reload_span_ns")),
-        transit_most=up(fam.get("push_delay_max_ns")),
-        report_period=up(fam.get("report_every_ns")),
-        connect_most=up((env.get("policy_limits") or {}).get("dial_timeout_ns")),
-        lease=up(fam.get("lease_ns")),
-        in_flight_most=up(fam.get("in_flight_max_ns")),
-        drain_grace=down(rules.get("drain_grace_ns")),
-        empty_for=down(fam.get("empty_for_ns")),
-        ask_within=down(rules.get("ask_within_ns")),
-        warm_within=up(rules.get("warm_within_ns")),
+        messages_span=round_up(fam.get("reload_span_ns")),
+        transit_most=round_up(fam.get("push_delay_max_ns")),
+        report_period=round_up(fam.get("report_every_ns")),
+        connect_most=round_up((env.get("policy_limits") or {}).get("dial_timeout_ns")),
+        lease=round_up(fam.get("lease_ns")),
+        in_flight_most=round_up(fam.get("in_flight_max_ns")),
+        drain_grace=round_down(rules.get("drain_grace_ns")),
+        empty_for=round_down(fam.get("empty_for_ns")),
+        ask_within=round_down(rules.get("ask_within_ns")),
+        warm_within=round_up(rules.get("warm_within_ns")),
         cold_share=float(rules.get("cold_from") or 1.0),
         tip_multiple=float(rules.get("fall_multiple") or 1.0),
     )
--- a/cedarshift/diagnostics.py
+++ b/cedarshift/diagnostics.py
@@ -12,7 +12,7 @@
 PROXIES_SHOWN = 3  # proxies that a hand-over waits for, in a line of the log
 
 
-class KeptReason(StrEnum):
+class NoMoveReason(StrEnum):
     """Why a check moved no slice away from a hot endpoint."""
 
     FIRST_CHECK = "first_check"  # hot on fewer checks running than a move needs
@@ -53,14 +53,14 @@
     lines_held: int = 0  # lines of former owners set again, closed, as a hand-over took too long
     last_check_at: int | None = None
 
-    def check(self, now: int) -> None:
+    def record_check(self, now: int) -> None:
         """Counts a check of the rebalancer and the gap since the one before."""
         if self.last_check_at is not None:
             self.longest_check_gap = max(self.longest_check_gap, now - self.last_check_at)
         self.last_check_at = now
         self.checks += 1
 
-    def turn(self, has_lines: bool) -> None:
+    def record_batch(self, has_lines: bool) -> None:
         """Counts a turn that goes out."""
         self.barrier_only_turns += not has_lines
 
--- a/cedarshift/interface.py
+++ b/cedarshift/interface.py
@@ -29,7 +29,7 @@
 
 
 @dataclass(frozen=True)
-class Terms:
+class PilotConfig:
     """The terms of the deployment that a pilot works under. Missing figures stay at the neutral value."""
 
     op_types: tuple[OpType, ...] = ()
@@ -42,7 +42,7 @@
     retry_default: int = 0
     seed: int = 0
     pilots: int = 1  # how many there are, and this one's place among them, from 0
-    place: int = 0
+    pilot_index: int = 0
     lines_per_message: float = 0.0
     lines_waiting_most: float = 0.0
     lines_per_s: float = 0.0
@@ -61,7 +61,7 @@
     tip_multiple: float = 1.0
 
 
-class Decider(Protocol):
+class DecisionModule(Protocol):
     """What a host may call. Inputs only update what is known; decisions are then pulled until None comes.
 
     Decisions: ("ask_list", watch) ("wake", after, nonce) ("note", text)
@@ -72,25 +72,25 @@
     def on_list(self, now: int, kind: str, entries: list[Entry]) -> None: ...
     def on_join(self, now: int, proxy: int, zone: str) -> None: ...
     def on_leave(self, now: int, proxy: int) -> None: ...
-    def on_given(self, now: int, slice_id: int, given: bool) -> None: ...
-    def on_held(self, now: int, slice_id: int, endpoint: str, shut: bool = False) -> None: ...
+    def on_slice_assigned(self, now: int, slice_id: int, given: bool) -> None: ...
+    def on_stored_owner(self, now: int, slice_id: int, endpoint: str, all_closed: bool = False) -> None: ...
     def on_ack(self, now: int, proxy: int, mark: int, took: int) -> None: ...
-    def on_sign(self, now: int, began: int) -> None: ...
-    def on_met(
+    def on_stream_alive(self, now: int, began: int) -> None: ...
+    def on_endpoint_report(
         self, now: int, endpoint: str, zone: str, tries: int, aborted: int, took: int, span: int
     ) -> None: ...
-    def on_heat(
+    def on_slice_report(
         self, now: int, slice_id: int, op_type: str, ops: int, unanswered: int, span: int
     ) -> None: ...
-    def on_warned(self, now: int, endpoint: str, until: int) -> None: ...
-    def on_rights(
-        self, now: int, rights: dict[str, float]
+    def on_sick_warning(self, now: int, endpoint: str, until: int) -> None: ...
+    def on_budgets(
+        self, now: int, budgets: dict[str, float]
     ) -> None: ...  # by endpoint; "*": any other; "": moves at a time
     def on_alarm(self, now: int, nonce: int) -> None: ...
     def next_decision(self, now: int) -> Optional[tuple]: ...
 
 
-def pulled(decider: Decider, now: int) -> Iterator[tuple]:
+def pull_decisions(decider: DecisionModule, now: int) -> Iterator[tuple]:
     """All that is decided at a time, in order: one turn."""
     while (decision := decider.next_decision(now)) is not None:
         yield decision
--- a/cedarshift/judge/order_channel.py
+++ b/cedarshift/judge/order_channel.py
@@ -11,17 +11,24 @@
 from dataclasses import dataclass
 from typing import Optional
 
-from cedarshift.interface import Terms
-from cedarshift.judge.write_stops import older
+from cedarshift.interface import PilotConfig
+from cedarshift.judge.write_stops import precedes
 
 # Constants: unit, then the reason for the size.
-ROOM = (0.95, 0.9, 0.6, 0.5)  # shares of the channel's waiting lines used, by urgency: a drain finds room
+WAITING_SHARES = (
+    0.95,
+    0.9,
+    0.6,
+    0.5,
+)  # shares of the channel's waiting lines used, by urgency: a drain finds room
 RESERVED_LINES = (
     3  # lines a proxy, beside the head, that a move leaves room for: a slice's revoke, clear and grant
 )
-GATHER = 0.15  # share of the channel that may wait when a batch goes without all that is due
-ACKS_PAUSE = 5_000  # 0.1 ms; with no acknowledgement for so long nothing tells that the channel drains
-BATCH_HEADS = 1.25  # times what a batch's heads hold the channel, between batches: they fill four fifths
+GATHER_SHARE = 0.15  # share of the channel that may wait when a batch goes without all that is due
+MAX_ACK_PAUSE = 5_000  # 0.1 ms; with no acknowledgement for so long nothing tells that the channel drains
+HEADER_GAP_FACTOR = (
+    1.25  # times what a batch's heads hold the channel, between batches: they fill four fifths
+)
 SECOND = 10_000  # 0.1 ms
 
 
@@ -38,38 +45,40 @@
 class OrderChannel:
     """The batches on their way, and the room that is left."""
 
-    def __init__(self, terms: Terms) -> None:
-        self.head = terms.lines_per_message + 1  # every message carries a barrier
-        self.room = terms.lines_waiting_most or math.inf
-        self.per_line = SECOND / terms.lines_per_s if terms.lines_per_s else 0.0  # 0.1 ms
-        self.even = terms.messages_span // max(1, terms.messages_most - 1) + 1 if terms.messages_most else 0
+    def __init__(self, terms: PilotConfig) -> None:
+        self.header_lines = terms.lines_per_message + 1  # every message carries a barrier
+        self.max_waiting = terms.lines_waiting_most or math.inf
+        self.time_per_line = SECOND / terms.lines_per_s if terms.lines_per_s else 0.0  # 0.1 ms
+        self.min_interval = (
+            terms.messages_span // max(1, terms.messages_most - 1) + 1 if terms.messages_most else 0
+        )
         self.unacknowledged: deque[Batch] = deque()  # oldest first
         self.sent_at = -math.inf  # when the last batch went out
         self.free_at = 0.0  # when all that was ordered has left, at the stated pace
-        self.newest_took = 0  # 0.1 ms; from an order to its effect, by the newest acknowledgement
-        self.delay = 0.0  # 0.1 ms; what a batch ordered now waits in the channel
+        self.last_ack_latency = 0  # 0.1 ms; from an order to its effect, by the newest acknowledgement
+        self.estimated_delay = 0.0  # 0.1 ms; what a batch ordered now waits in the channel
 
     # ---- pace
 
-    def gap(self, joined: int) -> float:
+    def min_gap(self, joined: int) -> float:
         """The least time between two batches to so many proxies."""
-        return max(self.even, BATCH_HEADS * self._heads(joined))
+        return max(self.min_interval, HEADER_GAP_FACTOR * self._header_time(joined))
 
     def ready(self, now: int, joined: int) -> bool:
         """Whether a batch may go out; what is due waits until then and goes together, the urgent first."""
-        return now >= max(self.sent_at + self.gap(joined), self.free_at)
+        return now >= max(self.sent_at + self.min_gap(joined), self.free_at)
 
     def estimate_delay(self, now: int, joined: int, leaving: int) -> None:
         """Foresees what a batch ordered now waits; `leaving`: slices whose owner must be left, a line each."""
-        self.delay = (
+        self.estimated_delay = (
             max(0, self.free_at - now)
-            + self._heads(joined)
-            + joined * leaving * self.per_line
-            + self.gap(joined)
+            + self._header_time(joined)
+            + joined * leaving * self.time_per_line
+            + self.min_gap(joined)
         )
 
-    def _heads(self, joined: int) -> float:
-        return joined * self.head * self.per_line
+    def _header_time(self, joined: int) -> float:
+        return joined * self.header_lines * self.time_per_line
 
     # ---- room
 
@@ -82,42 +91,44 @@
         share, all but the room for one further batch is open: else nothing went beside one that is unacknowledged."""
         waiting = self.waiting()
         urgency = urgency if waiting else 0
-        further = joined * (self.head + RESERVED_LINES) if urgency else 0
-        room = max(self.room * ROOM[urgency], self.room * ROOM[0] - further)
-        return not joined or waiting + joined * (self.head + lines + 2) <= room
+        further = joined * (self.header_lines + RESERVED_LINES) if urgency else 0
+        max_waiting = max(
+            self.max_waiting * WAITING_SHARES[urgency], self.max_waiting * WAITING_SHARES[0] - further
+        )
+        return not joined or waiting + joined * (self.header_lines + lines + 2) <= max_waiting
 
     def fits_barrier(self, joined: int) -> bool:
         """Whether a barrier without any line may go out: it needs room as a grant does."""
-        return self.waiting() + joined * self.head <= ROOM[1] * self.room
+        return self.waiting() + joined * self.header_lines <= WAITING_SHARES[1] * self.max_waiting
 
-    def crowded(self, now: int, joined: int, lines: int, heard_at: int) -> bool:
+    def must_wait_for_acks(self, now: int, joined: int, lines: int, last_ack_heard_at: int) -> bool:
         """Whether to wait for room while acknowledgements come in, the newest at `heard_at`. Heads are most of a batch: in a channel that
         is slower than stated, batches of a line each would fill it with heads, and drains would wait for one another."""
         waiting = self.waiting()
         return (
-            waiting > GATHER * self.room
-            and now - heard_at < ACKS_PAUSE
-            and waiting + joined * (self.head + lines) > ROOM[1] * self.room
+            waiting > GATHER_SHARE * self.max_waiting
+            and now - last_ack_heard_at < MAX_ACK_PAUSE
+            and waiting + joined * (self.header_lines + lines) > WAITING_SHARES[1] * self.max_waiting
         )
 
     # ---- what goes and what has left
 
     def send(self, now: int, barrier: int, joined: int, lines: int) -> None:
         """A batch of so many lines, its barrier among them, goes out."""
-        each = self.head + lines - 1
+        each = self.header_lines + lines - 1
         self.unacknowledged.append(Batch(barrier, now, joined * each, each))
-        self.free_at = max(now, self.free_at) + joined * each * self.per_line
+        self.free_at = max(now, self.free_at) + joined * each * self.time_per_line
         self.sent_at = now
 
-    def batch(self, barrier: int) -> Optional[Batch]:
+    def find_batch(self, barrier: int) -> Optional[Batch]:
         """The batch that ends in a barrier; None where it is known to have left."""
         return next((one for one in self.unacknowledged if one.barrier == barrier), None)
 
-    def left_before(self, barrier: int) -> None:
+    def discard_before(self, barrier: int) -> None:
         """The channel keeps order: batches before an acknowledged one have left it."""
-        while self.unacknowledged and older(self.unacknowledged[0].barrier, barrier):
+        while self.unacknowledged and precedes(self.unacknowledged[0].barrier, barrier):
             self.unacknowledged.popleft()
 
-    def all_left(self) -> None:
+    def discard_all(self) -> None:
         """Nothing waits: a channel that still held messages would go on to deliver them, however slowly, and be acknowledged."""
         self.unacknowledged.clear()
--- a/cedarshift/judge/write_stops.py
+++ b/cedarshift/judge/write_stops.py
@@ -20,19 +20,21 @@
 from cedarshift.observations import Proxy, Slice
 
 # Constants: unit, then the reason for the size.
-BARRIERS = 65536  # barriers are numbered in a ring of this size
-ACKS_KEPT = 6_000_000  # 0.1 ms; a proxy away for longer acknowledged barriers that the ring may have passed
-READ_WITHIN = 10_000  # 0.1 ms; the wire page: a proxy that joins reads the store within a second
+BARRIER_MODULUS = 65536  # barriers are numbered in a ring of this size
+ACK_RETENTION = (
+    6_000_000  # 0.1 ms; a proxy away for longer acknowledged barriers that the ring may have passed
+)
+MAX_READ_DELAY = 10_000  # 0.1 ms; the wire page: a proxy that joins reads the store within a second
 NEVER = -(1 << 62)  # 0.1 ms; before any time
-OVERTAKEN_KEPT = 1024  # newest barriers of which it is remembered when a later one was acknowledged; a minute of batches has some 200
+MAX_PASSED_BARRIERS = 1024  # newest barriers of which it is remembered when a later one was acknowledged; a minute of batches has some 200
 
 
-def older(a: int, b: int) -> bool:
+def precedes(a: int, b: int) -> bool:
     """Whether barrier `a` came before `b`."""
-    return a != b and (b - a) % BARRIERS < BARRIERS // 2
+    return a != b and (b - a) % BARRIER_MODULUS < BARRIER_MODULUS // 2
 
 
-class Overtaken(NamedTuple):
+class PassedBarrier(NamedTuple):
     """All messages up to a barrier had left the channel at a time."""
 
     barrier: int
@@ -42,15 +44,15 @@
 class WriteStops:
     """What is known of the proxies' streams and acknowledgements. `lease` and `longest_way` in 0.1 ms."""
 
-    def __init__(self, lease: int, longest_way: int) -> None:
+    def __init__(self, lease: int, max_transit: int) -> None:
         self.lease = lease
-        self.silent_after = max(longest_way, READ_WITHIN) + lease + READ_WITHIN
+        self.silence_timeout = max(max_transit, MAX_READ_DELAY) + lease + MAX_READ_DELAY
         self.proxies: dict[int, Proxy] = {}
-        self.newest: Optional[int] = (
+        self.newest_barrier: Optional[int] = (
             None  # newest barrier that anyone acknowledged: the store holds all up to it
         )
-        self.heard_at = NEVER  # when the newest acknowledgement was heard
-        self.overtaken: deque[Overtaken] = deque(maxlen=OVERTAKEN_KEPT)
+        self.last_ack_heard_at = NEVER  # when the newest acknowledgement was heard
+        self.passed: deque[PassedBarrier] = deque(maxlen=MAX_PASSED_BARRIERS)
 
     # ---- inputs
 
@@ -59,11 +61,15 @@
         old = self.proxies.get(number)
         if old is not None and old.joined:
             self._confirm_silent(old)  # a break that was not told of
-        if old is not None and not old.joined and now - old.left_at > ACKS_KEPT:
-            old.acked = old.read = None
+        if old is not None and not old.joined and now - old.left_at > ACK_RETENTION:
+            old.acked = old.read_barrier = None
         new = self.proxies[number] = Proxy(zone, now, old)
-        if now - new.away_from >= self.lease and self.newest is not None:
-            new.read, new.read_from, new.read_joined = self.newest, new.away_from, now
+        if now - new.absent_since >= self.lease and self.newest_barrier is not None:
+            new.read_barrier, new.read_absent_since, new.read_joined_at = (
+                self.newest_barrier,
+                new.absent_since,
+                now,
+            )
 
     def on_leave(self, now: int, number: int) -> None:
         """A proxy's stream is known to have broken."""
@@ -74,20 +80,20 @@
 
     def on_ack(self, now: int, proxy: Proxy, barrier: int, in_force_at: int) -> bool:
         """Whether the acknowledgement tells anything new: a batch may be carried out twice."""
-        if not proxy.joined or proxy.acked is not None and not older(proxy.acked, barrier):
+        if not proxy.joined or proxy.acked is not None and not precedes(proxy.acked, barrier):
             return False
         proxy.acked, proxy.acked_at = barrier, in_force_at
-        self.heard_at = now
-        if self.newest is None or older(self.newest, barrier):
-            self.newest = barrier
-            self.overtaken.append(Overtaken((barrier - 1) % BARRIERS, now))
+        self.last_ack_heard_at = now
+        if self.newest_barrier is None or precedes(self.newest_barrier, barrier):
+            self.newest_barrier = barrier
+            self.passed.append(PassedBarrier((barrier - 1) % BARRIER_MODULUS, now))
         return True
 
     # ---- what is proved
 
     def stopped(self, revoked: Slice, now: int) -> Optional[int]:
         """When the last proxy stopped, None while one may go on. No proxy holds a slice longer than a lease after it changed hands."""
-        ends = [revoked.since, revoked.given_at + self.lease]
+        ends = [revoked.state_since, revoked.assigned_at + self.lease]
         if revoked.mark is not None:
             for proxy in self.proxies.values():
                 end = self.stop(proxy, revoked)
@@ -99,19 +105,19 @@
     def stop(self, proxy: Proxy, revoked: Slice) -> Optional[int]:
         """When one proxy stopped, or will have; None where that is not known."""
         assert revoked.mark is not None, "a slice that was not revoked has no barrier to be acknowledged"
-        if proxy.acked is not None and not older(proxy.acked, revoked.mark):
+        if proxy.acked is not None and not precedes(proxy.acked, revoked.mark):
             return proxy.acked_at
-        away = max(proxy.read_from, revoked.given_at) + self.lease
+        away = max(proxy.read_absent_since, revoked.assigned_at) + self.lease
         if (
-            proxy.read is not None
-            and not older(proxy.read, revoked.mark)
-            and proxy.read_joined >= max(away, revoked.since)
+            proxy.read_barrier is not None
+            and not precedes(proxy.read_barrier, revoked.mark)
+            and proxy.read_joined_at >= max(away, revoked.state_since)
         ):
             return away
         if not proxy.joined:
             return proxy.left_at + self.lease
         silent = self._silent_end(proxy, revoked)
-        return silent if silent is not None and silent <= self.heard_at else None
+        return silent if silent is not None and silent <= self.last_ack_heard_at else None
 
     def awaited(self, revoked: Slice) -> Iterable[int]:
         """Proxies that may still write to the former owner, by number."""
@@ -119,24 +125,24 @@
 
     def _silent_end(self, proxy: Proxy, revoked: Slice) -> Optional[int]:
         """When a proxy that stays silent in its open stream must have stopped; None while its message may wait in the channel."""
-        if revoked.overtaken_at is None:
-            revoked.overtaken_at = self._overtaken_at(revoked.mark)
-        if revoked.overtaken_at is None:
+        if revoked.passed_at is None:
+            revoked.passed_at = self._passed_at(revoked.mark)
+        if revoked.passed_at is None:
             return None
-        return max(revoked.overtaken_at, proxy.joined_at) + self.silent_after
+        return max(revoked.passed_at, proxy.joined_at) + self.silence_timeout
 
-    def _overtaken_at(self, barrier: Optional[int]) -> Optional[int]:
+    def _passed_at(self, barrier: Optional[int]) -> Optional[int]:
         """When all messages up to a barrier were first known to have left the channel; None while they may wait there."""
-        if barrier is None or not self.overtaken or older(self.overtaken[-1].barrier, barrier):
+        if barrier is None or not self.passed or precedes(self.passed[-1].barrier, barrier):
             return None
-        return next(one.at for one in self.overtaken if not older(one.barrier, barrier))
+        return next(one.at for one in self.passed if not precedes(one.barrier, barrier))
 
     def _confirm_silent(self, proxy: Proxy) -> None:
         """Keeps what a stream that ends has proved by its silence."""
-        until = self.heard_at - self.silent_after
-        proved = next((one for one in reversed(self.overtaken) if one.at <= until), None)
+        until = self.last_ack_heard_at - self.silence_timeout
+        proved = next((one for one in reversed(self.passed) if one.at <= until), None)
         if proved is None or proxy.joined_at > until:
             return
-        if proxy.acked is None or older(proxy.acked, proved.barrier):
+        if proxy.acked is None or precedes(proxy.acked, proved.barrier):
             proxy.acked = proved.barrier
-            proxy.acked_at = max(proved.at, proxy.joined_at) + self.silent_after
+            proxy.acked_at = max(proved.at, proxy.joined_at) + self.silence_timeout
--- a/cedarshift/pilot/learning.py
+++ b/cedarshift/pilot/learning.py
@@ -28,7 +28,7 @@
 from cedarshift.link import Link, connect
 from cedarshift.loop import StreamBroken, TimedOut
 from cedarshift.loop.core import Coroutine
-from cedarshift.pilot.terms import down
+from cedarshift.pilot.terms import round_down
 
 if TYPE_CHECKING:
     from cedarshift.pilot.service import PilotService
@@ -252,7 +252,9 @@
             if fact is not None and name not in told:
                 start = self.trust.starts.get((name, fact.start))
                 entries.append(
-                    Entry(name, ON, fact.size, fact.zone, None if start is None else max(1, down(start)))
+                    Entry(
+                        name, ON, fact.size, fact.zone, None if start is None else max(1, round_down(start))
+                    )
                 )
         warned = [
             entry._replace(phase="fading")
@@ -276,7 +278,9 @@
                 entry = entry._replace(phase="fading")
             started = self.trust.started(name, own[name], now, warm_within)
             if started is not None:
-                entry = entry._replace(started=max(1, down(self._steady(name, own[name].start, started))))
+                entry = entry._replace(
+                    started=max(1, round_down(self._steady(name, own[name].start, started)))
+                )
             seen[name] = entry
         return seen
 
--- a/cedarshift/pilot/lending.py
+++ b/cedarshift/pilot/lending.py
@@ -179,7 +179,7 @@
         if entry is None or known is None or confirmed is None:
             return facts
         start, started = service.source.starts.known.get(name, ("", None))
-        told = now - known.told_at * UNIT if entry.phase != "on" and known.told_at else -1
+        told = now - known.leave_reported_at * UNIT if entry.phase != "on" and known.leave_reported_at else -1
         sums = [
             m.LentSum(now - at, s.tries, s.aborted, s.took, s.span, s.zone)
             for at, s in self.sums.get(name, ())
--- a/cedarshift/pilot/rights.py
+++ b/cedarshift/pilot/rights.py
@@ -36,6 +36,6 @@
         moves,
         lambda: bool(service.slices),
         living,
-        lambda rights: brain.on_rights(service._now(), rights),
+        lambda rights: brain.on_budgets(service._now(), rights),
     )
     service.budgets.bring_rights(service.name, plan.clock_drift, plan.claim_cold, fleet)
--- a/cedarshift/pilot/service.py
+++ b/cedarshift/pilot/service.py
@@ -22,7 +22,7 @@
 from cedarshift.deployment import Deployment
 from cedarshift.deployment.deployment import NodeRoster
 from cedarshift.gossip.service import Membership
-from cedarshift.interface import Entry, pulled
+from cedarshift.interface import Entry, pull_decisions
 from cedarshift.judge.admission import Gate
 from cedarshift.judge.trust import Own, Word
 from cedarshift.link import Link, serve
@@ -34,7 +34,7 @@
 from cedarshift.pilot.learning import Learning
 from cedarshift.pilot.lending import Lending
 from cedarshift.pilot.store_client import StoreClient
-from cedarshift.pilot.terms import UNIT, down, terms, up
+from cedarshift.pilot.terms import UNIT, round_down, round_up, terms
 from cedarshift.roster import EphemeralSource, EphemeralTerms, FileSource, ServiceSource
 from cedarshift.roster.sources import SavedList
 
@@ -275,19 +275,19 @@
             self.told.update({entry.endpoint: entry for entry in changed})
             self.brain.on_list(now, "update", changed)
         for heard, name, one in self.learning.sums_for(self.first_hand):
-            self.brain.on_met(
-                down(heard),
+            self.brain.on_endpoint_report(
+                round_down(heard),
                 name,
                 one.zone,
                 one.tries,
                 min(one.aborted, one.tries),
-                up(one.took),
-                up(one.span),
+                round_up(one.took),
+                round_up(one.span),
             )
         running = [name for name, entry in seen.items() if entry.phase == "on"]
         for name, until in sorted(self.learning.sick_now(running, self.first_hand).items()):
-            self.warned[name] = up(until)
-            self.brain.on_warned(now, name, up(until))
+            self.warned[name] = round_up(until)
+            self.brain.on_sick_warning(now, name, round_up(until))
         self._pull()
 
     def on_borrowed_list(self, entries: list[Entry]) -> None:
@@ -337,12 +337,12 @@
         now = self._now()
         for row in rows:
             self.slices[row.slice] = row
-            self.brain.on_given(now, row.slice, True)
+            self.brain.on_slice_assigned(now, row.slice, True)
             if row.owner:
-                self.brain.on_held(now, row.slice, row.owner)
+                self.brain.on_stored_owner(now, row.slice, row.owner)
             for heard, heat in self.learning.heats_for(row.slice) if self.learning is not None else ():
-                self.brain.on_heat(
-                    down(heard), row.slice, heat.op_type, heat.ops, heat.unanswered, up(heat.span)
+                self.brain.on_slice_report(
+                    round_down(heard), row.slice, heat.op_type, heat.ops, heat.unanswered, round_up(heat.span)
                 )
         self.report("given", slices=len(rows))
         self._tell_all(m.Charge(given=rows))
@@ -352,7 +352,7 @@
         now = self._now()
         for number in slices:
             self.slices.pop(number, None)
-            self.brain.on_given(now, number, False)
+            self.brain.on_slice_assigned(now, number, False)
         self.report("taken", slices=len(slices))
         self._tell_all(m.Charge(taken=slices))
 
@@ -507,7 +507,7 @@
         took = max(0, self.loop.now() - (ordered or self.loop.now()) - ack.held)
         self.in_force_us.append(took)
         # Rounded up: the settle time may start late, never early.
-        self.brain.on_ack(self._now(), session.number, ack.mark, up(took))
+        self.brain.on_ack(self._now(), session.number, ack.mark, round_up(took))
 
     def _hand_on(self) -> Coroutine:
         """Sums to the module, a period's worth at a time."""
@@ -521,20 +521,22 @@
         borrowed itself is in the module too, and must not be lent as its own."""
         now, at = self._now(), self.loop.now()
         for met in mets:
-            self.brain.on_met(now, met.endpoint, met.zone, met.tries, met.aborted, up(met.took), up(met.span))
+            self.brain.on_endpoint_report(
+                now, met.endpoint, met.zone, met.tries, met.aborted, round_up(met.took), round_up(met.span)
+            )
             self.source.on_sums(met.endpoint, met.tries, met.aborted)
             if self.lending is not None:
                 self.lending.heard_sum(at, met)
         for heat in heats:
             name = self.deployment.op_types[heat.op_type].name
-            self.brain.on_heat(now, heat.slice, name, heat.ops, heat.unanswered, up(heat.span))
+            self.brain.on_slice_report(now, heat.slice, name, heat.ops, heat.unanswered, round_up(heat.span))
             if self.lending is not None:
                 self.lending.heard_heat(at, name, heat)
 
     # ---- the module's decisions
 
     def _now(self) -> int:
-        return down(self.loop.now())
+        return round_down(self.loop.now())
 
     def _wake_up(self, after: int, nonce: int) -> None:
         self.loop.at(self.loop.now() + after * UNIT, self._alarm, nonce)
@@ -552,7 +554,7 @@
             self.budgets.settle()
         turn = Turn(self.loop.now())
         try:
-            for decision in pulled(self.brain, self._now()):
+            for decision in pull_decisions(self.brain, self._now()):
                 self._take(turn, decision)
         finally:
             self.pulling = False
@@ -727,7 +729,7 @@
             "phase": entry.phase,
             "size": entry.size,
             "zone": entry.zone,
-            "part": known.part,
+            "part": known.capacity,
             "warmth": self.brain._warmth(known, self._now()),
             "sick_s": max(0, known.sick_until - self._now()) / 10_000,
         }
--- a/cedarshift/pilot/terms.py
+++ b/cedarshift/pilot/terms.py
@@ -4,26 +4,27 @@
 
 from cedarshift import units
 from cedarshift.deployment import Deployment
-from cedarshift.interface import OpType, Terms
+from cedarshift.interface import OpType, PilotConfig
 
 UNIT = 100  # us in a tenth of a millisecond, the module's unit
 
 
-def up(span: int) -> int:
-    return units.up(span, UNIT)
+def round_up(span: int) -> int:
+    return units.round_up(span, UNIT)
 
 
-def down(span: int) -> int:
-    return units.down(span, UNIT)
+def round_down(span: int) -> int:
+    return units.round_down(span, UNIT)
 
 
-def terms(deployment: Deployment, place: int, seed: int) -> Terms:
-    """`place`: the pilot's place among the deployment's pilots, from 0."""
+def terms(deployment: Deployment, pilot_index: int, seed: int) -> PilotConfig:
+    """`pilot_index`: the pilot's index among the deployment's pilots, from 0."""
     d, proxy, channel, rules = deployment, deployment.proxy, deployment.channel, deployment.rules
     ops = tuple(
-        OpType(op.name, up(op.target_latency), up(op.op_timeout), op.writes, op.own_zone) for op in d.op_types
+        OpType(op.name, round_up(op.target_latency), round_up(op.op_timeout), op.writes, op.own_zone)
+        for op in d.op_types
     )
-    return Terms(
+    return PilotConfig(
         op_types=ops,
         zones=d.zones,
         slices=d.slices,
@@ -34,20 +35,20 @@
         retry_default=proxy.retry_default,
         seed=seed,
         pilots=len(d.pilots),
-        place=place,
+        pilot_index=pilot_index,
         lines_per_message=channel.lines_per_message,
         lines_waiting_most=channel.lines_waiting_most,
         lines_per_s=channel.lines_per_s,
         messages_most=channel.messages_most,
-        messages_span=up(channel.messages_span),
-        transit_most=up(channel.transit_most),
-        connect_most=up(proxy.connect_most),
-        report_period=up(proxy.report_every),
-        lease=up(proxy.lease),
-        in_flight_most=up(proxy.in_flight_most),
-        drain_grace=down(rules.drain_grace),
-        ask_within=down(rules.ask_within),
-        warm_within=up(rules.warm_within),
+        messages_span=round_up(channel.messages_span),
+        transit_most=round_up(channel.transit_most),
+        connect_most=round_up(proxy.connect_most),
+        report_period=round_up(proxy.report_every),
+        lease=round_up(proxy.lease),
+        in_flight_most=round_up(proxy.in_flight_most),
+        drain_grace=round_down(rules.drain_grace),
+        ask_within=round_down(rules.ask_within),
+        warm_within=round_up(rules.warm_within),
         cold_share=rules.cold_share,
         tip_multiple=rules.tip_multiple,
     )
--- a/cedarshift/platform/service.py
+++ b/cedarshift/platform/service.py
@@ -16,7 +16,7 @@
 from cedarshift.codec.platform.errors import Spoilt
 from cedarshift.codec.platform.place import Place
 from cedarshift.diagnostics import HandOverWait
-from cedarshift.interface import pulled
+from cedarshift.interface import pull_decisions
 from cedarshift.loop import Loop
 from cedarshift.loop.core import Coroutine
 from cedarshift.platform.collectors import Collectors, Limits
@@ -141,9 +141,11 @@
         """Raises Spoilt for a report that can't be used."""
         kind = reports.kind(message)
         if kind == reports.MET:
-            self.brain.on_met(self._now(), *reports.met(message, self.zones, self.brain.endpoints))
+            self.brain.on_endpoint_report(
+                self._now(), *reports.met(message, self.zones, self.brain.endpoints)
+            )
         elif kind == reports.HEAT:
-            self.brain.on_heat(self._now(), *reports.heat(message, self.slices_in_all, self.op_types))
+            self.brain.on_slice_report(self._now(), *reports.heat(message, self.slices_in_all, self.op_types))
         else:
             raise Spoilt(f"t: {kind!r}, {reports.MET} or {reports.HEAT} is allowed from a collector")
 
@@ -169,7 +171,7 @@
             marked.acked = True
             self.calls.first_ack(mark, latency * UNIT)
         before = (self.loop.now() if marked.taken is None else marked.taken) - marked.decided
-        self.brain.on_ack(self._now(), proxy, mark, latency + units.up(before, UNIT))
+        self.brain.on_ack(self._now(), proxy, mark, latency + units.round_up(before, UNIT))
 
     def on_given(self, slice_id: int) -> None:
         self.missing_slices.discard(slice_id)
@@ -178,7 +180,7 @@
         self.closed.pop(slice_id, None)
         self.held.discard(slice_id)
         self.calls.forget(slice_id)
-        self.brain.on_given(self._now(), slice_id, True)
+        self.brain.on_slice_assigned(self._now(), slice_id, True)
 
     def on_taken(self, slice_id: int) -> None:
         self.missing_slices.discard(slice_id)
@@ -188,14 +190,14 @@
         self.closed.pop(slice_id, None)
         self.held.discard(slice_id)
         self.calls.forget(slice_id)
-        self.brain.on_given(self._now(), slice_id, False)
+        self.brain.on_slice_assigned(self._now(), slice_id, False)
 
     def on_held(self, slice_id: int, endpoint: str) -> None:
         """A line counts with its giving alone: later ones repeat what this pilot has ordered itself."""
         if slice_id in self.unread and endpoint:
             self.unread.discard(slice_id)
             self.slices[slice_id] = endpoint
-            self.brain.on_held(self._now(), slice_id, endpoint)
+            self.brain.on_stored_owner(self._now(), slice_id, endpoint)
 
     def on_standing(self, proxies: dict[int, str], slices: dict[int, str], silent: int, asked: int) -> None:
         """What stands, after `silent` us without news, by a stream that was asked for at `asked`. Any stream may have broken and
@@ -240,7 +242,7 @@
 
     def on_sign(self, began: int) -> None:
         """A sign of life came, in a stream of events that began at `began`: all that the relay had to tell has been heard."""
-        self.brain.on_sign(self._now(), self._now() - units.down(self.loop.now() - began, UNIT))
+        self.brain.on_stream_alive(self._now(), self._now() - units.round_down(self.loop.now() - began, UNIT))
         self._pull()
 
     def _newer(self, slice_id: int, asked: int) -> bool:
@@ -287,26 +289,28 @@
         self.unread.discard(slice_id)
         self.slices[slice_id], self.closed[slice_id] = endpoint, reopen
         self.held.add(slice_id)
-        self.brain.on_held(self._now(), slice_id, endpoint, shut=True)
+        self.brain.on_stored_owner(self._now(), slice_id, endpoint, all_closed=True)
 
     def slowest_endpoints(self) -> list[dict[str, Any]]:
         """What the module believes of those endpoints whose acks take longest, for the log."""
         brain, now = self.brain, self._now()
-        met = sorted(getattr(brain, "met", {}).items(), key=lambda item: -item[1][2])
+        met = sorted(getattr(brain, "endpoint_totals", {}).items(), key=lambda item: -item[1][2])
         return [
             {
                 "endpoint": name,
                 "tries": tries,
                 "aborted": round(aborted),
                 "took_ms": round(took / 10),
-                "part": round(brain.endpoints[name].part, 2),
-                "slices": len(brain.held.get(name, ())),
+                "part": round(brain.endpoints[name].capacity, 2),
+                "slices": len(brain.owned_slices.get(name, ())),
                 "fair_share": round(
-                    brain.burden.get(name, 0.0) / max(1e-9, brain.unit * brain.endpoints[name].part), 2
+                    brain.assigned_rates.get(name, 0.0)
+                    / max(1e-9, brain.fair_rate * brain.endpoints[name].capacity),
+                    2,
                 ),
                 "warmth": round(brain._warmth(brain.endpoints[name], now), 2),
                 "hot": brain.endpoints[name].hot_checks,
-                "kept": brain.endpoints[name].kept,
+                "kept": brain.endpoints[name].no_move_reason,
                 "sick_ms": max(0, brain.endpoints[name].sick_until - now) // 10,
             }
             for name, (tries, aborted, took) in met[:SLOWEST_SHOWN]
@@ -331,7 +335,7 @@
     # ---- what is decided
 
     def _now(self) -> int:
-        return units.down(self.loop.now() + self.starts.base, UNIT)
+        return units.round_down(self.loop.now() + self.starts.base, UNIT)
 
     def _wake_up(self, after: int, nonce: int) -> None:
         self.loop.at(self.loop.now() + after * UNIT, self._alarm, nonce)
@@ -348,12 +352,12 @@
         at = self.loop.now()
         ordered: list[orders.Order] = []
         try:
-            for decision in pulled(self.brain, self._now()):
+            for decision in pull_decisions(self.brain, self._now()):
                 self._take(ordered, decision)
         except Exception as error:  # what it has decided before stands; its beat must go on
             self.counts["faults"] += 1
             self.report("module_failed", error=repr(error), traceback=traceback.format_exc())
-            self.loop.at(self.loop.now() + AFTER_FAULT, self._alarm, self.brain.beat)
+            self.loop.at(self.loop.now() + AFTER_FAULT, self._alarm, self.brain.alarm_nonce)
         finally:
             self.pulling = False
         if ordered:
--- a/cedarshift/platform/start_times.py
+++ b/cedarshift/platform/start_times.py
@@ -69,6 +69,6 @@
 
     def _started(self, stamp: int) -> int:
         now = self.clock.now()
-        ages = [units.down(now + offset, UNIT) - stamp for offset in self.offsets]
+        ages = [units.round_down(now + offset, UNIT) - stamp for offset in self.offsets]
         age = min((age for age in ages if age >= 0), default=0)
-        return units.down(now + self.base, UNIT) - age
+        return units.round_down(now + self.base, UNIT) - age
--- a/cedarshift/roster/ephemeral.py
+++ b/cedarshift/roster/ephemeral.py
@@ -14,7 +14,7 @@
 from cedarshift.roster.members import Follower, Raw
 from cedarshift.roster.sources import SavedList, Tell
 from cedarshift.roster.zookeeper import CONNECTED, GONE, LOST, ZooClient
-from cedarshift.units import up
+from cedarshift.units import round_up
 
 MASS_AGAIN = 5_000_000  # us; one report for each vanishing
 MASS_LOOK = 500_000  # us after it was noticed
@@ -193,7 +193,8 @@
             self._keep(WholeList(listed, kind))
             entries = self.starts.entries(self.loop.now(), listed)
             self.tell(
-                kind, [entry._replace(late=up(told.late, UNIT)) for entry, told in zip(entries, changed)]
+                kind,
+                [entry._replace(late=round_up(told.late, UNIT)) for entry, told in zip(entries, changed)],
             )
         self._look_again()
 
--- a/cedarshift/sim/planted.py
+++ b/cedarshift/sim/planted.py
@@ -63,7 +63,7 @@
 
     def made(self: Any, terms: Any) -> None:
         init(self, terms)
-        self.settle = 0
+        self.settle_time = 0
 
     return [(Pilot, "__init__", made)]
 
@@ -74,14 +74,14 @@
 
 
 def _given_empty() -> Patches:
-    given = Pilot.on_given
+    given = Pilot.on_slice_assigned
 
-    def on_given(self: Any, now: int, slice_id: int, held: bool) -> None:
+    def on_slice_assigned(self: Any, now: int, slice_id: int, held: bool) -> None:
         given(self, now, slice_id, held)
         if held:
             self.slices[slice_id].state = brain.EMPTY
 
-    return [(Pilot, "on_given", on_given)]
+    return [(Pilot, "on_slice_assigned", on_slice_assigned)]
 
 
 def _deaf_to_drains() -> Patches:
@@ -344,7 +344,7 @@
     def taken(self: Any, slices: list[int]) -> None:
         for number in slices:
             self.slices.pop(number, None)
-            self.brain.on_given(self._now(), number, False)
+            self.brain.on_slice_assigned(self._now(), number, False)
 
     return [(PilotService, "on_store_taken", taken)]
 
@@ -364,14 +364,14 @@
 
 
 def _marks_come_again() -> Patches:
-    return [(brain, "MARKS", 2), (write_stops, "BARRIERS", 2)]
+    return [(brain, "MARK_MODULUS", 2), (write_stops, "BARRIER_MODULUS", 2)]
 
 
 PLANTED: dict[str, Planted] = {
     "no-settle": Planted("the settle time is skipped", _no_settle),
     "no-ack": Planted(
         "a revoke is not awaited at joined proxies",
-        lambda: _stops(lambda self, p, s, at: s.since if p.joined and at is None else at),
+        lambda: _stops(lambda self, p, s, at: s.state_since if p.joined and at is None else at),
     ),
     "left-at-once": Planted(
         "a proxy whose stream broke counts as stopped without its lease",
@@ -380,7 +380,9 @@
     "newcomer": Planted(
         "a proxy that joined after a revoke is not awaited",
         lambda: _stops(
-            lambda self, p, s, at: s.since if p.joined and at is None and p.joined_at >= s.since else at
+            lambda self, p, s, at: (
+                s.state_since if p.joined and at is None and p.joined_at >= s.state_since else at
+            )
         ),
     ),
     "given-empty": Planted(
--- a/cedarshift/units.py
+++ b/cedarshift/units.py
@@ -5,11 +5,11 @@
 from typing import Any
 
 
-def up(span: Any, unit: int) -> int:
+def round_up(span: Any, unit: int) -> int:
     """Rounded up: waits end no sooner than stated. None counts as nought."""
     return -(-int(span or 0) // unit)
 
 
-def down(span: Any, unit: int) -> int:
+def round_down(span: Any, unit: int) -> int:
     """Rounded down: what must be done in time is done no later than stated. None counts as nought."""
     return int(span or 0) // unit
--- a/cedarshift/wirehost/__main__.py
+++ b/cedarshift/wirehost/__main__.py
@@ -8,8 +8,8 @@
 import orjson
 
 from cedarshift.brain import Pilot
-from cedarshift.codec.platform.settings import UNIT, down, terms, up
-from cedarshift.interface import Entry, pulled
+from cedarshift.codec.platform.settings import UNIT, round_down, round_up, terms
+from cedarshift.interface import Entry, pull_decisions
 
 
 class Malformed(Exception):
@@ -23,7 +23,7 @@
         raw.get("phase") or "on",
         float(raw.get("size") or 0) or 1.0,
         raw.get("hall") or "",
-        up(started) if started else None,
+        round_up(started) if started else None,
     )
 
 
@@ -45,29 +45,29 @@
         elif cmd == "alarm":
             pilot.on_alarm(now, m["nonce"])
         elif cmd == "tally":
-            pilot.on_met(
+            pilot.on_endpoint_report(
                 now,
                 m["endpoint"],
                 m.get("hall") or "",
                 m["total"],
                 m["lost"],
-                up(m.get("took_ns")),
-                up(m.get("period_len_ns")),
+                round_up(m.get("took_ns")),
+                round_up(m.get("period_len_ns")),
             )
         elif cmd == "key_load":
-            pilot.on_heat(
-                now, m["set_id"], m.get("kind") or "", m["total"], m["lost"], up(m.get("period_len_ns"))
+            pilot.on_slice_report(
+                now, m["set_id"], m.get("kind") or "", m["total"], m["lost"], round_up(m.get("period_len_ns"))
             )
         elif cmd == "applied":
-            pilot.on_ack(now, m["forwarder"], m["rev"], down(m.get("took_ns")))
+            pilot.on_ack(now, m["forwarder"], m["rev"], round_down(m.get("took_ns")))
         elif cmd == "attached":
             pilot.on_join(now, m["forwarder"], m.get("hall") or "")
         elif cmd == "lost_stream":
             pilot.on_leave(now, m["forwarder"])
         elif cmd == "tenure":
-            pilot.on_given(now, m["set_id"], bool(m["yes"]))
+            pilot.on_slice_assigned(now, m["set_id"], bool(m["yes"]))
         elif cmd == "held":
-            pilot.on_held(now, m["set_id"], m["endpoint"])
+            pilot.on_stored_owner(now, m["set_id"], m["endpoint"])
         elif cmd == "roster_change":
             pilot.on_list(now, m["kind"], [entry(e) for e in m.get("elements") or []])
         elif cmd not in ("ingress", "probed", "memo"):
@@ -104,7 +104,7 @@
             m = orjson.loads(raw)
             cmd = m["cmd"]
             if cmd == "tick":
-                now, touched, broken = down(m["ts_ns"]), [], {}
+                now, touched, broken = round_down(m["ts_ns"]), [], {}
                 continue
             if now is None:
                 raise Malformed(f"{cmd} before a tick")
@@ -129,7 +129,7 @@
             pilot = host.pilots.get(name)
             try:
                 if name not in broken and pilot:
-                    reply.extend(host.line(name, d) for d in pulled(pilot, now))
+                    reply.extend(host.line(name, d) for d in pull_decisions(pilot, now))
             except Exception as e:
                 broken[name] = f"{type(e).__name__}: {e}"
             if name in broken:
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -1,7 +1,7 @@
 """Builds the state that a test needs."""
 
 from cedarshift.brain import Pilot
-from cedarshift.interface import Entry, OpType, Terms
+from cedarshift.interface import Entry, OpType, PilotConfig
 from cedarshift.observations import OWNED
 
 TERMS = dict(
@@ -24,16 +24,16 @@
 
 def pilot(endpoints="abcd", owners="abcdabcd", proxies=2, now=0, **terms):
     """A pilot with warm endpoints, a slice for each letter of `owners` ('-': no line) and joined proxies."""
-    p = Pilot(Terms(**{**TERMS, "slices": len(owners), **terms}))
+    p = Pilot(PilotConfig(**{**TERMS, "slices": len(owners), **terms}))
     p.on_list(now, "restored", [entry(n) for n in endpoints])
     for i in range(proxies):
         p.on_join(now, i, "z")
         p.proxies[i].acked = p.mark
     for i, owner in enumerate(owners):
-        p.on_given(now, i, True)
+        p.on_slice_assigned(now, i, True)
         if owner != "-":
-            p.on_held(now, i, owner)
-    p._weigh_up(now)
+            p.on_stored_owner(now, i, owner)
+    p._update_estimates(now)
     return p
 
 
@@ -43,7 +43,7 @@
 
 def decisions(p, now):
     """All that the pilot decides at a time, its timer and marks left out."""
-    p.fresh = True
+    p.wake_pending = True
     out = []
     while (d := p.next_decision(now)) is not None:
         out.append(d)
@@ -52,7 +52,7 @@
 
 def heard(p, now, name, tries, aborted, took, zone="z"):
     for at in (now - 10_000, now - 5_000, now):
-        p.on_met(at, name, zone, tries, aborted, took, 10_000)
+        p.on_endpoint_report(at, name, zone, tries, aborted, took, 10_000)
 
 
 def states(p):
--- a/tests/scripted_peers.py
+++ b/tests/scripted_peers.py
@@ -244,7 +244,7 @@
 
     def order(self, *decisions):
         """Has the module decide these, beside whatever it decides itself."""
-        self.brain.out.extend(decisions)
+        self.brain.pending_decisions.extend(decisions)
         self.pilot._pull()
         self.loop.settle()
 
--- a/tests/test_brain.py
+++ b/tests/test_brain.py
@@ -1,7 +1,7 @@
 import pytest
 from helpers import decisions, entry, heard, pilot, states
 
-from cedarshift.brain import MARKS
+from cedarshift.brain import MARK_MODULUS
 from cedarshift.judge.chance import Lcg
 from cedarshift.judge.order_channel import Batch
 from cedarshift.observations import EMPTY, OWNED, SETTLING, rendezvous
@@ -93,7 +93,7 @@
 def test_an_ack_of_an_older_mark_counts_for_nothing():
     p = revoking()
     for proxy in (0, 1):
-        p.on_ack(100_000, proxy, (p.mark - 1) % MARKS, 10)
+        p.on_ack(100_000, proxy, (p.mark - 1) % MARK_MODULUS, 10)
     assert None is p.stops.stopped(p.slices[0], 100_000)
 
 
@@ -157,28 +157,28 @@
     p = pilot()
     p.on_list(10, "update", [entry("a", "off")])
     p.on_list(20, "update", [entry("a", started=20)])
-    assert not p._unfit("a", 20) and p._warmth(p.endpoints["a"], 20) == pytest.approx(0.2)
+    assert not p._is_unfit("a", 20) and p._warmth(p.endpoints["a"], 20) == pytest.approx(0.2)
 
 
 @pytest.mark.parametrize("age, slices", [(0, 1), (75_000, 2), (150_000, 3)])
 def test_cold_endpoints_are_a_budget(age, slices):
     p = pilot(endpoints="abcde", owners="abcd" * 5 + "----", now=0)
     for s in p.slices.values():
-        s.since = 0
+        s.state_since = 0
     p.on_list(500_000 - age, "update", [entry("e", started=500_000 - age)])
-    p._weigh_up(500_000)
+    p._update_estimates(500_000)
     e, taken = p.endpoints["e"], 0
-    while p.burden.get("e", 0.0) + p.rate[0] <= p._room_at(e, 500_000):
-        p.burden["e"], taken = p.burden.get("e", 0.0) + p.rate[0], taken + 1
-    assert taken >= slices - 1 and p.burden.get("e", 0) <= 3.0 * p._warmth(e, 500_000) * p.unit
+    while p.assigned_rates.get("e", 0.0) + p.slice_rates[0] <= p._rate_limit(e, 500_000):
+        p.assigned_rates["e"], taken = p.assigned_rates.get("e", 0.0) + p.slice_rates[0], taken + 1
+    assert taken >= slices - 1 and p.assigned_rates.get("e", 0) <= 3.0 * p._warmth(e, 500_000) * p.fair_rate
 
 
 def test_a_restarted_owner_gives_up_what_tips_it_over():
     p = pilot(owners="aaaaabcd")
     p.on_list(100_000, "update", [entry("a", started=100_000)])
-    p._weigh_up(100_000)
+    p._update_estimates(100_000)
     assert len(p._cold_excess(100_000)) == 5
-    p._weigh_up(200_000)
+    p._update_estimates(200_000)
     assert 1 <= len(p._cold_excess(200_000)) <= 4
 
 
@@ -195,7 +195,7 @@
     p.channel.unacknowledged.append(Batch(p.mark, 0, 40.0, 20.0))
     p.on_list(100_000, "update", [entry("a", "off")])
     assert decisions(p, 100_000) == []
-    p.on_ack(100_100, 0, (p.mark + 1) % MARKS, 10)  # a later mark acked: the earlier has left
+    p.on_ack(100_100, 0, (p.mark + 1) % MARK_MODULUS, 10)  # a later mark acked: the earlier has left
     assert decisions(p, 100_200) != []
 
 
@@ -204,7 +204,7 @@
     waits = []
     for now in (0, 100_000, 200_000, 300_000):
         p.on_list(now, "unavailable", [])
-        waits.append(p.ask_at - now)
+        waits.append(p.next_list_request_at - now)
     assert waits == [10_000, 20_000, 25_000, 25_000] and states(p) == "oooooooo"
     assert ("ask_list", True) in decisions(p, 325_000)
 
@@ -225,7 +225,7 @@
     for n in "bcd":
         heard(p, 100_000, n, 20, 0, 3_000)
     heard(p, 100_000, "a", tries, aborted, took)
-    p._weigh_up(100_000)
+    p._update_estimates(100_000)
     assert (p.endpoints["a"].sick_until > 100_000) is sick
 
 
@@ -233,7 +233,7 @@
     p = pilot()
     for n in "abc":
         heard(p, 100_000, n, 20, 20, 0)
-    p._weigh_up(100_000)
+    p._update_estimates(100_000)
     assert not any(e.sick_until for e in p.endpoints.values())
 
 
@@ -248,8 +248,8 @@
 def test_sums_begun_before_a_move_do_not_judge_the_state_after_it(changed, load):
     p = pilot()
     heard(p, 100_000, "a", 10, 0, 30_000)
-    p.endpoints["a"].changed_at = changed
-    assert p._load(p.endpoints["a"], 100_000) == load
+    p.endpoints["a"].slices_changed_at = changed
+    assert p._mean_time(p.endpoints["a"], 100_000) == load
 
 
 @pytest.mark.parametrize("took, moved", [(20_000, True), (5_000, False)])
@@ -274,9 +274,9 @@
     p = pilot()
     heard(p, 100_000, "a", 20, 20 - acked, 3_000)
     for at in (90_000, 95_000, 100_000):
-        p.on_heat(at, 0, "get", 20, 0, 10_000)
-    p._weigh_up(100_000)
-    assert p.served == pytest.approx(budget, abs=0.01)
+        p.on_slice_report(at, 0, "get", 20, 0, 10_000)
+    p._update_estimates(100_000)
+    assert p.budget_scale == pytest.approx(budget, abs=0.01)
 
 
 def test_an_unheard_target_may_take_several_slices():
@@ -284,9 +284,9 @@
     for now in (300_000, 350_000, 400_000):
         for n, took in (("a", 25_000), ("b", 25_000), ("c", 30_000), ("d", 30_000)):
             heard(p, now, n, 10, 2, took)
-        p._weigh_up(now)
-        p.check_at = now
-        due = p._check(now)
+        p._update_estimates(now)
+        p.next_check_at = now
+        due = p._current_moves(now)
     assert all(step == "move" and target == "e" for _, _, step, target in due)
 
 
@@ -294,9 +294,9 @@
     p = pilot()
     for n in "bcd":
         heard(p, 100_000, n, 20, 0, 3_000)
-    p.on_met(90_000, "a", "z", 20, 12, 40_000, 10_000)
-    p.on_met(100_000, "a", "z", 20, 20, 0, 10_000)
-    p._weigh_up(100_000)
+    p.on_endpoint_report(90_000, "a", "z", 20, 12, 40_000, 10_000)
+    p.on_endpoint_report(100_000, "a", "z", 20, 20, 0, 10_000)
+    p._update_estimates(100_000)
     assert p.endpoints["a"].sick_until == 0
 
 
@@ -350,17 +350,17 @@
     p.on_list(100_000, "replace", [entry(n) for n in "bcd"])
     if tries:
         heard(p, 100_000 + after, "a", tries, aborted, 3_000)
-    p._weigh_up(100_000 + after)
-    assert p._unfit("a", 100_000 + after) is unfit
+    p._update_estimates(100_000 + after)
+    assert p._is_unfit("a", 100_000 + after) is unfit
 
 
 def test_one_pilot_by_lot_has_a_cold_endpoints_whole_budget():
     rooms = []
-    for place in (0, 1, 2):
-        p = pilot(endpoints="abcd", pilots=3, place=place, slices=24)
+    for pilot_index in (0, 1, 2):
+        p = pilot(endpoints="abcd", pilots=3, pilot_index=pilot_index, slices=24)
         p.on_list(100_000, "update", [entry("a", started=40_000)])
-        p._weigh_up(100_000)
-        rooms.append(p._room_at(p.endpoints["a"], 100_000) / p.rate[0])
+        p._update_estimates(100_000)
+        rooms.append(p._rate_limit(p.endpoints["a"], 100_000) / p.slice_rates[0])
     assert sorted(rooms)[:2] == [0, 0] and max(rooms) >= 1
 
 
@@ -378,8 +378,8 @@
     for n in "abcd":
         heard(p, 100_000, n, 15, 0, 3_000, zone="y")
         heard(p, 100_000, n, tries, tries, 0, zone="x")
-    p._weigh_up(100_000)
-    _, aborted, took = p.met["a"]
+    p._update_estimates(100_000)
+    _, aborted, took = p.endpoint_totals["a"]
     assert (aborted > 0) is blamed and took == 3_000
 
 
@@ -388,9 +388,9 @@
     for now in (300_000, 350_000):
         for n in "abc":
             heard(p, now, n, 10, 5, 25_000)
-        p._weigh_up(now)
-        p.check_at = now
-        due = p._check(now)
+        p._update_estimates(now)
+        p.next_check_at = now
+        due = p._current_moves(now)
     assert due and all(step == "move" and target == "d" for _, _, step, target in due)
 
 
@@ -398,9 +398,9 @@
 def test_a_returned_endpoint_waits_for_its_sums_only_after_a_gain(gained, room):
     p = pilot()
     p.on_list(100_000, "update", [entry("a", started=100_000)])
-    p.endpoints["a"].changed_at, p.endpoints["a"].gained_at = 105_000, gained
-    p._weigh_up(150_000)
-    assert (p._room_at(p.endpoints["a"], 150_000) > 0) is room
+    p.endpoints["a"].slices_changed_at, p.endpoints["a"].slice_gained_at = 105_000, gained
+    p._update_estimates(150_000)
+    assert (p._rate_limit(p.endpoints["a"], 150_000) > 0) is room
 
 
 @pytest.mark.parametrize("put_unanswered, sick", [(0, False), (9, True)])
@@ -409,9 +409,9 @@
     for n in "bcd":
         heard(p, 100_000, n, 20, 0, 3_000)
     heard(p, 100_000, "a", 30, 25, 3_000)
-    p.on_heat(100_000, 0, "get", 20, 20, 10_000)
-    p.on_heat(100_000, 0, "put", 10, put_unanswered, 10_000)
-    p._weigh_up(100_000)
+    p.on_slice_report(100_000, 0, "get", 20, 20, 10_000)
+    p.on_slice_report(100_000, 0, "put", 10, put_unanswered, 10_000)
+    p._update_estimates(100_000)
     assert (p.endpoints["a"].sick_until > 100_000) is sick
 
 
@@ -439,23 +439,23 @@
     for at in (90_000, 100_000):
         for n in "abcd":
             heard(p, at, n, 10, 0, took if n == "a" else 3_000)
-    p._weigh_up(100_000)
-    assert p.endpoints["a"].part == pytest.approx(part)
+    p._update_estimates(100_000)
+    assert p.endpoints["a"].capacity == pytest.approx(part)
 
 
 def test_a_full_fleet_goes_through_a_deploy_rule_by_rule():
     names = [f"e{i:02}" for i in range(80)]
     owners = [names[i % 80] for i in range(600)]
     p = pilot(names, owners, 70, lines_per_s=10_000.0, lines_waiting_most=5_000.0)
-    weighed, weigh = [], p._weigh_up
-    p._weigh_up = lambda now: (weighed.append(now), weigh(now))
+    weighed, weigh = [], p._update_estimates
+    p._update_estimates = lambda now: (weighed.append(now), weigh(now))
     gone, free, acks, stopped, line_at, turns = names[:8], 0, [], {}, {}, 0
     p.on_list(100_000, "update", [entry(n, "fading") for n in gone])
     for now in range(100_000, 250_000, 250):
         for at, proxy, mark, sent in [a for a in acks if a[0] <= now]:
             p.on_ack(now, proxy, mark, at - sent)
         acks = [a for a in acks if a[0] > now]
-        p.on_met(now, names[now // 250 % 80], "z", 10, 0, 3_000, 10_000)
+        p.on_endpoint_report(now, names[now // 250 % 80], "z", 10, 0, 3_000, 10_000)
         out = decisions(p, now)
         if not out:
             continue
@@ -490,15 +490,15 @@
     p = pilot()
     for n in "abcd":
         heard(p, 100_000, n, 20, 4 if n == "a" else others, 3_000)
-    p._weigh_up(100_000)
-    assert p._strained(p.met["a"]) is strained
+    p._update_estimates(100_000)
+    assert p._is_strained(p.endpoint_totals["a"]) is strained
 
 
 def test_whose_grace_ends_first_is_left_first():
     p = pilot()
     p.on_list(100_000, "update", [entry("d", "off")])
     p.on_list(101_000, "update", [entry("a", "off")])
-    p._weigh_up(130_000)
+    p._update_estimates(130_000)
     assert [n for _, n, step, _ in p._due(130_000)] == [3, 7, 0, 4]
 
 
@@ -508,9 +508,9 @@
     for now in (300_000, 350_000):
         for n in "abcd":
             heard(p, now, n, 10, 5, 25_000)
-        p._weigh_up(now)
-        p.check_at = now
-        due = p._check(now)
+        p._update_estimates(now)
+        p.next_check_at = now
+        due = p._current_moves(now)
     assert len(due) == moves
 
 
@@ -521,11 +521,11 @@
         for name in "abcd":
             heard(p, now, name, 40, 30 if name == "a" else 0, 15_000 if name == "a" else 3_000)
         for number, owner in enumerate(owners):
-            p.on_heat(now, number, "get", 40 if owner == "a" else 10, 0, 10_000)
-        p._weigh_up(now)
-        p.check_at = now
-        due = p._check(now)
-    assert due and p.planned and p.endpoints["a"].hot_checks >= 2
+            p.on_slice_report(now, number, "get", 40 if owner == "a" else 10, 0, 10_000)
+        p._update_estimates(now)
+        p.next_check_at = now
+        due = p._current_moves(now)
+    assert due and p.planned_moves and p.endpoints["a"].hot_checks >= 2
     return p, now
 
 
@@ -538,7 +538,7 @@
     p.channel.unacknowledged.append(Batch(p.mark, now, 2_500.0, 25.0))
     assert revoked(p, now + 250) == [] and p.endpoints["a"].hot_checks >= 2
     p.channel.unacknowledged.clear()
-    assert set(revoked(p, now + 5_000)) and p.endpoints["a"].hot_checks == 0 and not p.planned
+    assert set(revoked(p, now + 5_000)) and p.endpoints["a"].hot_checks == 0 and not p.planned_moves
 
 
 def test_a_move_goes_beside_a_turn_that_is_not_acked_where_heads_are_most_of_the_channel():
@@ -550,15 +550,15 @@
 @pytest.mark.parametrize("event", ["given anew", "target drains", "source drains"])
 def test_a_planned_move_that_no_longer_holds_is_not_made(event):
     p, now = jammed(proxies=100, lines_waiting_most=3_000.0)
-    number, target = next(iter(p.planned.items()))
+    number, target = next(iter(p.planned_moves.items()))
     if event == "given anew":
         for given in (False, True):
-            p.on_given(now, number, given)
-        p.on_held(now, number, "b")
+            p.on_slice_assigned(now, number, given)
+        p.on_stored_owner(now, number, "b")
     else:
         p.on_list(now, "update", [entry(target if event == "target drains" else "a", "fading")])
-        p._weigh_up(now)
-    assert number not in [one[1] for one in p._check(now + 250)]
+        p._update_estimates(now)
+    assert number not in [one[1] for one in p._current_moves(now + 250)]
 
 
 def test_a_turn_waits_until_the_channel_is_free():
--- a/tests/test_claims.py
+++ b/tests/test_claims.py
@@ -12,7 +12,7 @@
 
 from cedarshift.brain import OWNED, Pilot
 from cedarshift.budgets.rights import Fleet, FleetRights
-from cedarshift.interface import Entry, OpType, Terms
+from cedarshift.interface import Entry, OpType, PilotConfig
 from cedarshift.judge.claims import THINGS_MOST, Claim, ClaimGiver, ClaimHolder, Turns, Wish
 from cedarshift.rehearsal.day import load_day
 from cedarshift.rehearsal.run import play as play_day
@@ -254,7 +254,7 @@
 def module(right, cold=False):
     """Eight endpoints of which one has all slices and is jammed; `cold`: one of the others has just come."""
     pilot = Pilot(
-        Terms(
+        PilotConfig(
             op_types=(OpType("get", 20_000, 60_000, True, False),),
             slices=16,
             single_owner=False,
@@ -263,7 +263,7 @@
             tip_multiple=3.0,
             report_period=10_000,
             pilots=2,
-            place=0,
+            pilot_index=0,
         )
     )
     started = 1 if cold else None
@@ -271,10 +271,10 @@
         1, "replace", [Entry(f"e{n}", "on", 1.0, "", started if n == 7 else None) for n in range(8)]
     )
     for n in range(16):
-        pilot.on_given(1, n, True)
-        pilot.on_held(1, n, "e0")
+        pilot.on_slice_assigned(1, n, True)
+        pilot.on_stored_owner(1, n, "e0")
     if right is not None:
-        pilot.on_rights(1, right)
+        pilot.on_budgets(1, right)
     return pilot
 
 
@@ -283,12 +283,12 @@
     most = 0
     for now in range(1, until, 2_500):
         if now % 10_000 == 1:
-            pilot.on_met(now, "e0", "", 100, 60, 5_000, 10_000)
+            pilot.on_endpoint_report(now, "e0", "", 100, 60, 5_000, 10_000)
             for n in range(1, 8):
-                pilot.on_met(now, f"e{n}", "", 10, 0, 50, 10_000)
+                pilot.on_endpoint_report(now, f"e{n}", "", 10, 0, 50, 10_000)
             for n in range(16):
-                pilot.on_heat(now, n, "get", 10, 0, 10_000)
-        pilot.on_alarm(now, pilot.beat)
+                pilot.on_slice_report(now, n, "get", 10, 0, 10_000)
+        pilot.on_alarm(now, pilot.alarm_nonce)
         while pilot.next_decision(now):
             pass
         most = max(most, sum(s.target is not None for s in pilot.slices.values()))
@@ -298,8 +298,8 @@
 @pytest.mark.parametrize("right, most", [({"": 0}, 0), ({"": 1}, 1), ({"": math.inf}, 2), (None, 2)])
 def test_the_module_has_no_more_moves_under_way_than_its_right(right, most):
     pilot = module(right)
-    pilot.lease = pilot.settle = 30_000  # so that moves take a while
-    pilot.single = True
+    pilot.lease = pilot.settle_time = 30_000  # so that moves take a while
+    pilot.single_owner = True
     got, went = moved(pilot)
     assert got == most and (went > 0) == (most > 0)
 
@@ -309,12 +309,12 @@
 )
 def test_a_cold_endpoint_has_room_for_who_claims_it_and_by_lot_where_nobody_does(right, room):
     pilot = module(right, cold=True)
-    pilot.on_alarm(2, pilot.beat)
+    pilot.on_alarm(2, pilot.alarm_nonce)
     while pilot.next_decision(2):
         pass
     endpoint = pilot.endpoints["e7"]
-    has = pilot._room_at(endpoint, 3) > 0
-    assert has == (endpoint.ours if room is None else room)
+    has = pilot._rate_limit(endpoint, 3) > 0
+    assert has == (endpoint.has_cold_budget if room is None else room)
 
 
 @pytest.mark.parametrize("held, most", [(2, 2), (1_000, None)])
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -275,7 +275,7 @@
 def test_an_order_unanswered_over_a_long_silence_is_looked_for_once_more_in_what_stands(stage, carried_out):
     """The stand was read before the relay carried out the order, whose answer is lost: only a later stand tells of it."""
     stream, _ = stage.begin()
-    stage.brain.weighed_at = 10**15  # the module decides nothing else meanwhile
+    stage.brain.estimated_at = 10**15  # the module decides nothing else meanwhile
     stage.order(("line", 0, "b", 1))
     call = stage.relay.accept()
     call.request()
@@ -300,14 +300,14 @@
 def test_the_line_of_a_pilot_s_own_grant_that_comes_late_ends_no_hand_over(stage):
     """A slice is given without a line. The line that its grant leaves is told when the next hand-over has begun."""
     stream, _ = stage.begin(slices={0: "", 1: "b"})
-    stage.brain.weighed_at = 10**15
+    stage.brain.estimated_at = 10**15
     assert stage.brain.slices[0].state == REVOKING
     slice_ = stage.brain.slices[0]
     stage.order(("line", 0, "a", 1))
     call = stage.relay.accept()
     call.request()
     call.say(answer(taken(1)))
-    slice_.state, slice_.owner, slice_.line = REVOKING, "a", True
+    slice_.state, slice_.owner, slice_.has_line = REVOKING, "a", True
     stream.say(chunk(news("line", "shard=0&endpoint=a&w=1.0")))
     assert stage.brain.slices[0] is slice_ and slice_.state == REVOKING and stage.pilot.slices[0] == "a"
 
--- a/tests/test_hand_over_liveness.py
+++ b/tests/test_hand_over_liveness.py
@@ -7,7 +7,7 @@
 from helpers import entry
 
 from cedarshift.brain import Pilot
-from cedarshift.interface import OpType, Terms
+from cedarshift.interface import OpType, PilotConfig
 from cedarshift.judge.write_stops import WriteStops
 from cedarshift.standins.proxy_fleet import SECOND, Faults, ProxyFleet
 
@@ -45,7 +45,7 @@
 
     def __init__(self, seed, faults, quiet=False, **terms):
         self.quiet, self.now = quiet, 0
-        self.pilot = Pilot(Terms(**{**TERMS, **terms}))
+        self.pilot = Pilot(PilotConfig(**{**TERMS, **terms}))
         self.names, self.number = [f"e{number:02}" for number in range(ENDPOINTS)], ENDPOINTS
         self.pilot.on_list(0, "restored", [entry(name) for name in self.names])
         owners = {2 * number: self.names[number % ENDPOINTS] for number in range(SLICES)}
@@ -53,8 +53,8 @@
         for proxy in self.fleet.proxies:
             self.pilot.on_join(0, proxy, "z")
         for number, owner in owners.items():
-            self.pilot.on_given(0, number, True)
-            self.pilot.on_held(0, number, owner)
+            self.pilot.on_slice_assigned(0, number, True)
+            self.pilot.on_stored_owner(0, number, owner)
         self.gone = []  # (when, endpoint) that leaves the list next
 
     def run(self, seconds):
@@ -87,7 +87,7 @@
             self.pilot.on_ack(self.fleet.now, proxy, *more)
 
     def _decide(self):
-        self.pilot.on_alarm(self.now, self.pilot.beat)
+        self.pilot.on_alarm(self.now, self.pilot.alarm_nonce)
         orders = []
         while (decision := self.pilot.next_decision(self.now)) is not None:
             if decision[0] == "level" and decision[1] in self.fleet.store:
@@ -148,7 +148,7 @@
     patch.setattr(
         Pilot,
         "__init__",
-        lambda self, terms, init=Pilot.__init__: (init(self, terms), setattr(self, "settle", 0))[0],
+        lambda self, terms, init=Pilot.__init__: (init(self, terms), setattr(self, "settle_time", 0))[0],
     )
 
 
@@ -158,7 +158,7 @@
         WriteStops,
         "stop",
         lambda self, proxy, s: (
-            s.since if proxy.joined and stop(self, proxy, s) is None else stop(self, proxy, s)
+            s.state_since if proxy.joined and stop(self, proxy, s) is None else stop(self, proxy, s)
         ),
     )
 
@@ -175,7 +175,7 @@
 def granted_for_lack_of_patience(patch):
     patch.setattr(
         Pilot,
-        "_hold",
+        "_restore_closed_line",
         lambda self, s: self._grant(s, self.now, next(e.name for e in self.live if e.name != s.owner)),
     )
     due = Pilot._due
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -6,7 +6,7 @@
 from platform_parts import SETTINGS, instance, listing
 from scripted_peers import CHUNKED, SECOND, AnsweringRelay, Stage, chunk, frame, standing
 
-from cedarshift.brain import MARKS
+from cedarshift.brain import MARK_MODULUS
 
 LEASE, SETTLE = 0.8, 1.0  # s, of the settings
 BEAT = 0.025  # s; the module looks so often
@@ -78,7 +78,7 @@
 
     def older_mark(self):
         """Has a mark ordered that is older than any later revoke's; its number."""
-        number = (self.stage.brain.mark - 1) % MARKS
+        number = (self.stage.brain.mark - 1) % MARK_MODULUS
         self.stage.order(("mark", number, True))
         self.until(lambda: self.ordered(f"mark,{number},"))
         return number
@@ -146,7 +146,7 @@
     proxy, number = {
         "twice by one": (0, mark),
         "of an older mark": (1, older),
-        "of no mark": (1, (mark + 300) % MARKS),
+        "of no mark": (1, (mark + 300) % MARK_MODULUS),
         "of a proxy that is not joined": (7, mark),
     }[acks]
     scene.ack(proxy, number)
--- a/tests/test_heard.py
+++ b/tests/test_heard.py
@@ -9,7 +9,7 @@
 from hypothesis import strategies as st
 
 from cedarshift.loop.epoll import Signals, real_loop
-from cedarshift.observations import SAMPLES, Endpoint, Slice
+from cedarshift.observations import MAX_SAMPLES, Endpoint, Slice
 
 SUM = st.tuples(
     st.integers(0, 3_000),
@@ -31,23 +31,23 @@
     for n, (gap, *figures) in enumerate(steps):
         now += gap
         all_heard.append((now, *figures))
-        e.hear(all_heard[-1])
+        e.add_sample(all_heard[-1])
         if n in looks:
-            e.look(now, recent)
+            e.advance(now, recent)
     now += 100
-    e.look(now, recent)
-    kept = all_heard[-SAMPLES:]
+    e.advance(now, recent)
+    kept = all_heard[-MAX_SAMPLES:]
     got = window(kept, now, recent)
     acked = [s for s in got if s[3] > 0]
-    assert e.total == [
+    assert e.totals == [
         sum(s[1] for s in got),
         sum(s[2] for s in got),
         sum(s[1] - s[2] for s in acked),
         sum((s[1] - s[2]) * s[3] for s in acked),
     ]
-    assert [sum(column) for column in zip([0] * 4, *e.fares.values())] == e.total
-    assert e.times == sorted(s[3] for s in kept if s[3])
-    assert e.holds == (got[0][0] + recent if got else float("inf"))
+    assert [sum(column) for column in zip([0] * 4, *e.totals_by_origin.values())] == e.totals
+    assert e.ack_times == sorted(s[3] for s in kept if s[3])
+    assert e.totals_valid_until == (got[0][0] + recent if got else float("inf"))
 
 
 @given(
@@ -59,17 +59,23 @@
     for gap, ops, span in steps:
         now += gap
         all_heard.append((now, ops, span, 0, "get"))
-        s.hear(all_heard[-1])
-    s.look(now, recent)
-    got = window(all_heard[-SAMPLES:], now, recent)
-    assert (s.ops, s.span, s.inside) == (sum(g[1] for g in got), sum(g[2] for g in got), len(got))
+        s.add_sample(all_heard[-1])
+    s.advance(now, recent)
+    got = window(all_heard[-MAX_SAMPLES:], now, recent)
+    assert (s.ops, s.span, s.window_count) == (sum(g[1] for g in got), sum(g[2] for g in got), len(got))
 
 
 def test_a_new_process_has_no_sums_of_the_old_one():
     e = Endpoint("e")
-    e.hear((10, 5, 1, 700, 100, "a"))
-    e.forget()
-    assert (e.total, e.times, e.fares, e.inside, len(e.samples)) == ([0, 0, 0, 0], [], {}, 0, 0)
+    e.add_sample((10, 5, 1, 700, 100, "a"))
+    e.reset()
+    assert (e.totals, e.ack_times, e.totals_by_origin, e.window_count, len(e.samples)) == (
+        [0, 0, 0, 0],
+        [],
+        {},
+        0,
+        0,
+    )
 
 
 @pytest.mark.parametrize("end", ["inner", "outer"])
--- a/tests/test_jam_relief.py
+++ b/tests/test_jam_relief.py
@@ -10,7 +10,7 @@
 from helpers import entry
 
 from cedarshift.brain import Pilot
-from cedarshift.interface import OpType, Terms
+from cedarshift.interface import OpType, PilotConfig
 
 SECOND = 10_000  # the module's unit is 0.1 ms
 STEP = 250  # how often the module's timer runs
@@ -19,7 +19,7 @@
 TRANSIT = (1_500, 6_600)  # from leaving the channel to the acknowledgement
 JAMMED = "e00"
 NEVER = 10**7
-TERMS = Terms(
+TERMS = PilotConfig(
     op_types=(
         OpType("get", 2 * SECOND, 6 * SECOND, False, False),
         OpType("put", 2 * SECOND, 3 * SECOND, True, False),
@@ -77,8 +77,8 @@
         for proxy in range(PROXIES):
             self.pilot.on_join(0, proxy, "z")
         for number in range(SLICES):
-            self.pilot.on_given(0, 2 * number, True)
-            self.pilot.on_held(
+            self.pilot.on_slice_assigned(0, 2 * number, True)
+            self.pilot.on_stored_owner(
                 0, 2 * number, JAMMED if number < 6 else self.names[1 + number % (ENDPOINTS - 1)]
             )
         self.away, self.left_jam, self.most_waiting = [], [], 0.0
@@ -123,17 +123,17 @@
         for name in self.names:
             if name in held:
                 tries, aborted, took = (60, 40, 25_000) if name == JAMMED else (20, 0, 3_000)
-                self.pilot.on_met(self.now, name, "z", tries, aborted, took, 2 * SECOND)
+                self.pilot.on_endpoint_report(self.now, name, "z", tries, aborted, took, 2 * SECOND)
         for number, s in self.pilot.slices.items():
             for kind in ("get", "put"):
                 requests = 24 if s.owner == JAMMED else 10  # clients repeat what is not answered
-                self.pilot.on_heat(self.now, number, kind, requests, 0, 2 * SECOND)
+                self.pilot.on_slice_report(self.now, number, kind, requests, 0, 2 * SECOND)
 
     def _decide(self):
         owned = {
             number for number, s in self.pilot.slices.items() if s.owner == JAMMED and s.state == "owned"
         }
-        self.pilot.fresh, lines, mark = True, 0, None
+        self.pilot.wake_pending, lines, mark = True, 0, None
         while (decision := self.pilot.next_decision(self.now)) is not None:
             lines += decision[0] in ("line", "level", "mark")
             mark = decision[1] if decision[0] == "mark" else mark
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -163,13 +163,13 @@
 
 def test_a_fault_of_the_module_is_told_and_its_beat_goes_on(monkeypatch):
     stage = Stage().run(1)
-    monkeypatch.setattr(stage.brain, "_turn", lambda now: 1 // 0)
+    monkeypatch.setattr(stage.brain, "_send_batch", lambda now: 1 // 0)
     stage.run(1)
     assert "ZeroDivisionError" in stage.heard("module_failed")[0]["error"]
     monkeypatch.undo()
-    beats = stage.brain.beat
+    beats = stage.brain.alarm_nonce
     stage.run(1)
-    assert stage.brain.beat > beats + 10
+    assert stage.brain.alarm_nonce > beats + 10
 
 
 def test_a_line_after_its_giving_is_the_pilot_s_own_and_ends_no_hand_over():
@@ -221,9 +221,9 @@
     s = stage.brain.slices[0]
     stage.relay.script = [] if answered else ["silent"] * 9
     stage.order(("level", 0, 2, 0, 0))
-    s.state, s.closed, s.mark, s.since = REVOKING, True, 9, stage.pilot._now()
+    s.state, s.writes_closed, s.mark, s.state_since = REVOKING, True, 9, stage.pilot._now()
     stage.brain.endpoints["a"].phase = "fading"  # so that the module does not undo it by itself
-    stage.brain.weighed_at = stage.pilot._now() + 10**9
+    stage.brain.estimated_at = stage.pilot._now() + 10**9
     stage.run(0.1)
     assert stage.pilot.closed.get(0) == ("admit,0,put,1,0" if answered else None)
     stage.relay.door.close()
@@ -254,7 +254,7 @@
 def test_a_grant_taken_while_the_stream_is_asked_for_outlives_the_older_line_that_it_tells(gap, late):
     """What the stream tells was read before the grant was carried out, and is heard after the grant's answer."""
     stage = Stage().run(1)
-    stage.brain.weighed_at = stage.pilot._now() + 10**9
+    stage.brain.estimated_at = stage.pilot._now() + 10**9
     stage.relay.stands(slices={0: "a", 1: "b", 2: "a", 3: "b"})
     talk = stage.relay._talk
     stage.order(("mark", 8, True))  # calls go on over the connection that this one leaves
@@ -573,7 +573,7 @@
     stage.run(1)
     assert (
         not any(one.startswith(("share,0", "admit,0")) for one in stage.orders()[before:])
-        and stage.brain.slices[0].held
+        and stage.brain.slices[0].line_restored
     )
 
 
@@ -581,7 +581,7 @@
     stage = Stage().run(2)
     stage.agent.tell(listing(8, instance("a", "draining")))
     stage.run(4)
-    assert not stage.brain.slices[0].line and stage.brain.slices[0].closed
+    assert not stage.brain.slices[0].has_line and stage.brain.slices[0].writes_closed
     mark = stage.brain.slices[0].mark
     stage.signs = False
     stage.run(1)
--- a/tests/test_write_stops.py
+++ b/tests/test_write_stops.py
@@ -95,16 +95,16 @@
     p = revoked()
     acknowledge(p, 101_000, 0, 2)
     before = p.mark
-    decisions(p, 100_000 + p.ack_within - 1)
+    decisions(p, 100_000 + p.ack_timeout - 1)
     assert p.mark == before
-    decisions(p, 100_000 + p.ack_within)
+    decisions(p, 100_000 + p.ack_timeout)
     assert p.mark == before + 1
 
 
 def test_a_slice_without_a_line_for_long_names_its_former_owner_again_with_every_class_closed():
     p = revoked(empty_for=EMPTY_FOR)
     decisions(p, 100_000 + 40_000)  # the grace: the drained owner's line is emptied
-    assert not p.slices[0].line and p.slices[0].closed
+    assert not p.slices[0].has_line and p.slices[0].writes_closed
     emptied = p.slices[0].empty_since
     assert all(one[:2] != ("line", 0) for one in decisions(p, emptied + EMPTY_FOR // 2 - 1))
     assert [one for one in decisions(p, emptied + EMPTY_FOR // 2) if one[1] == 0] == [
@@ -126,14 +126,14 @@
     p = revoked(**{"empty_for": EMPTY_FOR, **terms})
     for at in range(140_000, 400_000, 5_000):
         decisions(p, at)
-    assert not p.slices[0].held and not p.slices[0].line
+    assert not p.slices[0].line_restored and not p.slices[0].has_line
 
 
 def test_a_move_that_the_proxies_hold_up_for_long_goes_back_to_its_sound_owner():
     p = pilot(proxies=3, empty_for=EMPTY_FOR)
-    p._weigh_up(100_000)
-    p.planned = {0: "b"}
-    p.check_at = 10**9
+    p._update_estimates(100_000)
+    p.planned_moves = {0: "b"}
+    p.next_check_at = 10**9
     assert ("level", 0, 2, 0, 0) in decisions(p, 100_000)
     decisions(p, 100_000 + EMPTY_FOR // 2 - 1)
     assert p.slices[0].state == REVOKING
@@ -143,8 +143,8 @@
 
 def test_a_held_line_that_is_told_anew_is_revoked_anew_and_stays_shut():
     p = pilot(proxies=2, empty_for=EMPTY_FOR)
-    p.on_given(100_000, 0, True)
-    p.on_held(100_000, 0, "b", shut=True)
+    p.on_slice_assigned(100_000, 0, True)
+    p.on_stored_owner(100_000, 0, "b", all_closed=True)
     assert [one for one in decisions(p, 100_000) if one[1] == 0] == [("line", 0, "b", 0)]
     assert p.slices[0].state == REVOKING and p.slices[0].mark == p.mark
     assert p.stops.stopped(p.slices[0], 100_000 + LEASE) is None, "who wrote before may not have stopped"
