--- a/cedarshift/interface.py
+++ b/cedarshift/interface.py
@@ -1,4 +1,7 @@
-"""The types that pass between a host and the decision module. All times are whole tenths of a millisecond."""
+"""Types exchanged between a host and the decision module.
+
+All times and durations are integers in units of 0.1 ms.
+"""
 
 from __future__ import annotations
 
@@ -7,7 +10,7 @@
 
 
 class OpType(NamedTuple):
-    """What a client may ask for."""
+    """An op type that clients may send."""
 
     name: str
     target_latency: int
@@ -17,8 +20,11 @@
 
 
 class Entry(NamedTuple):
-    """One endpoint as the list shows it; `started` is None where the start lies long back. `late`: how long ago the host was
-    told of this phase, where it has kept the news back; the drain's grace runs from then."""
+    """An endpoint as the list shows it.
+
+    `started` is None where it started long ago. `late` is how long ago the host learned of the phase, where
+    it withheld the report; the drain grace runs from then.
+    """
 
     endpoint: str
     phase: str  # "on", "fading" or "off"
@@ -30,31 +36,31 @@
 
 @dataclass(frozen=True)
 class PilotConfig:
-    """The terms of the deployment that a pilot works under. Missing figures stay at the neutral value."""
+    """Configuration of a pilot, taken from its deployment. Missing values keep a neutral default."""
 
     op_types: tuple[OpType, ...] = ()
     zones: tuple[str, ...] = ()
     slices: int = 0
     single_owner: bool = False
     asks_list: bool = False
-    levels: str = "fraction"  # what a level holds; "none": levels are disregarded
-    gone_binds: bool = True  # an endpoint dropped from the list must be left within the grace
+    levels: str = "fraction"  # what a level means; "none": levels are not supported
+    gone_binds: bool = True  # whether an endpoint missing from the list must be left within the grace
     retry_default: int = 0
     seed: int = 0
-    pilots: int = 1  # how many there are, and this one's place among them, from 0
-    pilot_index: int = 0
+    pilots: int = 1  # in the deployment
+    pilot_index: int = 0  # of this pilot, from 0
     lines_per_message: float = 0.0
     lines_waiting_most: float = 0.0
     lines_per_s: float = 0.0
     messages_most: int = 0
     messages_span: int = 0
     transit_most: int = 0
-    connect_most: int = 0  # how long a proxy waits for a new connection
+    connect_most: int = 0  # longest wait of a proxy for a new connection
     report_period: int = 0
     lease: int = 0
     in_flight_most: int = 0
     drain_grace: int = 0
-    empty_for: int = 0  # how long a joined proxy may be without a line; 0: not told
+    empty_for: int = 0  # longest time that a joined proxy may be without a line; 0: no limit
     ask_within: int = 0
     warm_within: int = 0
     cold_share: float = 1.0
@@ -62,7 +68,7 @@
 
 
 class DecisionModule(Protocol):
-    """What a host may call. Inputs only update what is known; decisions are then pulled until None comes.
+    """Calls that a host may make. Inputs only update state; decisions are then pulled until None is returned.
 
     Decisions: ("ask_list", watch) ("wake", after, nonce) ("note", text)
     ("line", table, endpoint, weight) ("level", table, op_mask, share, retries)
@@ -83,14 +89,13 @@
         self, now: int, slice_id: int, op_type: str, ops: int, unanswered: int, span: int
     ) -> None: ...
     def on_sick_warning(self, now: int, endpoint: str, until: int) -> None: ...
-    def on_budgets(
-        self, now: int, budgets: dict[str, float]
-    ) -> None: ...  # by endpoint; "*": any other; "": moves at a time
+    # By endpoint; "*": any other endpoint; "": moves allowed at a time.
+    def on_budgets(self, now: int, budgets: dict[str, float]) -> None: ...
     def on_alarm(self, now: int, nonce: int) -> None: ...
     def next_decision(self, now: int) -> Optional[tuple]: ...
 
 
 def pull_decisions(decider: DecisionModule, now: int) -> Iterator[tuple]:
-    """All that is decided at a time, in order: one turn."""
+    """Yields all decisions at a time, in order."""
     while (decision := decider.next_decision(now)) is not None:
         yield decision
--- a/cedarshift/judge/chance.py
+++ b/cedarshift/judge/chance.py
@@ -1,4 +1,4 @@
-"""Chance for decisions: a linear congruential generator of which the high bits are used."""
+"""Deterministic random numbers for decisions."""
 
 from __future__ import annotations
 
@@ -8,27 +8,32 @@
 
 
 class Lcg:
-    """Knuth's MMIX constants; the same seed draws the same numbers everywhere."""
+    """Linear congruential generator with Knuth's MMIX constants; returns the high bits.
+
+    A seed gives the same numbers on every platform.
+    """
 
     def __init__(self, seed: int) -> None:
         self.state = seed & (2**64 - 1)
 
     def draw(self, below: int) -> int:
-        """A whole number from 0 to below `below`."""
+        """Returns an integer from 0 up to, but not including, `below`."""
         self.state = (self.state * 6364136223846793005 + 1442695040888963407) & (2**64 - 1)
         return (self.state >> 33) % below
 
-    def pick(self, some: Sequence[T]) -> T:
-        return some[self.draw(len(some))]
-
-    def sample(self, some: Sequence[T], count: int) -> list[T]:
-        """`count` different ones, or all where there are fewer, in an order by chance."""
-        left = list(some)
-        count = min(count, len(left))
-        for at in range(count):
-            other = at + self.draw(len(left) - at)
-            left[at], left[other] = left[other], left[at]
-        return left[:count]
-
-    def shuffle(self, some: Sequence[T]) -> list[T]:
-        return self.sample(some, len(some))
+    def pick(self, items: Sequence[T]) -> T:
+        """Returns a random element."""
+        return items[self.draw(len(items))]
+
+    def sample(self, items: Sequence[T], count: int) -> list[T]:
+        """Returns `count` distinct elements, or all where there are fewer, in random order."""
+        remaining = list(items)
+        count = min(count, len(remaining))
+        for index in range(count):
+            other = index + self.draw(len(remaining) - index)
+            remaining[index], remaining[other] = remaining[other], remaining[index]
+        return remaining[:count]
+
+    def shuffle(self, items: Sequence[T]) -> list[T]:
+        """Returns all elements in random order."""
+        return self.sample(items, len(items))
--- a/cedarshift/judge/order_channel.py
+++ b/cedarshift/judge/order_channel.py
@@ -1,7 +1,8 @@
-"""When a batch of orders may go out, and how much it may hold, so that the channel to the proxies stays short. No I/O, no clock.
+"""Flow control of the order channel: when a batch may be sent, and how large it may be. No I/O, no clock.
 
-A batch becomes one message a proxy; each counts its lines and a head. Messages leave one after the other at the stated pace, and a
-batch's lines count as waiting until they are acknowledged, or a later batch is, or no acknowledgement is to come any more.
+A batch becomes one message per proxy, which counts its lines and a header. Messages leave one after the other
+at the configured rate. The lines of a batch count as waiting until it or a later batch is acknowledged, or
+until no acknowledgement is outstanding.
 """
 
 from __future__ import annotations
@@ -14,62 +15,60 @@
 from cedarshift.interface import PilotConfig
 from cedarshift.judge.write_stops import precedes
 
-# Constants: unit, then the reason for the size.
+# Shares are fractions of the lines that may wait in the channel. Durations are in units of 0.1 ms.
 WAITING_SHARES = (
     0.95,
     0.9,
     0.6,
     0.5,
-)  # shares of the channel's waiting lines used, by urgency: a drain finds room
-RESERVED_LINES = (
-    3  # lines a proxy, beside the head, that a move leaves room for: a slice's revoke, clear and grant
-)
-GATHER_SHARE = 0.15  # share of the channel that may wait when a batch goes without all that is due
-MAX_ACK_PAUSE = 5_000  # 0.1 ms; with no acknowledgement for so long nothing tells that the channel drains
-HEADER_GAP_FACTOR = (
-    1.25  # times what a batch's heads hold the channel, between batches: they fill four fifths
-)
-SECOND = 10_000  # 0.1 ms
+)  # by urgency, so that a drain finds room
+RESERVED_LINES = 3  # per proxy that a move leaves free: a revoke, a clear and a grant
+GATHER_SHARE = 0.15  # above it, a batch waits for room for all that is due
+MAX_ACK_PAUSE = 5_000  # longest pause in which acknowledgements count as arriving
+HEADER_GAP_FACTOR = 1.25  # shortest gap between batches, as a multiple of the time for their headers
+SECOND = 10_000
 
 
 @dataclass
 class Batch:
-    """Orders of one time that are not known to have left the channel. Lines are counted with heads."""
+    """Orders sent together that may still be in the channel. Line counts include headers."""
 
     barrier: int
     ordered_at: int
-    waiting: float  # lines, of all proxies
+    waiting: float  # lines to all proxies
     lines: float  # of one proxy's message
 
 
 class OrderChannel:
-    """The batches on their way, and the room that is left."""
+    """Batches in the channel and the capacity that is left."""
 
-    def __init__(self, terms: PilotConfig) -> None:
-        self.header_lines = terms.lines_per_message + 1  # every message carries a barrier
-        self.max_waiting = terms.lines_waiting_most or math.inf
-        self.time_per_line = SECOND / terms.lines_per_s if terms.lines_per_s else 0.0  # 0.1 ms
+    def __init__(self, config: PilotConfig) -> None:
+        self.header_lines = config.lines_per_message + 1  # every message has a barrier
+        self.max_waiting = config.lines_waiting_most or math.inf
+        self.time_per_line = SECOND / config.lines_per_s if config.lines_per_s else 0.0
         self.min_interval = (
-            terms.messages_span // max(1, terms.messages_most - 1) + 1 if terms.messages_most else 0
+            config.messages_span // max(1, config.messages_most - 1) + 1 if config.messages_most else 0
         )
         self.unacknowledged: deque[Batch] = deque()  # oldest first
-        self.sent_at = -math.inf  # when the last batch went out
-        self.free_at = 0.0  # when all that was ordered has left, at the stated pace
-        self.last_ack_latency = 0  # 0.1 ms; from an order to its effect, by the newest acknowledgement
-        self.estimated_delay = 0.0  # 0.1 ms; what a batch ordered now waits in the channel
+        self.sent_at = -math.inf  # when the last batch was sent
+        self.free_at = 0.0  # when the channel is empty, at the configured rate
+        self.last_ack_latency = 0  # from an order to its effect, by the newest acknowledgement
+        self.estimated_delay = 0.0  # of a batch sent now
 
-    # ---- pace
+    # ---- rate
 
     def min_gap(self, joined: int) -> float:
-        """The least time between two batches to so many proxies."""
+        """Shortest time between two batches to a number of proxies."""
         return max(self.min_interval, HEADER_GAP_FACTOR * self._header_time(joined))
 
     def ready(self, now: int, joined: int) -> bool:
-        """Whether a batch may go out; what is due waits until then and goes together, the urgent first."""
+        """Whether a batch may be sent now."""
         return now >= max(self.sent_at + self.min_gap(joined), self.free_at)
 
     def estimate_delay(self, now: int, joined: int, leaving: int) -> None:
-        """Foresees what a batch ordered now waits; `leaving`: slices whose owner must be left, a line each."""
+        """Estimates how long a batch sent now waits. `leaving`: slices that must leave their owner, a line
+        each.
+        """
         self.estimated_delay = (
             max(0, self.free_at - now)
             + self._header_time(joined)
@@ -78,17 +77,21 @@
         )
 
     def _header_time(self, joined: int) -> float:
+        """Time that the headers of a batch occupy the channel."""
         return joined * self.header_lines * self.time_per_line
 
-    # ---- room
+    # ---- capacity
 
     def waiting(self) -> float:
         """Lines that may still wait in the channel."""
         return sum(batch.waiting for batch in self.unacknowledged)
 
     def fits(self, urgency: int, joined: int, lines: int) -> bool:
-        """Whether a batch with so many lines may grow by a step of an urgency. Where the heads of a single batch are as much as a
-        share, all but the room for one further batch is open: else nothing went beside one that is unacknowledged."""
+        """Whether a batch of `lines` lines may grow by a step of an urgency.
+
+        Where the headers of a single batch exceed a share, all but the room for one further batch may be
+        used; otherwise nothing could be sent while a batch is unacknowledged.
+        """
         waiting = self.waiting()
         urgency = urgency if waiting else 0
         further = joined * (self.header_lines + RESERVED_LINES) if urgency else 0
@@ -98,12 +101,15 @@
         return not joined or waiting + joined * (self.header_lines + lines + 2) <= max_waiting
 
     def fits_barrier(self, joined: int) -> bool:
-        """Whether a barrier without any line may go out: it needs room as a grant does."""
+        """Whether a barrier without lines may be sent; it needs as much room as a grant."""
         return self.waiting() + joined * self.header_lines <= WAITING_SHARES[1] * self.max_waiting
 
     def must_wait_for_acks(self, now: int, joined: int, lines: int, last_ack_heard_at: int) -> bool:
-        """Whether to wait for room while acknowledgements come in, the newest at `heard_at`. Heads are most of a batch: in a channel that
-        is slower than stated, batches of a line each would fill it with heads, and drains would wait for one another."""
+        """Whether to wait for room while acknowledgements arrive, the newest at `last_ack_heard_at`.
+
+        In a channel slower than configured, batches of a line each would fill it with headers and delay
+        drains.
+        """
         waiting = self.waiting()
         return (
             waiting > GATHER_SHARE * self.max_waiting
@@ -111,10 +117,10 @@
             and waiting + joined * (self.header_lines + lines) > WAITING_SHARES[1] * self.max_waiting
         )
 
-    # ---- what goes and what has left
+    # ---- batches
 
     def send(self, now: int, barrier: int, joined: int, lines: int) -> None:
-        """A batch of so many lines, its barrier among them, goes out."""
+        """Records that a batch of `lines` lines, its barrier included, was sent."""
         each = self.header_lines + lines - 1
         self.unacknowledged.append(Batch(barrier, now, joined * each, each))
         self.free_at = max(now, self.free_at) + joined * each * self.time_per_line
@@ -125,10 +131,10 @@
         return next((one for one in self.unacknowledged if one.barrier == barrier), None)
 
     def discard_before(self, barrier: int) -> None:
-        """The channel keeps order: batches before an acknowledged one have left it."""
+        """Removes the batches before an acknowledged one: the channel keeps their order."""
         while self.unacknowledged and precedes(self.unacknowledged[0].barrier, barrier):
             self.unacknowledged.popleft()
 
     def discard_all(self) -> None:
-        """Nothing waits: a channel that still held messages would go on to deliver them, however slowly, and be acknowledged."""
+        """Removes all batches where no acknowledgement is outstanding."""
         self.unacknowledged.clear()
--- a/cedarshift/judge/write_stops.py
+++ b/cedarshift/judge/write_stops.py
@@ -1,15 +1,16 @@
-"""When proxies have surely stopped writing to a former owner of a slice. No I/O, and no clock but the time passed in.
-
-A slice is revoked by a batch of orders that ends in a numbered barrier. A proxy has stopped once one of these is proved, and
-what is proved once stays proved: a proxy never goes back behind tables that it has applied, or that it must read before it writes.
-
-1. It acknowledged the revoke's barrier or a later one, in whatever stream.
-2. Its stream broke a lease ago, and it has not joined since.
-3. It joined after it had been away for a lease, when the store surely held the revoke: it reads that before it writes.
-4. It stays silent with an open stream. All messages up to a barrier have left the channel when someone acknowledges a later one.
-   Then the proxy's has reached it within the longest way, or its stream had broken by then unnoticed and its lease has run
-   out; a proxy that joined meanwhile has read the store within the stated time. It counts only once an acknowledgement of anyone has
-   been heard after all that: events come in order, so a break or a joining would have been heard before.
+"""Determines when proxies have stopped writing to the former owner of a slice. No I/O; time is passed in.
+
+A slice is revoked by a batch of orders that ends in a numbered barrier. A proxy has stopped once one of the
+following is proved. A proof stays valid: a proxy never goes back behind tables that it has applied, or that
+it must read before it writes.
+
+1. It acknowledged the revoke's barrier or a later one, in any stream. 2. Its stream broke a lease ago, and it
+has not joined since. 3. It joined after an absence of a lease, when the store held the revoke, which it reads
+before it writes. 4. It is silent in an open stream. All messages up to a barrier have left the channel once
+any proxy acknowledges a later one. Within the longest transit time the proxy's message has then reached it,
+or its stream had broken unnoticed and its lease has run out; a proxy that joined meanwhile has read the store
+within the stated time. This counts only after a still later acknowledgement from any proxy: events arrive in
+order, so a break or a join would have been received before it.
 """
 
 from __future__ import annotations
@@ -19,14 +20,12 @@
 
 from cedarshift.observations import Proxy, Slice
 
-# Constants: unit, then the reason for the size.
-BARRIER_MODULUS = 65536  # barriers are numbered in a ring of this size
-ACK_RETENTION = (
-    6_000_000  # 0.1 ms; a proxy away for longer acknowledged barriers that the ring may have passed
-)
-MAX_READ_DELAY = 10_000  # 0.1 ms; the wire page: a proxy that joins reads the store within a second
-NEVER = -(1 << 62)  # 0.1 ms; before any time
-MAX_PASSED_BARRIERS = 1024  # newest barriers of which it is remembered when a later one was acknowledged; a minute of batches has some 200
+# Durations are in units of 0.1 ms.
+BARRIER_MODULUS = 65536  # barrier numbers wrap around
+ACK_RETENTION = 6_000_000  # of an absent proxy; later, barrier numbers may have wrapped around
+MAX_READ_DELAY = 10_000  # from joining to reading the store, by the protocol
+NEVER = -(1 << 62)  # before any time
+MAX_PASSED_BARRIERS = 1024  # a minute of batches has about 200
 
 
 def precedes(a: int, b: int) -> bool:
@@ -35,51 +34,50 @@
 
 
 class PassedBarrier(NamedTuple):
-    """All messages up to a barrier had left the channel at a time."""
+    """A barrier up to which all messages had left the channel at a time."""
 
     barrier: int
     at: int
 
 
 class WriteStops:
-    """What is known of the proxies' streams and acknowledgements. `lease` and `longest_way` in 0.1 ms."""
+    """Streams and acknowledgements of the proxies. Durations are in 0.1 ms."""
 
     def __init__(self, lease: int, max_transit: int) -> None:
         self.lease = lease
         self.silence_timeout = max(max_transit, MAX_READ_DELAY) + lease + MAX_READ_DELAY
         self.proxies: dict[int, Proxy] = {}
-        self.newest_barrier: Optional[int] = (
-            None  # newest barrier that anyone acknowledged: the store holds all up to it
-        )
-        self.last_ack_heard_at = NEVER  # when the newest acknowledgement was heard
+        # Newest barrier acknowledged by any proxy; the store holds all up to it.
+        self.newest_barrier: Optional[int] = None
+        self.last_ack_heard_at = NEVER  # when the newest acknowledgement was received
         self.passed: deque[PassedBarrier] = deque(maxlen=MAX_PASSED_BARRIERS)
 
     # ---- inputs
 
     def on_join(self, now: int, number: int, zone: str) -> None:
         """A proxy's stream is established."""
-        old = self.proxies.get(number)
-        if old is not None and old.joined:
-            self._confirm_silent(old)  # a break that was not told of
-        if old is not None and not old.joined and now - old.left_at > ACK_RETENTION:
-            old.acked = old.read_barrier = None
-        new = self.proxies[number] = Proxy(zone, now, old)
-        if now - new.absent_since >= self.lease and self.newest_barrier is not None:
-            new.read_barrier, new.read_absent_since, new.read_joined_at = (
+        previous = self.proxies.get(number)
+        if previous is not None and previous.joined:
+            self._confirm_silent(previous)  # its break was not reported
+        if previous is not None and not previous.joined and now - previous.left_at > ACK_RETENTION:
+            previous.acked = previous.read_barrier = None
+        proxy = self.proxies[number] = Proxy(zone, now, previous)
+        if now - proxy.absent_since >= self.lease and self.newest_barrier is not None:
+            proxy.read_barrier, proxy.read_absent_since, proxy.read_joined_at = (
                 self.newest_barrier,
-                new.absent_since,
+                proxy.absent_since,
                 now,
             )
 
     def on_leave(self, now: int, number: int) -> None:
-        """A proxy's stream is known to have broken."""
+        """A proxy's stream has broken."""
         proxy = self.proxies.get(number)
         if proxy is not None and proxy.joined:
             self._confirm_silent(proxy)
             proxy.joined, proxy.left_at = False, now
 
     def on_ack(self, now: int, proxy: Proxy, barrier: int, in_force_at: int) -> bool:
-        """Whether the acknowledgement tells anything new: a batch may be carried out twice."""
+        """Records an acknowledgement; False where it is not newer, since a batch may be carried out twice."""
         if not proxy.joined or proxy.acked is not None and not precedes(proxy.acked, barrier):
             return False
         proxy.acked, proxy.acked_at = barrier, in_force_at
@@ -89,10 +87,13 @@
             self.passed.append(PassedBarrier((barrier - 1) % BARRIER_MODULUS, now))
         return True
 
-    # ---- what is proved
+    # ---- proofs
 
     def stopped(self, revoked: Slice, now: int) -> Optional[int]:
-        """When the last proxy stopped, None while one may go on. No proxy holds a slice longer than a lease after it changed hands."""
+        """When the last proxy stopped; None while one may still write.
+
+        No proxy keeps a slice for longer than a lease after it was assigned to another pilot.
+        """
         ends = [revoked.state_since, revoked.assigned_at + self.lease]
         if revoked.mark is not None:
             for proxy in self.proxies.values():
@@ -103,8 +104,8 @@
         return max(ends) if max(ends) <= now else None
 
     def stop(self, proxy: Proxy, revoked: Slice) -> Optional[int]:
-        """When one proxy stopped, or will have; None where that is not known."""
-        assert revoked.mark is not None, "a slice that was not revoked has no barrier to be acknowledged"
+        """When a proxy stopped or will have stopped; None where that is not known."""
+        assert revoked.mark is not None, "a slice that was not revoked has no barrier"
         if proxy.acked is not None and not precedes(proxy.acked, revoked.mark):
             return proxy.acked_at
         away = max(proxy.read_absent_since, revoked.assigned_at) + self.lease
@@ -120,11 +121,14 @@
         return silent if silent is not None and silent <= self.last_ack_heard_at else None
 
     def awaited(self, revoked: Slice) -> Iterable[int]:
-        """Proxies that may still write to the former owner, by number."""
+        """Numbers of the proxies that may still write to the former owner."""
         return (number for number, proxy in sorted(self.proxies.items()) if self.stop(proxy, revoked) is None)
 
     def _silent_end(self, proxy: Proxy, revoked: Slice) -> Optional[int]:
-        """When a proxy that stays silent in its open stream must have stopped; None while its message may wait in the channel."""
+        """When a proxy that is silent in an open stream must have stopped.
+
+        None while its message may still be in the channel.
+        """
         if revoked.passed_at is None:
             revoked.passed_at = self._passed_at(revoked.mark)
         if revoked.passed_at is None:
@@ -132,13 +136,13 @@
         return max(revoked.passed_at, proxy.joined_at) + self.silence_timeout
 
     def _passed_at(self, barrier: Optional[int]) -> Optional[int]:
-        """When all messages up to a barrier were first known to have left the channel; None while they may wait there."""
+        """When all messages up to a barrier were first known to have left the channel; None before that."""
         if barrier is None or not self.passed or precedes(self.passed[-1].barrier, barrier):
             return None
         return next(one.at for one in self.passed if not precedes(one.barrier, barrier))
 
     def _confirm_silent(self, proxy: Proxy) -> None:
-        """Keeps what a stream that ends has proved by its silence."""
+        """Records what the silence of a stream that ends has proved."""
         until = self.last_ack_heard_at - self.silence_timeout
         proved = next((one for one in reversed(self.passed) if one.at <= until), None)
         if proved is None or proxy.joined_at > until:
--- a/cedarshift/log_output.py
+++ b/cedarshift/log_output.py
@@ -1,4 +1,7 @@
-"""Where log lines go: a descriptor that is never waited for. A reader that stalls costs lines, not the program's time."""
+"""Non-blocking log output to a file descriptor.
+
+A reader that stalls costs log lines but never blocks the program.
+"""
 
 from __future__ import annotations
 
@@ -7,76 +10,81 @@
 import stat
 from typing import Callable
 
-WAITING_MAX = 65_536  # bytes kept for a reader that stalls; as much as a pipe holds
+MAX_BUFFERED_BYTES = 65_536  # the default capacity of a pipe
 STANDARD_ERROR = 2
 
-Put = Callable[[bytes], int]
+Write = Callable[[bytes], int]
 
 
 class LogOutput:
-    """Writes text without blocking, in whole lines and in order; what finds no room is dropped and counted.
+    """Writes whole lines in order without blocking; lines that do not fit the buffer are dropped and counted.
 
-    It never raises: whoever reads the log may be gone, and the program goes on without. Only a regular file can hold
-    it up, as the kernel has no write to one that does not wait."""
+    Write errors are never raised. Only a regular file may block, as the kernel has no non-blocking writes to
+    one.
+    """
 
     def __init__(self, descriptor: int = STANDARD_ERROR) -> None:
-        self.put = _put_without_waiting(descriptor)
-        self.waiting = b""  # taken here, not yet by the descriptor
-        self.lost = 0  # lines dropped since the last line that told of it
+        self.write_some = _non_blocking_write(descriptor)
+        self.buffer = b""  # accepted and not yet written
+        self.dropped_lines = 0  # since the last line that reported the number
 
     def write(self, text: str) -> None:
-        """Takes one or more whole lines."""
+        """Writes one or more whole lines."""
         self.flush()
         data = text.encode(errors="replace")
-        if self.lost:
-            data = b'{"event":"log_lines_lost","lines":%d}\n' % self.lost + data
-        if len(self.waiting) + len(data) > WAITING_MAX:
-            self.lost += 1
+        if self.dropped_lines:
+            data = b'{"event":"log_lines_lost","lines":%d}\n' % self.dropped_lines + data
+        if len(self.buffer) + len(data) > MAX_BUFFERED_BYTES:
+            self.dropped_lines += 1
             return
-        self.lost = 0
-        self.waiting += data
+        self.dropped_lines = 0
+        self.buffer += data
         self.flush()
 
     def flush(self) -> None:
-        """Hands over what the descriptor takes now."""
-        while self.waiting:
+        """Writes as much of the buffer as the descriptor accepts now."""
+        while self.buffer:
             try:
-                taken = self.put(self.waiting)
+                written = self.write_some(self.buffer)
             except BlockingIOError:
                 return
-            except BrokenPipeError:  # nobody will read it
-                self.waiting = b""
+            except BrokenPipeError:  # no reader is left
+                self.buffer = b""
                 return
-            except OSError:  # a full disk, say: kept, for as long as there is room
+            except OSError:  # for instance a full disk: keeps the data
                 return
-            self.waiting = self.waiting[taken:]
+            self.buffer = self.buffer[written:]
+
 
+def _non_blocking_write(descriptor: int) -> Write:
+    """Returns a function that writes to a descriptor, or raises BlockingIOError where it would block.
 
-def _put_without_waiting(descriptor: int) -> Put:
-    """A write to a descriptor that raises BlockingIOError where it would wait. The descriptor itself may be shared with other
-    processes, whose writes must go on waiting: so a pipe or terminal is opened anew, with flags of its own."""
+    Other processes may share the open file and need blocking writes, so a pipe or terminal is reopened with
+    its own flags.
+    """
     try:
         kind = os.fstat(descriptor).st_mode
     except OSError:
-        return _nowhere
+        return _discard
     if stat.S_ISSOCK(kind):
         connection = socket.socket(fileno=os.dup(descriptor))
         return lambda data: connection.send(data, socket.MSG_DONTWAIT)
     if stat.S_ISFIFO(kind) or stat.S_ISCHR(kind):
-        descriptor = _opened_anew(descriptor)
+        descriptor = _reopen_non_blocking(descriptor)
     return lambda data: os.write(descriptor, data)
 
 
-def _opened_anew(descriptor: int) -> int:
+def _reopen_non_blocking(descriptor: int) -> int:
+    """Reopens a descriptor for non-blocking writes; sets the flag on the shared file where that fails."""
     try:
         return os.open(
             f"/proc/self/fd/{descriptor}", os.O_WRONLY | os.O_NONBLOCK | os.O_NOCTTY | os.O_CLOEXEC
         )
-    except OSError:  # no /proc, or no right to it
+    except OSError:  # no /proc, or no permission
         os.set_blocking(descriptor, False)
         return descriptor
 
 
-def _nowhere(data: bytes) -> int:
-    """The descriptor is closed."""
+def _discard(data: bytes) -> int:
+    """Discards data where the descriptor is closed."""
     return len(data)
--- a/cedarshift/units.py
+++ b/cedarshift/units.py
@@ -1,15 +1,18 @@
-"""Spans in the module's unit, whole tenths of a millisecond: one conversion for every host. `unit` is what one holds."""
+"""Conversion of durations to the decision module's unit of 0.1 ms.
+
+`unit` is the length of 0.1 ms in the caller's unit. None counts as 0.
+"""
 
 from __future__ import annotations
 
 from typing import Any
 
 
-def round_up(span: Any, unit: int) -> int:
-    """Rounded up: waits end no sooner than stated. None counts as nought."""
-    return -(-int(span or 0) // unit)
+def round_up(duration: Any, unit: int) -> int:
+    """For waits, which must not end early."""
+    return -(-int(duration or 0) // unit)
 
 
-def round_down(span: Any, unit: int) -> int:
-    """Rounded down: what must be done in time is done no later than stated. None counts as nought."""
-    return int(span or 0) // unit
+def round_down(duration: Any, unit: int) -> int:
+    """For deadlines, which must not be exceeded."""
+    return int(duration or 0) // unit
--- a/cedarshift/wirehost/__main__.py
+++ b/cedarshift/wirehost/__main__.py
@@ -1,4 +1,4 @@
-"""Hosts pilots on the simulator's wire: standard input to calls, answers to standard output."""
+"""Runs pilots for the simulator: events as JSON lines on standard input, decisions on standard output."""
 
 from __future__ import annotations
 
@@ -13,10 +13,11 @@
 
 
 class Malformed(Exception):
-    """A line that the wire does not allow."""
+    """An input line that the protocol does not allow."""
 
 
 def entry(raw: dict) -> Entry:
+    """Decodes an endpoint of the list."""
     started = raw.get("since_ns")
     return Entry(
         raw["endpoint"],
@@ -28,68 +29,81 @@
 
 
 class Host:
-    """One process's pilots."""
+    """The pilots of one process, by name."""
 
     def __init__(self) -> None:
         self.pilots: dict[str, Pilot] = {}
 
-    def feed(self, now: int, name: str, cmd: str, m: dict) -> None:
-        if cmd == "spawn":
-            self.pilots[name] = Pilot(terms(m.get("prng"), m.get("env") or {}))
+    def feed(self, now: int, name: str, command: str, message: dict) -> None:
+        """Passes an event to a pilot. Raises Malformed for an unknown pilot or command."""
+        if command == "spawn":
+            self.pilots[name] = Pilot(terms(message.get("prng"), message.get("env") or {}))
             return
         pilot = self.pilots.get(name)
         if pilot is None:
-            raise Malformed(f"{cmd} for unknown pilot {name!r}")
-        if cmd == "crash_now":
+            raise Malformed(f"{command} for unknown pilot {name!r}")
+        if command == "crash_now":
             del self.pilots[name]
-        elif cmd == "alarm":
-            pilot.on_alarm(now, m["nonce"])
-        elif cmd == "tally":
+        elif command == "alarm":
+            pilot.on_alarm(now, message["nonce"])
+        elif command == "tally":
             pilot.on_endpoint_report(
                 now,
-                m["endpoint"],
-                m.get("hall") or "",
-                m["total"],
-                m["lost"],
-                round_up(m.get("took_ns")),
-                round_up(m.get("period_len_ns")),
+                message["endpoint"],
+                message.get("hall") or "",
+                message["total"],
+                message["lost"],
+                round_up(message.get("took_ns")),
+                round_up(message.get("period_len_ns")),
             )
-        elif cmd == "key_load":
+        elif command == "key_load":
             pilot.on_slice_report(
-                now, m["set_id"], m.get("kind") or "", m["total"], m["lost"], round_up(m.get("period_len_ns"))
+                now,
+                message["set_id"],
+                message.get("kind") or "",
+                message["total"],
+                message["lost"],
+                round_up(message.get("period_len_ns")),
             )
-        elif cmd == "applied":
-            pilot.on_ack(now, m["forwarder"], m["rev"], round_down(m.get("took_ns")))
-        elif cmd == "attached":
-            pilot.on_join(now, m["forwarder"], m.get("hall") or "")
-        elif cmd == "lost_stream":
-            pilot.on_leave(now, m["forwarder"])
-        elif cmd == "tenure":
-            pilot.on_slice_assigned(now, m["set_id"], bool(m["yes"]))
-        elif cmd == "held":
-            pilot.on_stored_owner(now, m["set_id"], m["endpoint"])
-        elif cmd == "roster_change":
-            pilot.on_list(now, m["kind"], [entry(e) for e in m.get("elements") or []])
-        elif cmd not in ("ingress", "probed", "memo"):
-            raise Malformed(f"unknown cmd {cmd!r}")
+        elif command == "applied":
+            pilot.on_ack(now, message["forwarder"], message["rev"], round_down(message.get("took_ns")))
+        elif command == "attached":
+            pilot.on_join(now, message["forwarder"], message.get("hall") or "")
+        elif command == "lost_stream":
+            pilot.on_leave(now, message["forwarder"])
+        elif command == "tenure":
+            pilot.on_slice_assigned(now, message["set_id"], bool(message["yes"]))
+        elif command == "held":
+            pilot.on_stored_owner(now, message["set_id"], message["endpoint"])
+        elif command == "roster_change":
+            pilot.on_list(now, message["kind"], [entry(e) for e in message.get("elements") or []])
+        elif command not in ("ingress", "probed", "memo"):
+            raise Malformed(f"unknown cmd {command!r}")
 
     @staticmethod
-    def line(name: str, d: tuple) -> dict:
-        verb = d[0]
+    def line(name: str, decision: tuple) -> dict:
+        """Encodes a decision of a pilot."""
+        verb = decision[0]
         if verb == "line":
-            out = {"cmd": "weigh", "size": d[3], "set_id": d[1], "endpoint": d[2]}
+            out = {"cmd": "weigh", "size": decision[3], "set_id": decision[1], "endpoint": decision[2]}
         elif verb == "level":
-            out = {"cmd": "allow", "set_id": d[1], "mask": d[2], "quota": d[3], "how": d[4]}
+            out = {
+                "cmd": "allow",
+                "set_id": decision[1],
+                "mask": decision[2],
+                "quota": decision[3],
+                "how": decision[4],
+            }
         elif verb == "mark":
-            out = {"cmd": "seal", "rev": d[1], "yes": d[2]}
+            out = {"cmd": "seal", "rev": decision[1], "yes": decision[2]}
         elif verb == "wake":
-            out = {"cmd": "wake_at", "wait_ns": d[1] * UNIT, "nonce": d[2]}
+            out = {"cmd": "wake_at", "wait_ns": decision[1] * UNIT, "nonce": decision[2]}
         elif verb == "ask_list":
-            out = {"cmd": "tail", "yes": d[1]}
+            out = {"cmd": "tail", "yes": decision[1]}
         elif verb == "install":
-            out = {"cmd": "install", "forwarder": d[1], "mask": d[2], "set_id": d[3]}
+            out = {"cmd": "install", "forwarder": decision[1], "mask": decision[2], "set_id": decision[3]}
         elif verb == "note":
-            out = {"cmd": "record", "text": d[1]}
+            out = {"cmd": "record", "text": decision[1]}
         else:
             raise ValueError(f"unknown decision {verb!r}")
         out["pilot"] = name
@@ -97,31 +111,31 @@
 
 
 def serve(source: Any, sink: Any) -> None:
-    """Answers batch after batch until the input ends."""
+    """Answers each batch of events until the input ends. Raises Malformed."""
     host, now, touched, broken = Host(), None, [], {}
     for raw in source:
         try:
-            m = orjson.loads(raw)
-            cmd = m["cmd"]
-            if cmd == "tick":
-                now, touched, broken = round_down(m["ts_ns"]), [], {}
+            message = orjson.loads(raw)
+            command = message["cmd"]
+            if command == "tick":
+                now, touched, broken = round_down(message["ts_ns"]), [], {}
                 continue
             if now is None:
-                raise Malformed(f"{cmd} before a tick")
-            if cmd != "flush":
-                name = m["pilot"]
+                raise Malformed(f"{command} before a tick")
+            if command != "flush":
+                name = message["pilot"]
         except (orjson.JSONDecodeError, KeyError, TypeError, AttributeError, Malformed) as e:
             raise Malformed(f"malformed line ({type(e).__name__}: {e}): {raw[:200]!r}") from None
-        if cmd != "flush":
+        if command != "flush":
             if name not in touched:
                 touched.append(name)
             try:
-                host.feed(now, name, cmd, m)
+                host.feed(now, name, command, message)
             except Malformed:
                 raise
-            except Exception as e:  # the module's fault goes on the wire, with its text
+            except Exception as e:  # a fault of the decision module is reported in the reply
                 if isinstance(e, (KeyError, TypeError, ValueError)) and _from_host(e):
-                    raise Malformed(f"malformed {cmd} ({type(e).__name__}: {e}): {raw[:200]!r}") from None
+                    raise Malformed(f"malformed {command} ({type(e).__name__}: {e}): {raw[:200]!r}") from None
                 broken.setdefault(name, f"{type(e).__name__}: {e}")
             continue
         reply = []
@@ -138,12 +152,12 @@
         sink.flush()
 
 
-def _from_host(e: BaseException) -> bool:
-    """True where the fault arose in this file, so in reading the line and not in the module."""
-    tb = e.__traceback__
-    while tb and tb.tb_next:
-        tb = tb.tb_next
-    return bool(tb) and tb.tb_frame.f_code.co_filename == __file__
+def _from_host(error: BaseException) -> bool:
+    """Whether an exception was raised in this file, while reading a line, and not in the decision module."""
+    traceback = error.__traceback__
+    while traceback and traceback.tb_next:
+        traceback = traceback.tb_next
+    return bool(traceback) and traceback.tb_frame.f_code.co_filename == __file__
 
 
 def main() -> int:
