--- a/cedarshift/codec/platform/config.py
+++ b/cedarshift/codec/platform/config.py
@@ -9,7 +9,7 @@
 from cedarshift.codec.platform import entries, fields
 from cedarshift.codec.platform.errors import ConfigError, ConfigNotReady, InvalidMessage
 from cedarshift.codec.platform.settings import parse_terms
-from cedarshift.interface import Terms
+from cedarshift.interface import DecisionConfig
 
 REQUIRED_VARIABLES = ("RELAY_NAME", "RELAY_LISTEN", "RELAY_DISCOVERY", "RELAY_CONFIG")
 MIN_SOCKETS = 64  # file descriptors; fewer leave no room for collectors
@@ -32,7 +32,7 @@
     listen: Address
     discovery: Address
     relay: Address
-    terms: Terms
+    terms: DecisionConfig
     initial_list: Optional[entries.EndpointList]
     max_sockets: int
 
--- a/cedarshift/codec/platform/reports.py
+++ b/cedarshift/codec/platform/reports.py
@@ -22,7 +22,7 @@
 
 def ms_to_tenths(ms: float) -> int:
     """Milliseconds to tenths of a millisecond, rounded up."""
-    return units.up(round(ms * 1000), 100)
+    return units.round_up(round(ms * 1000), 100)
 
 
 def kind(message: dict[str, Any]) -> str:
--- a/cedarshift/judge/write_stops.py
+++ b/cedarshift/judge/write_stops.py
@@ -1,15 +1,16 @@
-"""When proxies have surely stopped writing to a former owner of a slice. No I/O, and no clock but the time passed in.
-
-A slice is revoked by a batch of orders that ends in a numbered barrier. A proxy has stopped once one of these is proved, and
-what is proved once stays proved: a proxy never goes back behind tables that it has applied, or that it must read before it writes.
-
-1. It acknowledged the revoke's barrier or a later one, in whatever stream.
-2. Its stream broke a lease ago, and it has not joined since.
-3. It joined after it had been away for a lease, when the store surely held the revoke: it reads that before it writes.
-4. It stays silent with an open stream. All messages up to a barrier have left the channel when someone acknowledges a later one.
-   Then the proxy's has reached it within the longest way, or its stream had broken by then unnoticed and its lease has run
-   out; a proxy that joined meanwhile has read the store within the stated time. It counts only once an acknowledgement of anyone has
-   been heard after all that: events come in order, so a break or a joining would have been heard before.
+"""Determines when proxies have stopped writing to the former owner of a slice. No I/O; time is passed in.
+
+A slice is revoked by a batch of orders that ends in a numbered barrier. A proxy has stopped once one of the
+following is proved. A proof stays valid: a proxy never goes back behind tables that it has applied, or that
+it must read before it writes.
+
+1. It acknowledged the revoke's barrier or a later one, in any stream. 2. Its stream broke a lease ago, and it
+has not joined since. 3. It joined after an absence of a lease, when the store held the revoke, which it reads
+before it writes. 4. It is silent in an open stream. All messages up to a barrier have left the channel once
+any proxy acknowledges a later one. Within the longest transit time the proxy's message has then reached it,
+or its stream had broken unnoticed and its lease has run out; a proxy that joined meanwhile has read the store
+within the stated time. This counts only after a still later acknowledgement from any proxy: events arrive in
+order, so a break or a join would have been received before it.
 """
 
 from __future__ import annotations
@@ -19,75 +20,81 @@
 
 from cedarshift.observations import Proxy, Slice
 
-# Constants: unit, then the reason for the size.
-BARRIERS = 65536  # barriers are numbered in a ring of this size
-ACKS_KEPT = 6_000_000  # 0.1 ms; a proxy away for longer acknowledged barriers that the ring may have passed
-READ_WITHIN = 10_000  # 0.1 ms; the wire page: a proxy that joins reads the store within a second
-NEVER = -(1 << 62)  # 0.1 ms; before any time
-OVERTAKEN_KEPT = 1024  # newest barriers of which it is remembered when a later one was acknowledged; a minute of batches has some 200
+# Durations are in units of 0.1 ms.
+BARRIER_MODULUS = 65536  # barrier numbers wrap around
+ACK_RETENTION = 6_000_000  # of an absent proxy; later, barrier numbers may have wrapped around
+MAX_READ_DELAY = 10_000  # from joining to reading the store, by the protocol
+NEVER = -(1 << 62)  # before any time
+MAX_PASSED_BARRIERS = 1024  # a minute of batches has about 200
 
 
-def older(a: int, b: int) -> bool:
+def precedes(a: int, b: int) -> bool:
     """Whether barrier `a` came before `b`."""
-    return a != b and (b - a) % BARRIERS < BARRIERS // 2
+    return a != b and (b - a) % BARRIER_MODULUS < BARRIER_MODULUS // 2
 
 
-class Overtaken(NamedTuple):
-    """All messages up to a barrier had left the channel at a time."""
+class PassedBarrier(NamedTuple):
+    """A barrier up to which all messages had left the channel at a time."""
 
     barrier: int
     at: int
 
 
 class WriteStops:
-    """What is known of the proxies' streams and acknowledgements. `lease` and `longest_way` in 0.1 ms."""
+    """Streams and acknowledgements of the proxies. Durations are in 0.1 ms."""
 
-    def __init__(self, lease: int, longest_way: int) -> None:
+    def __init__(self, lease: int, max_transit: int) -> None:
         self.lease = lease
-        self.silent_after = max(longest_way, READ_WITHIN) + lease + READ_WITHIN
+        self.silence_timeout = max(max_transit, MAX_READ_DELAY) + lease + MAX_READ_DELAY
         self.proxies: dict[int, Proxy] = {}
-        self.newest: Optional[int] = (
-            None  # newest barrier that anyone acknowledged: the store holds all up to it
-        )
-        self.heard_at = NEVER  # when the newest acknowledgement was heard
-        self.overtaken: deque[Overtaken] = deque(maxlen=OVERTAKEN_KEPT)
+        # Newest barrier acknowledged by any proxy; the store holds all up to it.
+        self.newest_barrier: Optional[int] = None
+        self.last_ack_heard_at = NEVER  # when the newest acknowledgement was received
+        self.passed: deque[PassedBarrier] = deque(maxlen=MAX_PASSED_BARRIERS)
 
     # ---- inputs
 
     def on_join(self, now: int, number: int, zone: str) -> None:
         """A proxy's stream is established."""
-        old = self.proxies.get(number)
-        if old is not None and old.joined:
-            self._confirm_silent(old)  # a break that was not told of
-        if old is not None and not old.joined and now - old.left_at > ACKS_KEPT:
-            old.acked = old.read = None
-        new = self.proxies[number] = Proxy(zone, now, old)
-        if now - new.away_from >= self.lease and self.newest is not None:
-            new.read, new.read_from, new.read_joined = self.newest, new.away_from, now
+        previous = self.proxies.get(number)
+        if previous is not None and previous.joined:
+            self._confirm_silent(previous)  # its break was not reported
+        if previous is not None and not previous.joined and now - previous.left_at > ACK_RETENTION:
+            previous.acked = previous.read_barrier = None
+        proxy = self.proxies[number] = Proxy(zone, now, previous)
+        if now - proxy.absent_since >= self.lease and self.newest_barrier is not None:
+            proxy.read_barrier, proxy.read_absent_since, proxy.read_joined_at = (
+                self.newest_barrier,
+                proxy.absent_since,
+                now,
+            )
 
     def on_leave(self, now: int, number: int) -> None:
-        """A proxy's stream is known to have broken."""
+        """A proxy's stream has broken."""
         proxy = self.proxies.get(number)
         if proxy is not None and proxy.joined:
             self._confirm_silent(proxy)
             proxy.joined, proxy.left_at = False, now
 
     def on_ack(self, now: int, proxy: Proxy, barrier: int, in_force_at: int) -> bool:
-        """Whether the acknowledgement tells anything new: a batch may be carried out twice."""
-        if not proxy.joined or proxy.acked is not None and not older(proxy.acked, barrier):
+        """Records an acknowledgement; False where it is not newer, since a batch may be carried out twice."""
+        if not proxy.joined or proxy.acked is not None and not precedes(proxy.acked, barrier):
             return False
         proxy.acked, proxy.acked_at = barrier, in_force_at
-        self.heard_at = now
-        if self.newest is None or older(self.newest, barrier):
-            self.newest = barrier
-            self.overtaken.append(Overtaken((barrier - 1) % BARRIERS, now))
+        self.last_ack_heard_at = now
+        if self.newest_barrier is None or precedes(self.newest_barrier, barrier):
+            self.newest_barrier = barrier
+            self.passed.append(PassedBarrier((barrier - 1) % BARRIER_MODULUS, now))
         return True
 
-    # ---- what is proved
+    # ---- proofs
 
     def stopped(self, revoked: Slice, now: int) -> Optional[int]:
-        """When the last proxy stopped, None while one may go on. No proxy holds a slice longer than a lease after it changed hands."""
-        ends = [revoked.since, revoked.given_at + self.lease]
+        """When the last proxy stopped; None while one may still write.
+
+        No proxy keeps a slice for longer than a lease after it was assigned to another pilot.
+        """
+        ends = [revoked.state_since, revoked.assigned_at + self.lease]
         if revoked.mark is not None:
             for proxy in self.proxies.values():
                 end = self.stop(proxy, revoked)
@@ -97,46 +104,49 @@
         return max(ends) if max(ends) <= now else None
 
     def stop(self, proxy: Proxy, revoked: Slice) -> Optional[int]:
-        """When one proxy stopped, or will have; None where that is not known."""
-        assert revoked.mark is not None, "a slice that was not revoked has no barrier to be acknowledged"
-        if proxy.acked is not None and not older(proxy.acked, revoked.mark):
+        """When a proxy stopped or will have stopped; None where that is not known."""
+        assert revoked.mark is not None, "a slice that was not revoked has no barrier"
+        if proxy.acked is not None and not precedes(proxy.acked, revoked.mark):
             return proxy.acked_at
-        away = max(proxy.read_from, revoked.given_at) + self.lease
+        away = max(proxy.read_absent_since, revoked.assigned_at) + self.lease
         if (
-            proxy.read is not None
-            and not older(proxy.read, revoked.mark)
-            and proxy.read_joined >= max(away, revoked.since)
+            proxy.read_barrier is not None
+            and not precedes(proxy.read_barrier, revoked.mark)
+            and proxy.read_joined_at >= max(away, revoked.state_since)
         ):
             return away
         if not proxy.joined:
             return proxy.left_at + self.lease
         silent = self._silent_end(proxy, revoked)
-        return silent if silent is not None and silent <= self.heard_at else None
+        return silent if silent is not None and silent <= self.last_ack_heard_at else None
 
     def awaited(self, revoked: Slice) -> Iterable[int]:
-        """Proxies that may still write to the former owner, by number."""
+        """Numbers of the proxies that may still write to the former owner."""
         return (number for number, proxy in sorted(self.proxies.items()) if self.stop(proxy, revoked) is None)
 
     def _silent_end(self, proxy: Proxy, revoked: Slice) -> Optional[int]:
-        """When a proxy that stays silent in its open stream must have stopped; None while its message may wait in the channel."""
-        if revoked.overtaken_at is None:
-            revoked.overtaken_at = self._overtaken_at(revoked.mark)
-        if revoked.overtaken_at is None:
+        """When a proxy that is silent in an open stream must have stopped.
+
+        None while its message may still be in the channel.
+        """
+        if revoked.passed_at is None:
+            revoked.passed_at = self._passed_at(revoked.mark)
+        if revoked.passed_at is None:
             return None
-        return max(revoked.overtaken_at, proxy.joined_at) + self.silent_after
+        return max(revoked.passed_at, proxy.joined_at) + self.silence_timeout
 
-    def _overtaken_at(self, barrier: Optional[int]) -> Optional[int]:
-        """When all messages up to a barrier were first known to have left the channel; None while they may wait there."""
-        if barrier is None or not self.overtaken or older(self.overtaken[-1].barrier, barrier):
+    def _passed_at(self, barrier: Optional[int]) -> Optional[int]:
+        """When all messages up to a barrier were first known to have left the channel; None before that."""
+        if barrier is None or not self.passed or precedes(self.passed[-1].barrier, barrier):
             return None
-        return next(one.at for one in self.overtaken if not older(one.barrier, barrier))
+        return next(one.at for one in self.passed if not precedes(one.barrier, barrier))
 
     def _confirm_silent(self, proxy: Proxy) -> None:
-        """Keeps what a stream that ends has proved by its silence."""
-        until = self.heard_at - self.silent_after
-        proved = next((one for one in reversed(self.overtaken) if one.at <= until), None)
+        """Records what the silence of a stream that ends has proved."""
+        until = self.last_ack_heard_at - self.silence_timeout
+        proved = next((one for one in reversed(self.passed) if one.at <= until), None)
         if proved is None or proxy.joined_at > until:
             return
-        if proxy.acked is None or older(proxy.acked, proved.barrier):
+        if proxy.acked is None or precedes(proxy.acked, proved.barrier):
             proxy.acked = proved.barrier
-            proxy.acked_at = max(proved.at, proxy.joined_at) + self.silent_after
+            proxy.acked_at = max(proved.at, proxy.joined_at) + self.silence_timeout
--- a/cedarshift/pilot/learning.py
+++ b/cedarshift/pilot/learning.py
@@ -28,7 +28,7 @@
 from cedarshift.link import Link, connect
 from cedarshift.loop import StreamBroken, TimedOut
 from cedarshift.loop.core import Coroutine
-from cedarshift.pilot.terms import down
+from cedarshift.pilot.terms import round_down
 
 if TYPE_CHECKING:
     from cedarshift.pilot.service import PilotService
@@ -268,7 +268,9 @@
             if fact is not None and name not in applied:
                 start = self.trust.starts.get((name, fact.start))
                 entries.append(
-                    Entry(name, ON, fact.size, fact.zone, None if start is None else max(1, down(start)))
+                    Entry(
+                        name, ON, fact.size, fact.zone, None if start is None else max(1, round_down(start))
+                    )
                 )
         warned = [
             entry._replace(phase="fading")
@@ -293,7 +295,7 @@
             started = self.trust.started(name, own[name], now, warm_within)
             if started is not None:
                 entry = entry._replace(
-                    started=max(1, down(self._first_reported_start(name, own[name].start, started)))
+                    started=max(1, round_down(self._first_reported_start(name, own[name].start, started)))
                 )
             result[name] = entry
         return result
--- a/cedarshift/pilot/lending.py
+++ b/cedarshift/pilot/lending.py
@@ -194,7 +194,9 @@
         if entry is None or known is None or confirmed is None:
             return facts
         start, started = service.source.starts.known.get(name, ("", None))
-        leave_age = now - known.told_at * TICK_US if entry.phase != "on" and known.told_at else -1
+        leave_age = (
+            now - known.leave_reported_at * TICK_US if entry.phase != "on" and known.leave_reported_at else -1
+        )
         sums = [
             m.LentSum(now - at, stats.tries, stats.aborted, stats.took, stats.span, stats.zone)
             for at, stats in self.endpoint_stats.get(name, ())
--- a/cedarshift/pilot/rights.py
+++ b/cedarshift/pilot/rights.py
@@ -36,6 +36,6 @@
         moves_in_progress,
         lambda: bool(service.slices),
         live_pilots,
-        lambda rights: brain.on_rights(service._now_ticks(), rights),
+        lambda rights: brain.on_budgets(service._now_ticks(), rights),
     )
     service.budgets.bring_rights(service.name, plan.clock_drift, plan.claim_cold, fleet)
--- a/cedarshift/pilot/service.py
+++ b/cedarshift/pilot/service.py
@@ -22,7 +22,7 @@
 from cedarshift.deployment import Deployment
 from cedarshift.deployment.deployment import NodeRoster
 from cedarshift.gossip.service import Membership
-from cedarshift.interface import Entry, pulled
+from cedarshift.interface import Entry, pull_decisions
 from cedarshift.judge.admission import JoinLimiter
 from cedarshift.judge.trust import OwnEntry, PhaseReport
 from cedarshift.link import Link, serve
@@ -34,7 +34,7 @@
 from cedarshift.pilot.learning import Learning
 from cedarshift.pilot.lending import Lending
 from cedarshift.pilot.store_client import StoreClient
-from cedarshift.pilot.terms import TICK_US, down, module_config, up
+from cedarshift.pilot.terms import TICK_US, module_config, round_down, round_up
 from cedarshift.roster import EphemeralSource, EphemeralTerms, FileSource, ServiceSource
 from cedarshift.roster.sources import SavedList
 
@@ -283,19 +283,19 @@
             self.applied_entries.update({entry.endpoint: entry for entry in changed})
             self.brain.on_list(now, "update", changed)
         for heard, name, stats in self.learning.take_endpoint_stats(self.observed_endpoints):
-            self.brain.on_met(
-                down(heard),
+            self.brain.on_endpoint_report(
+                round_down(heard),
                 name,
                 stats.zone,
                 stats.tries,
                 min(stats.aborted, stats.tries),
-                up(stats.took),
-                up(stats.span),
+                round_up(stats.took),
+                round_up(stats.span),
             )
         running = [name for name, entry in effective.items() if entry.phase == "on"]
         for name, until in sorted(self.learning.sick_endpoints(running, self.observed_endpoints).items()):
-            self.borrowed_sick_until[name] = up(until)
-            self.brain.on_warned(now, name, up(until))
+            self.borrowed_sick_until[name] = round_up(until)
+            self.brain.on_sick_warning(now, name, round_up(until))
         self._pull_decisions()
 
     def on_borrowed_list(self, entries: list[Entry]) -> None:
@@ -352,19 +352,19 @@
         now = self._now_ticks()
         for row in rows:
             self.slices[row.slice] = row
-            self.brain.on_given(now, row.slice, True)
+            self.brain.on_slice_assigned(now, row.slice, True)
             if row.owner:
-                self.brain.on_held(now, row.slice, row.owner)
+                self.brain.on_stored_owner(now, row.slice, row.owner)
             for heard, slice_stats in (
                 self.learning.take_slice_stats(row.slice) if self.learning is not None else ()
             ):
-                self.brain.on_heat(
-                    down(heard),
+                self.brain.on_slice_report(
+                    round_down(heard),
                     row.slice,
                     slice_stats.op_type,
                     slice_stats.ops,
                     slice_stats.unanswered,
-                    up(slice_stats.span),
+                    round_up(slice_stats.span),
                 )
         self.report("given", slices=len(rows))
         self._broadcast(m.Charge(given=rows))
@@ -375,7 +375,7 @@
         now = self._now_ticks()
         for number in slices:
             self.slices.pop(number, None)
-            self.brain.on_given(now, number, False)
+            self.brain.on_slice_assigned(now, number, False)
         self.report("taken", slices=len(slices))
         self._broadcast(m.Charge(taken=slices))
 
@@ -540,7 +540,7 @@
         took = max(0, self.loop.now() - (ordered_at or self.loop.now()) - ack.held)
         self.in_force_us.append(took)
         # Rounded up, so that the settle time never starts early.
-        self.brain.on_ack(self._now_ticks(), session.number, ack.mark, up(took))
+        self.brain.on_ack(self._now_ticks(), session.number, ack.mark, round_up(took))
 
     def _drain_intake(self) -> Coroutine:
         """Periodically passes aggregated proxy reports to the decision module."""
@@ -556,22 +556,27 @@
         """
         now, at = self._now_ticks(), self.loop.now()
         for endpoint_stats in zone_totals:
-            self.brain.on_met(
+            self.brain.on_endpoint_report(
                 now,
                 endpoint_stats.endpoint,
                 endpoint_stats.zone,
                 endpoint_stats.tries,
                 endpoint_stats.aborted,
-                up(endpoint_stats.took),
-                up(endpoint_stats.span),
+                round_up(endpoint_stats.took),
+                round_up(endpoint_stats.span),
             )
             self.source.on_sums(endpoint_stats.endpoint, endpoint_stats.tries, endpoint_stats.aborted)
             if self.lending is not None:
                 self.lending.record_endpoint_stats(at, endpoint_stats)
         for slice_stats in slice_totals:
             name = self.deployment.op_types[slice_stats.op_type].name
-            self.brain.on_heat(
-                now, slice_stats.slice, name, slice_stats.ops, slice_stats.unanswered, up(slice_stats.span)
+            self.brain.on_slice_report(
+                now,
+                slice_stats.slice,
+                name,
+                slice_stats.ops,
+                slice_stats.unanswered,
+                round_up(slice_stats.span),
             )
             if self.lending is not None:
                 self.lending.record_slice_stats(at, name, slice_stats)
@@ -580,7 +585,7 @@
 
     def _now_ticks(self) -> int:
         """Returns the current time in the decision module's unit."""
-        return down(self.loop.now())
+        return round_down(self.loop.now())
 
     def _schedule_alarm(self, after: int, nonce: int) -> None:
         self.loop.at(self.loop.now() + after * TICK_US, self._on_alarm, nonce)
@@ -598,7 +603,7 @@
             self.budgets.settle()
         batch = DecisionBatch(self.loop.now())
         try:
-            for decision in pulled(self.brain, self._now_ticks()):
+            for decision in pull_decisions(self.brain, self._now_ticks()):
                 self._apply_decision(batch, decision)
         finally:
             self.pulling = False
@@ -790,7 +795,7 @@
             "phase": entry.phase,
             "size": entry.size,
             "zone": entry.zone,
-            "part": known.part,
+            "part": known.capacity,
             "warmth": self.brain._warmth(known, self._now_ticks()),
             "sick_s": max(0, known.sick_until - self._now_ticks()) / 10_000,
         }
--- a/cedarshift/platform/service.py
+++ b/cedarshift/platform/service.py
@@ -16,7 +16,7 @@
 from cedarshift.codec.platform.entries import EndpointList
 from cedarshift.codec.platform.errors import InvalidMessage
 from cedarshift.diagnostics import HandOverWait
-from cedarshift.interface import pulled
+from cedarshift.interface import pull_decisions
 from cedarshift.loop import Loop
 from cedarshift.loop.core import Coroutine
 from cedarshift.platform.collectors import Collectors, Limits
@@ -145,9 +145,11 @@
         """Raises InvalidMessage for an invalid report."""
         kind = reports.kind(message)
         if kind == reports.OUTCOMES:
-            self.brain.on_met(self._now(), *reports.parse_outcomes(message, self.zones, self.brain.endpoints))
+            self.brain.on_endpoint_report(
+                self._now(), *reports.parse_outcomes(message, self.zones, self.brain.endpoints)
+            )
         elif kind == reports.SLICE_LOAD:
-            self.brain.on_heat(
+            self.brain.on_slice_report(
                 self._now(), *reports.parse_slice_load(message, self.slice_count, self.op_types)
             )
         else:
@@ -177,7 +179,9 @@
         acceptance_delay_us = (
             self.loop.now() if marked.accepted_at is None else marked.accepted_at
         ) - marked.decided_at
-        self.brain.on_ack(self._now(), proxy, mark, latency + units.up(acceptance_delay_us, TENTH_MS_US))
+        self.brain.on_ack(
+            self._now(), proxy, mark, latency + units.round_up(acceptance_delay_us, TENTH_MS_US)
+        )
 
     def on_slice_added(self, slice_id: int) -> None:
         self.missing_slices.discard(slice_id)
@@ -186,7 +190,7 @@
         self.reopen_orders.pop(slice_id, None)
         self.held_lines.discard(slice_id)
         self.calls.drop_slice(slice_id)
-        self.brain.on_given(self._now(), slice_id, True)
+        self.brain.on_slice_assigned(self._now(), slice_id, True)
 
     def on_slice_removed(self, slice_id: int) -> None:
         self.missing_slices.discard(slice_id)
@@ -196,14 +200,14 @@
         self.reopen_orders.pop(slice_id, None)
         self.held_lines.discard(slice_id)
         self.calls.drop_slice(slice_id)
-        self.brain.on_given(self._now(), slice_id, False)
+        self.brain.on_slice_assigned(self._now(), slice_id, False)
 
     def on_table_line(self, slice_id: int, endpoint: str) -> None:
         """Uses only the first line of a newly assigned slice; later ones repeat this pilot's own orders."""
         if slice_id in self.awaiting_line and endpoint:
             self.awaiting_line.discard(slice_id)
             self.slices[slice_id] = endpoint
-            self.brain.on_held(self._now(), slice_id, endpoint)
+            self.brain.on_stored_owner(self._now(), slice_id, endpoint)
 
     def on_snapshot(
         self, proxies: dict[int, str], slices: dict[int, str], silence_us: int, requested_at: int
@@ -260,8 +264,8 @@
 
     def on_heartbeat(self, stream_started_at: int) -> None:
         """Tells the module that all events since `stream_started_at` have been handled."""
-        self.brain.on_sign(
-            self._now(), self._now() - units.down(self.loop.now() - stream_started_at, TENTH_MS_US)
+        self.brain.on_stream_alive(
+            self._now(), self._now() - units.round_down(self.loop.now() - stream_started_at, TENTH_MS_US)
         )
         self._pull_decisions()
 
@@ -324,26 +328,28 @@
         self.awaiting_line.discard(slice_id)
         self.slices[slice_id], self.reopen_orders[slice_id] = endpoint, reopen
         self.held_lines.add(slice_id)
-        self.brain.on_held(self._now(), slice_id, endpoint, shut=True)
+        self.brain.on_stored_owner(self._now(), slice_id, endpoint, all_closed=True)
 
     def slowest_endpoints(self) -> list[dict[str, Any]]:
         """The module's state of the endpoints with the longest op latency, for the log."""
         brain, now = self.brain, self._now()
-        slowest = sorted(getattr(brain, "met", {}).items(), key=lambda item: -item[1][2])
+        slowest = sorted(getattr(brain, "endpoint_totals", {}).items(), key=lambda item: -item[1][2])
         return [
             {
                 "endpoint": name,
                 "tries": tries,
                 "aborted": round(aborted),
                 "took_ms": round(took / 10),
-                "part": round(brain.endpoints[name].part, 2),
-                "slices": len(brain.held.get(name, ())),
+                "part": round(brain.endpoints[name].capacity, 2),
+                "slices": len(brain.owned_slices.get(name, ())),
                 "fair_share": round(
-                    brain.burden.get(name, 0.0) / max(1e-9, brain.unit * brain.endpoints[name].part), 2
+                    brain.assigned_rates.get(name, 0.0)
+                    / max(1e-9, brain.fair_rate * brain.endpoints[name].capacity),
+                    2,
                 ),
                 "warmth": round(brain._warmth(brain.endpoints[name], now), 2),
                 "hot": brain.endpoints[name].hot_checks,
-                "kept": brain.endpoints[name].kept,
+                "kept": brain.endpoints[name].no_move_reason,
                 "sick_ms": max(0, brain.endpoints[name].sick_until - now) // 10,
             }
             for name, (tries, aborted, took) in slowest[:SLOWEST_LOGGED]
@@ -373,7 +379,7 @@
     # ---- decisions
 
     def _now(self) -> int:
-        return units.down(self.loop.now() + self.start_times.base, TENTH_MS_US)
+        return units.round_down(self.loop.now() + self.start_times.base, TENTH_MS_US)
 
     def _schedule_alarm(self, after: int, nonce: int) -> None:
         self.loop.at(self.loop.now() + after * TENTH_MS_US, self._on_alarm, nonce)
@@ -390,12 +396,12 @@
         at = self.loop.now()
         new_orders: list[orders.Order] = []
         try:
-            for decision in pulled(self.brain, self._now()):
+            for decision in pull_decisions(self.brain, self._now()):
                 self._handle_decision(new_orders, decision)
         except Exception as error:  # keep earlier decisions and schedule the next alarm
             self.counts["faults"] += 1
             self.report("module_failed", error=repr(error), traceback=traceback.format_exc())
-            self.loop.at(self.loop.now() + FAULT_RETRY_US, self._on_alarm, self.brain.beat)
+            self.loop.at(self.loop.now() + FAULT_RETRY_US, self._on_alarm, self.brain.alarm_nonce)
         finally:
             self.pulling = False
         if new_orders:
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -1,7 +1,7 @@
-"""Builds the state that a test needs."""
+"""Builds the state that tests of the decision module need."""
 
 from cedarshift.brain import Pilot
-from cedarshift.interface import Entry, OpType, Terms
+from cedarshift.interface import DecisionConfig, Entry, OpType
 from cedarshift.observations import OWNED
 
 TERMS = dict(
@@ -23,37 +23,40 @@
 
 
 def pilot(endpoints="abcd", owners="abcdabcd", proxies=2, now=0, **terms):
-    """A pilot with warm endpoints, a slice for each letter of `owners` ('-': no line) and joined proxies."""
-    p = Pilot(Terms(**{**TERMS, "slices": len(owners), **terms}))
+    """Returns a pilot with warm endpoints, joined proxies and a slice per letter of `owners` ('-': none)."""
+    p = Pilot(DecisionConfig(**{**TERMS, "slices": len(owners), **terms}))
     p.on_list(now, "restored", [entry(n) for n in endpoints])
     for i in range(proxies):
         p.on_join(now, i, "z")
         p.proxies[i].acked = p.mark
     for i, owner in enumerate(owners):
-        p.on_given(now, i, True)
+        p.on_slice_assigned(now, i, True)
         if owner != "-":
-            p.on_held(now, i, owner)
-    p._weigh_up(now)
+            p.on_stored_owner(now, i, owner)
+    p._update_estimates(now)
     return p
 
 
 def entry(name, phase="on", started=None, size=1.0):
+    """Returns an endpoint of the list."""
     return Entry(name, phase, size, "z", started)
 
 
 def decisions(p, now):
-    """All that the pilot decides at a time, its timer and marks left out."""
-    p.fresh = True
+    """Returns all decisions at a time, except timers and marks."""
+    p.wake_pending = True
     out = []
     while (d := p.next_decision(now)) is not None:
         out.append(d)
     return [d for d in out if d[0] not in ("wake", "mark")]
 
 
-def heard(p, now, name, tries, aborted, took, zone="z"):
+def report_outcomes(p, now, name, tries, aborted, took, zone="z"):
+    """Reports the ops to an endpoint over the last three periods."""
     for at in (now - 10_000, now - 5_000, now):
-        p.on_met(at, name, zone, tries, aborted, took, 10_000)
+        p.on_endpoint_report(at, name, zone, tries, aborted, took, 10_000)
 
 
 def states(p):
+    """Returns a letter per slice: 'o' owned, 'r' revoking, 's' settling, 'e' empty."""
     return "".join({OWNED: "o"}.get(s.state, s.state[0]) for _, s in sorted(p.slices.items()))
--- a/tests/platform_parts.py
+++ b/tests/platform_parts.py
@@ -274,7 +274,7 @@
 
     def order(self, *decisions):
         """Adds decisions to those of the module and submits them."""
-        self.brain.out.extend(decisions)
+        self.brain.pending_decisions.extend(decisions)
         self.pilot._pull_decisions()
 
     def orders(self):
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -282,7 +282,7 @@
 def test_an_unanswered_order_over_a_long_silence_needs_a_second_snapshot(stage, carried_out):
     """A snapshot older than an order with a lost response must not decide: a later snapshot does."""
     stream, _ = stage.begin()
-    stage.brain.weighed_at = 10**15  # suppress other decisions
+    stage.brain.estimated_at = 10**15  # suppress other decisions
     stage.order(("line", 0, "b", 1))
     call = stage.relay.accept()
     call.request()
@@ -309,14 +309,14 @@
 def test_a_delayed_line_event_of_a_pilot_s_own_grant_ends_no_hand_over(stage):
     """The delayed line event of a pilot's own grant must not end the next hand-over."""
     stream, _ = stage.begin(slices={0: "", 1: "b"})
-    stage.brain.weighed_at = 10**15
+    stage.brain.estimated_at = 10**15
     assert stage.brain.slices[0].state == REVOKING
     slice_ = stage.brain.slices[0]
     stage.order(("line", 0, "a", 1))
     call = stage.relay.accept()
     call.request()
     call.send(http_response(accepted_response(1)))
-    slice_.state, slice_.owner, slice_.line = REVOKING, "a", True
+    slice_.state, slice_.owner, slice_.has_line = REVOKING, "a", True
     stream.send(chunk(sse_event("line", "shard=0&endpoint=a&w=1.0")))
     assert stage.brain.slices[0] is slice_ and slice_.state == REVOKING and stage.pilot.slices[0] == "a"
 
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -163,13 +163,13 @@
 
 def test_an_exception_in_the_module_is_logged_and_its_alarms_continue(monkeypatch):
     stage = Stage().run(1)
-    monkeypatch.setattr(stage.brain, "_turn", lambda now: 1 // 0)
+    monkeypatch.setattr(stage.brain, "_send_batch", lambda now: 1 // 0)
     stage.run(1)
     assert "ZeroDivisionError" in stage.logged("module_failed")[0]["error"]
     monkeypatch.undo()
-    alarms_before = stage.brain.beat
+    alarms_before = stage.brain.alarm_nonce
     stage.run(1)
-    assert stage.brain.beat > alarms_before + 10
+    assert stage.brain.alarm_nonce > alarms_before + 10
 
 
 def test_later_line_events_of_a_slice_do_not_end_its_hand_over():
@@ -220,9 +220,9 @@
     s = stage.brain.slices[0]
     stage.relay.script = [] if answered else ["silent"] * 9
     stage.order(("level", 0, 2, 0, 0))
-    s.state, s.closed, s.mark, s.since = REVOKING, True, 9, stage.pilot._now()
+    s.state, s.writes_closed, s.mark, s.state_since = REVOKING, True, 9, stage.pilot._now()
     stage.brain.endpoints["a"].phase = "fading"  # keeps the module from cancelling the hand-over
-    stage.brain.weighed_at = stage.pilot._now() + 10**9
+    stage.brain.estimated_at = stage.pilot._now() + 10**9
     stage.run(0.1)
     assert stage.pilot.reopen_orders.get(0) == ("admit,0,put,1,0" if answered else None)
     stage.relay.listener.close()
@@ -253,7 +253,7 @@
 def test_a_grant_accepted_after_a_stream_request_outlives_the_older_snapshot(gap, late):
     """A snapshot read before a grant but received after its response must not revert the grant."""
     stage = Stage().run(1)
-    stage.brain.weighed_at = stage.pilot._now() + 10**9
+    stage.brain.estimated_at = stage.pilot._now() + 10**9
     stage.relay.set_snapshot(slices={0: "a", 1: "b", 2: "a", 3: "b"})
     talk = stage.relay._talk
     stage.order(("mark", 8, True))  # opens the connection that later calls use
@@ -586,7 +586,7 @@
     stage.run(1)
     assert (
         not any(one.startswith(("share,0", "admit,0")) for one in stage.orders()[before:])
-        and stage.brain.slices[0].held
+        and stage.brain.slices[0].line_restored
     )
 
 
@@ -594,7 +594,7 @@
     stage = Stage().run(2)
     stage.agent.publish(listing(8, instance("a", "draining")))
     stage.run(4)
-    assert not stage.brain.slices[0].line and stage.brain.slices[0].closed
+    assert not stage.brain.slices[0].has_line and stage.brain.slices[0].writes_closed
     mark = stage.brain.slices[0].mark
     stage.heartbeats = False
     stage.run(1)
