--- a/tests/test_codec.py
+++ b/tests/test_codec.py
@@ -2,9 +2,9 @@
 
 from cedarshift.codec import (
     BadBody,
-    Badge,
     BadVersion,
     FrameTooLarge,
+    Identity,
     OutOfOrder,
     PeerClosed,
     Refused,
@@ -13,14 +13,17 @@
     UnknownKind,
 )
 from cedarshift.codec import messages as m
-from cedarshift.codec.frames import ENCODER, HEAD, Frames, encode, encode_order, pack_rows
+from cedarshift.codec.frames import ENCODER, HEADER, Frames, encode, encode_order, pack_rows
 
 
 def pair(pilot=None, proxy=None, **limits):
     accepts = Session(
-        pilot or Badge("d", "pilot", "p0", "", b"s" * 16), lambda hello: m.Welcome(1), b"challenge", **limits
+        pilot or Identity("d", "pilot", "p0", "", b"s" * 16),
+        lambda hello: m.Welcome(1),
+        b"challenge",
+        **limits,
     )
-    dials = Session(proxy or Badge("d", "proxy", "x", "z", b"s" * 16))
+    dials = Session(proxy or Identity("d", "proxy", "x", "z", b"s" * 16))
     accepts.start()
     return accepts, dials
 
@@ -36,11 +39,11 @@
     [
         m.Hello("d", "proxy", "x", "z", b"\0\xff"),
         m.Order(3, 9, [m.Line(1, "a", 0.5, 7)], [m.Level(1, 2, 0.25, 1, 7)], 5),
-        m.Snapshot([m.Held(1, 2, 3, "a", [m.Level(1, 2, 0.0)])]),
-        m.Sums([m.Met("a", 4, 1, 20, 30)], [m.Heat(1, 0, 3, 1, 30)]),
-        m.Commit(4, [m.Write(1, 2, None, [])]),
-        m.Committed(4, [m.Denied(1, 2, "epoch")]),
-        m.Take([1, 2], 9),
+        m.Snapshot([m.SliceState(1, 2, 3, "a", [m.Level(1, 2, 0.0)])]),
+        m.ProxyReport([m.EndpointStats("a", 4, 1, 20, 30)], [m.SliceStats(1, 0, 3, 1, 30)]),
+        m.Commit(4, [m.SliceWrite(1, 2, None, [])]),
+        m.Committed(4, [m.DeniedWrite(1, 2, "epoch")]),
+        m.RevokeSlices([1, 2], 9),
         m.Leave(),
     ],
 )
@@ -63,13 +66,18 @@
 @pytest.mark.parametrize(
     "data, error",
     [
-        (HEAD.pack(2 << 30, 17, 1), FrameTooLarge),
-        (HEAD.pack(2, 17, 9), BadVersion),
-        (HEAD.pack(2, 250, 1), UnknownKind),
-        (HEAD.pack(1, 17, 1), BadBody),
-        (HEAD.pack(5, 21, 1) + b"\xc1\xc1\xc1", BadBody),
-        (HEAD.pack(2, 21, 1), BadBody),
-        (encode(m.Sums([m.Met("a", 1, 1, 1, 1)])).replace(b"\x97\xa1a\x01", b"\x97\xa1a\xff"), BadBody),
+        (HEADER.pack(2 << 30, 17, 1), FrameTooLarge),
+        (HEADER.pack(2, 17, 9), BadVersion),
+        (HEADER.pack(2, 250, 1), UnknownKind),
+        (HEADER.pack(1, 17, 1), BadBody),
+        (HEADER.pack(5, 21, 1) + b"\xc1\xc1\xc1", BadBody),
+        (HEADER.pack(2, 21, 1), BadBody),
+        (
+            encode(m.ProxyReport([m.EndpointStats("a", 1, 1, 1, 1)])).replace(
+                b"\x97\xa1a\x01", b"\x97\xa1a\xff"
+            ),
+            BadBody,
+        ),
         (b"\xff" * 6, FrameTooLarge),
     ],
 )
@@ -85,28 +93,30 @@
 def test_a_newer_peers_fields_are_passed_over():
     body = ENCODER.encode({"n": 4, "colour": "red", "more": [1, 2]})
     frames = Frames()
-    frames.feed(HEAD.pack(len(body) + 2, 19, 1) + body)
-    assert list(frames.messages()) == [m.Beat(4)]
+    frames.feed(HEADER.pack(len(body) + 2, 19, 1) + body)
+    assert list(frames.messages()) == [m.Heartbeat(4)]
 
 
 @pytest.mark.parametrize(
-    "badge, reason",
+    "identity, reason",
     [
-        (Badge("other", "proxy", "x", "z", b"s" * 16), "deployment"),
-        (Badge("d", "proxy", "x", "z", b"t" * 16), "proof"),
-        (Badge("d", "proxy", "x", "z"), "proof"),
-        (Badge("d", "proxy", "x" * 200, "z", b"s" * 16), "characters"),
-        (Badge("d", "proxy", "x\n", "z", b"s" * 16), "characters"),
+        (Identity("other", "proxy", "x", "z", b"s" * 16), "deployment"),
+        (Identity("d", "proxy", "x", "z", b"t" * 16), "proof"),
+        (Identity("d", "proxy", "x", "z"), "proof"),
+        (Identity("d", "proxy", "x" * 200, "z", b"s" * 16), "characters"),
+        (Identity("d", "proxy", "x\n", "z", b"s" * 16), "characters"),
     ],
 )
-def test_a_wrong_hello_is_refused_with_the_reason(badge, reason):
-    accepts, dials = pair(proxy=badge)
+def test_a_wrong_hello_is_refused_with_the_reason(identity, reason):
+    accepts, dials = pair(proxy=identity)
     with pytest.raises(Refused, match=reason):
         dials.receive(0, accepts.take_outbox())
         accepts.receive(0, dials.take_outbox())
 
 
-@pytest.mark.parametrize("message", [m.Hello("d", "proxy", "x"), m.Order(1), m.Welcome(1), m.Give([])])
+@pytest.mark.parametrize(
+    "message", [m.Hello("d", "proxy", "x"), m.Order(1), m.Welcome(1), m.AssignSlices([])]
+)
 def test_what_may_not_be_said_now_closes_the_session(message):
     accepts, dials = pair()
     shake(accepts, dials)
@@ -117,15 +127,15 @@
 def test_a_message_before_the_handshake_is_out_of_order():
     accepts, _ = pair()
     with pytest.raises(OutOfOrder):
-        accepts.receive(0, encode(m.Beat(1)))
+        accepts.receive(0, encode(m.Heartbeat(1)))
 
 
 def test_more_messages_a_second_than_allowed_close_the_session():
-    accepts, dials = pair(rate_most=10)
+    accepts, dials = pair(max_messages_per_s=10)
     shake(accepts, dials)
-    accepts.receive(2_000_000, encode(m.Beat(1)) * 10)
+    accepts.receive(2_000_000, encode(m.Heartbeat(1)) * 10)
     with pytest.raises(TooManyMessages):
-        accepts.receive(2_900_000, encode(m.Beat(1)))
+        accepts.receive(2_900_000, encode(m.Heartbeat(1)))
     assert accepts.state == "closed"
 
 
@@ -139,6 +149,8 @@
 def test_what_came_before_an_error_in_the_same_bytes_is_not_lost():
     accepts, dials = pair()
     shake(accepts, dials)
-    assert accepts.receive(0, encode(m.Beat(1)) + encode(m.Bye("stopping", "for good"))) == [m.Beat(1)]
+    assert accepts.receive(0, encode(m.Heartbeat(1)) + encode(m.Bye("stopping", "for good"))) == [
+        m.Heartbeat(1)
+    ]
     with pytest.raises(PeerClosed, match="for good"):
         accepts.receive(0, b"")
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -18,7 +18,7 @@
 )
 
 from cedarshift.loop import StreamBroken
-from cedarshift.loop.epoll import SocketAttempt, SocketPipe
+from cedarshift.loop.epoll import SocketAttempt, SocketTransport
 from cedarshift.observations import REVOKING
 from cedarshift.platform import collectors, redial, relay
 from cedarshift.platform.collectors import Limits
@@ -82,14 +82,14 @@
 
 
 def test_an_answer_that_comes_before_its_request_is_written_whole_keeps_no_connection(asking, monkeypatch):
-    send, room = SocketPipe.send, [10]  # what the kernel has room for; then it says so (EAGAIN)
+    send, room = SocketTransport.send, [10]  # what the kernel has room for; then it says so (EAGAIN)
 
-    def send_what_fits(pipe, view):
-        taken = send(pipe, view[: room[0]]) if room[0] else 0
+    def send_what_fits(transport, view):
+        taken = send(transport, view[: room[0]]) if room[0] else 0
         room[0] -= taken
         return taken
 
-    monkeypatch.setattr(SocketPipe, "send", send_what_fits)
+    monkeypatch.setattr(SocketTransport, "send", send_what_fits)
     task = asking.ask()
     peer = asking.server.accept()
     peer.until(b"POST / HTT")
@@ -103,7 +103,7 @@
     peer = asking.exchange()
     peer.sock.sendall(b"HTTP/1.1 408 Too slow\r\n\r\n") if how == "say" else getattr(peer, how)()
     task = asking.ask(b"two")  # the loop has not looked at the network since
-    asking.loop.turn()
+    asking.loop.run_pass()
     other = asking.server.accept()
     assert other.request()[1] == b"two" and (how == "reset" or not peer.look().got)
     other.say(answer(b"fresh"))
@@ -117,12 +117,12 @@
     peer = asking.exchange()
     if taken_first:
         task = asking.ask(b"two")
-        asking.loop.turn()
+        asking.loop.run_pass()
         asking.loop.clock.time += SECOND // 2
     else:
         asking.loop.clock.time += SECOND // 2
         task = asking.ask(b"two")
-        asking.loop.turn()  # timers run before tasks
+        asking.loop.run_pass()  # timers run before tasks
     other = peer if taken_first else asking.server.accept()
     assert other.request()[1] == b"two"
     other.say(answer(b"fresh"))
@@ -374,8 +374,8 @@
     monkeypatch.setattr(SocketAttempt, "poll", not_at_once)
     before, good = (Server(stage.loop), Server(stage.loop)), (Server(stage.loop), Server(stage.loop))
     stage.pilot.move(stage.moved_to(*before))
-    stage.loop.turn()
-    stage.loop.turn()  # the streams have ended, and their tasks dial
+    stage.loop.run_pass()
+    stage.loop.run_pass()  # the streams have ended, and their tasks dial
     assert len(first) == 2 and not stage.pilot.news.stream.followed
     stage.pilot.move(stage.moved_to(*good))
     for server in good:
@@ -389,8 +389,8 @@
     stage.begin()
     servers = [(Server(stage.loop), Server(stage.loop)) for _ in range(2)]
     counts = []
-    for turn in range(100):
-        relay_, discovery = servers[turn % 2]
+    for run_pass in range(100):
+        relay_, discovery = servers[run_pass % 2]
         stage.pilot.move(stage.moved_to(relay_, discovery))
         stream, watch = relay_.accept(), discovery.accept()
         stream.request()
@@ -399,7 +399,7 @@
         watch.say(CHUNKED + chunk("\n"))
         stage.loop.settle()
         counts.append(stage.loop.held())
-        for server in servers[1 - turn % 2]:
+        for server in servers[1 - run_pass % 2]:
             while (old := server.waiting()) is not None:
                 old.close()
     assert counts[-1] == counts[9] and len(counts[-1]["tasks"]) == 4
@@ -511,7 +511,7 @@
 
 def test_an_accept_that_the_kernel_aborts_hides_none_behind_it(stage, monkeypatch):
     stage.begin()
-    door = stage.listener.door
+    door = stage.listener.acceptor
     accept, aborted = door.sock.accept, [ConnectionAbortedError(103, "aborted")]
 
     class Aborting:
--- a/tests/test_gossip.py
+++ b/tests/test_gossip.py
@@ -7,7 +7,7 @@
 from hypothesis import strategies as st
 
 from cedarshift.codec import gossip as g
-from cedarshift.codec.gossip import Body, NotOurs, Seal, WordOf
+from cedarshift.codec.gossip import Body, InvalidMessage, MemberRecord, Seal
 from cedarshift.deployment import FileRefused, load
 from cedarshift.deployment.render import render
 from cedarshift.gossip.member import Member, Window
@@ -16,7 +16,7 @@
 from cedarshift.judge.detector import HEALTH_MOST, MISSES, Detector, Found
 from cedarshift.judge.roll import ALIVE, CUT, DEAD, LEFT, SUSPECT, Edge, Rings, Roll, Verdict, Word
 from cedarshift.loop import datagrams
-from cedarshift.loop.memory import Way
+from cedarshift.loop.memory import LinkConditions
 from cedarshift.loop.world import World
 from cedarshift.pilot.learning import Learning
 from cedarshift.rehearsal.crowd import Crowd, broken, play_day
@@ -269,11 +269,11 @@
         (SEAL.close(body())[:-1] + b"\x00", "proof"),
         (SEAL.close(body(kind=99)), "body"),
         (SEAL.close(body(sender="")), "body"),
-        (SEAL.close(body(words=[WordOf("a", -1, False, 0)])), "body"),
+        (SEAL.close(body(words=[MemberRecord("a", -1, False, 0)])), "body"),
     ],
 )
 def test_what_is_not_the_deployments_is_told_apart(data, why):
-    with pytest.raises(NotOurs) as found:
+    with pytest.raises(InvalidMessage) as found:
         SEAL.open(data)
     assert found.value.why == why
 
@@ -291,7 +291,7 @@
         frames = g.Frames(1_000)
         try:
             list(frames.feed(data))
-        except NotOurs:
+        except InvalidMessage:
             pass
     assert dict(member.roll.words) == before
 
@@ -320,7 +320,7 @@
 ):
     member = Member("a", {one: (one, 1) for one in NAMES}, SEAL, SECOND, 5, 1, 0)
     member.young = young
-    member.hear(1, SEAL.close(body(words=[WordOf("a", 10, False, 3)])), ("b", 1))
+    member.hear(1, SEAL.close(body(words=[MemberRecord("a", 10, False, 3)])), ("b", 1))
     assert member.start == start and member.superseded is not young
 
 
@@ -328,22 +328,28 @@
     names = {f"a-rather-long-name-{n:03d}": (f"h{n}", 1) for n in range(300)}
     member = Member(next(iter(names)), names, SEAL, SECOND, 5, 1, 0)
     for n, one in enumerate(names):
-        member._take_word(1, WordOf(one, 2**60 + n, False, 2**40))
+        member._take_word(1, MemberRecord(one, 2**60 + n, False, 2**40))
     member._send(1, ("h1", 1), g.PING, "a-rather-long-name-001", 1)
-    assert len(member.out[0][1]) <= g.DATAGRAM_MOST and len(member.queue) > 0
+    assert len(member.out[0][1]) <= g.MAX_DATAGRAM_BYTES and len(member.queue) > 0
 
 
 # ---- datagrams and ways in memory
 
 
 @pytest.mark.parametrize(
-    "way, heard", [(None, 200), (Way(cut=True), 0), (Way(loss=0.5), 100), (Way(doubled=1.0), 400)]
+    "way, heard",
+    [
+        (None, 200),
+        (LinkConditions(cut=True), 0),
+        (LinkConditions(loss=0.5), 100),
+        (LinkConditions(duplicated=1.0), 400),
+    ],
 )
 def test_each_way_is_spoilt_by_itself(way, heard):
     world = World(3)
     a, b = world.host("a"), world.host("b")
     ports = {host: datagrams(host.loop, ("127.0.0.1", 1 + at)) for at, host in enumerate((a, b))}
-    world.network.set_way("a", "b", way)
+    world.network.set_link_conditions("a", "b", way)
     got = {a: 0, b: 0}
 
     def listens(host):
--- a/tests/test_heard.py
+++ b/tests/test_heard.py
@@ -72,7 +72,7 @@
     assert (e.total, e.times, e.fares, e.inside, len(e.samples)) == ([0, 0, 0, 0], [], {}, 0, 0)
 
 
-@pytest.mark.parametrize("end", ["inner", "outer"])
+@pytest.mark.parametrize("end", ["read_fd", "write_fd"])
 def test_signals_wake_the_loop_by_a_pipe_and_no_unix_socket(end):
     loop = real_loop()
     signals = Signals(loop, loop.network, [])
--- a/tests/test_link.py
+++ b/tests/test_link.py
@@ -2,7 +2,7 @@
 
 from program import virtual_loop
 
-from cedarshift.codec import Badge, Session
+from cedarshift.codec import Identity, Session
 from cedarshift.codec import messages as m
 from cedarshift.link import connect, serve
 from cedarshift.loop import StreamBroken, listen
@@ -14,9 +14,9 @@
     """A store that answers several pilots in one loop must not end with one of them."""
     loop, heard = virtual_loop(), []
 
-    def talk(link, first):
+    def handler(link, first):
         yield from loop.sleep(1_000)
-        link.stream.pipe.cut()  # and nobody has looked yet
+        link.stream.transport.abort()  # and nobody has looked yet
         link.send(m.Ping(1))
         link.send(m.Ping(2))
         try:
@@ -24,20 +24,20 @@
         except StreamBroken as error:
             heard.append(str(error))
 
-    store = Badge("d", "store", "store", "", b"")
+    store = Identity("d", "store", "store", "", b"")
     loop.spawn(
         serve(
             loop,
             listen(loop, DOOR),
             lambda: Session(store, lambda hello: m.Welcome(1)),
-            talk,
+            handler,
             lambda *a, **k: None,
         ),
         "serve",
     )
 
     def main():
-        yield from connect(loop, DOOR, Session(Badge("d", "pilot", "p0", "", b"")), 1_000_000)
+        yield from connect(loop, DOOR, Session(Identity("d", "pilot", "p0", "", b"")), 1_000_000)
         yield from loop.sleep(10_000)
 
     loop.run(loop.spawn(main(), "main"))
--- a/tests/test_loop.py
+++ b/tests/test_loop.py
@@ -7,7 +7,7 @@
 
 from cedarshift.loop import BufferFull, Loop, StreamBroken, TimedOut, dial, listen
 from cedarshift.loop.epoll import Signals, real_loop
-from cedarshift.loop.memory import MemoryNetwork, VirtualClock, Way
+from cedarshift.loop.memory import LinkConditions, MemoryNetwork, VirtualClock
 
 DOOR = ("127.0.0.1", 7300)
 
@@ -60,7 +60,7 @@
 @pytest.mark.parametrize("make", [real_loop, virtual_loop])
 def test_a_peer_that_does_not_read_fills_its_own_buffer_only(make):
     loop = make()
-    door = listen(loop, ("127.0.0.1", 0), write_most=100_000)
+    door = listen(loop, ("127.0.0.1", 0), max_pending_bytes=100_000)
 
     def main():
         deaf = yield from dial(loop, door.address)
@@ -143,7 +143,7 @@
 
     heard = []
     loop = Loop(Clock(), Nothing(), lambda event, **fields: heard.append((event, fields["task"])))
-    loop.run(loop.spawn(loop.breathe(), "slow"))
+    loop.run(loop.spawn(loop.yield_control(), "slow"))
     assert ("slow_step", "slow") in heard
 
 
@@ -166,7 +166,7 @@
 
         loop.spawn(swallow(), "swallow")
         for _ in range(50):
-            yield from loop.breathe()
+            yield from loop.yield_control()
 
     loop.run(loop.spawn(main(), "main"))
     assert 0 < len(swallowed) < 200
@@ -182,7 +182,7 @@
 
 def test_a_full_listener_turns_newcomers_away():
     loop = virtual_loop()
-    door = listen(loop, DOOR, most=2)
+    door = listen(loop, DOOR, max_streams=2)
 
     def main():
         streams = []
@@ -192,7 +192,7 @@
             yield from door.accept()
         loop.spawn(door.accept(), "third")
         assert (yield from streams[2].read(loop.now() + 10_000)) == b""
-        assert door.turned_away == 1
+        assert door.refused_count == 1
 
     loop.run(loop.spawn(main(), "main"))
 
@@ -245,13 +245,13 @@
     network.poll(1_000)
     near, (far, _) = attempt.poll(), door.accept()
     near.owner, far.owner = (
-        SimpleNamespace(name="a", alive=True, hear=lambda *edge: None),
-        SimpleNamespace(name="b", alive=True, hear=lambda *edge: None),
+        SimpleNamespace(name="a", alive=True, deliver=lambda *edge: None),
+        SimpleNamespace(name="b", alive=True, deliver=lambda *edge: None),
     )
-    network.set_way("a", "b", Way(cut=True))
+    network.set_link_conditions("a", "b", LinkConditions(cut=True))
     for piece in (b"one ", b"two ", b"three "):
         near.send(piece)
-    network.set_way("a", "b", None)
+    network.set_link_conditions("a", "b", None)
     near.send(b"four")
     for _ in range(10):
         network.poll(100)
--- a/tests/test_overload.py
+++ b/tests/test_overload.py
@@ -13,7 +13,7 @@
 from cedarshift.agent.tables import OpKind, Tables
 from cedarshift.cli.overload import shown_overload
 from cedarshift.codec import messages as m
-from cedarshift.codec.gossip import RIDER_MOST
+from cedarshift.codec.gossip import MAX_RIDER_BYTES
 from cedarshift.judge import overload as o
 from cedarshift.judge.admission import AFTER_MOST, Gate
 from cedarshift.judge.trials import Trials, Word
@@ -290,7 +290,9 @@
     made.on_told(
         0,
         "p",
-        m.Told(state, share, again, 1_000_000, [0, 1], list(mix), [m.Own(*one) for one in own]),
+        m.AdmissionPolicy(
+            state, share, again, 1_000_000, [0, 1], list(mix), [m.EndpointShare(*one) for one in own]
+        ),
         list(fair),
     )
     return made
@@ -355,8 +357,8 @@
     made.ended(0, "p", "e", 0, "acked", 300_000)
     made.ended(0, "p", "e", 1, "full", 0)
     assert made.loads(SECOND, "p") == [
-        m.Load(0, 1, 1, 1, 1, 0, 0, 300_000, SECOND),
-        m.Load(1, 0, 0, 0, 0, 0, 1, 0, SECOND),
+        m.OpTypeStats(0, 1, 1, 1, 1, 0, 0, 300_000, SECOND),
+        m.OpTypeStats(1, 0, 0, 0, 0, 0, 1, 0, SECOND),
     ]
     assert made.loads(2 * SECOND, "p") == []
 
@@ -401,14 +403,14 @@
 def test_a_row_survives_the_way_and_fits_a_rider(flows, pressure, share):
     one = o.Row(3, 4, 5, tuple(o.Flow(*flow) for flow in flows), pressure, 12.0, share, "limited")
     raw = packed(one)
-    assert len(raw) <= RIDER_MOST
+    assert len(raw) <= MAX_RIDER_BYTES
     back, _ = unpacked(raw, 3, 4, 5)
     assert back.pressure == pytest.approx(pressure, abs=1e-3) and back.share == pytest.approx(share, abs=1e-3)
     for flow, other in zip(one.flows, back.flows):
         assert other[:6] == pytest.approx(flow[:6], abs=0.06)
 
 
-@given(st.binary(max_size=RIDER_MOST))
+@given(st.binary(max_size=MAX_RIDER_BYTES))
 def test_bytes_that_are_no_row_are_refused_or_judged(raw):
     found = unpacked(raw, 1, 1, 0)
     assert found is None or o.sound(found[0], 2) in (True, False)
@@ -574,7 +576,7 @@
     huge = o.Row(1, 1, 0, tuple(o.Flow(*[1e7] * 6, 1e9) for _ in range(KINDS_MOST)), 4.0, 1e7, 0.5, "limited")
     word = Word(900, {n << 20: 500 for n in range(8)}, {n << 21: (0.5, 3) for n in range(8)})
     raw = packed(huge, word)
-    assert len(raw) <= RIDER_MOST and unpacked(raw, 1, 1, 0)[1] == Word(900, {}, {})
+    assert len(raw) <= MAX_RIDER_BYTES and unpacked(raw, 1, 1, 0)[1] == Word(900, {}, {})
     small = packed(huge._replace(flows=huge.flows[:2]), word)
     assert unpacked(small, 1, 1, 0)[1] == word
 
@@ -619,12 +621,12 @@
     )
 
     def sums(fresh, acked, under_way):
-        return m.Sums(
-            [m.Met("e", acked, 0, 300_000, SECOND // 2, 0, under_way)],
-            [m.Heat(0, 0, fresh, 0, SECOND // 2)],
+        return m.ProxyReport(
+            [m.EndpointStats("e", acked, 0, 300_000, SECOND // 2, 0, under_way)],
+            [m.SliceStats(0, 0, fresh, 0, SECOND // 2)],
             [
-                m.Load(0, fresh, 0, fresh, acked, 0, 0, 300_000, SECOND // 2),
-                m.Load(1, fresh // 2, 0, 0, 0, 0, 0, 0, SECOND // 2),
+                m.OpTypeStats(0, fresh, 0, fresh, acked, 0, 0, 300_000, SECOND // 2),
+                m.OpTypeStats(1, fresh // 2, 0, 0, 0, 0, 0, 0, SECOND // 2),
             ],
         )
 
@@ -649,7 +651,7 @@
         "let_in"
     ]["fetch"]
     raw, fair = pilot.for_beat("big")
-    told = msgspec.msgpack.decode(raw, type=m.Told)
+    told = msgspec.msgpack.decode(raw, type=m.AdmissionPolicy)
     assert told.state == "limited" and told.share < 0.5 and told.order == [0, 1] and fair[0] <= 1.0
     assert pilot.for_beat("big") == (None, [])  # told, until there is news
     small = pilot.fair.get("small", [1.0, 1.0])
@@ -665,7 +667,7 @@
 )
 def test_a_word_that_does_not_fit_itself_is_passed_over(order, mix):
     made = gate()
-    made.on_told(0, "p", m.Told("limited", 0.0, 0.0, 0, order, mix), [])
+    made.on_told(0, "p", m.AdmissionPolicy("limited", 0.0, 0.0, 0, order, mix), [])
     assert let_in(made, 0) == pytest.approx(0.5 / 0.6, abs=0.02)
 
 
@@ -685,19 +687,19 @@
     )
     pilot.on_sums(
         "bad",
-        m.Sums(
-            [m.Met(f"x{n}", 1, 0, 0, 1, 0, 9) for n in range(500)],
+        m.ProxyReport(
+            [m.EndpointStats(f"x{n}", 1, 0, 0, 1, 0, 9) for n in range(500)],
             [],
-            [m.Load(0, *[1 << 52] * 7, 1), m.Load(9, *[1] * 8)],
+            [m.OpTypeStats(0, *[1 << 52] * 7, 1), m.OpTypeStats(9, *[1] * 8)],
             [f"x{n}" for n in range(500)],
         ),
     )
     pilot.on_sums(
         "good",
-        m.Sums(
-            [m.Met("e", 5, 0, 300_000, SECOND // 2)],
+        m.ProxyReport(
+            [m.EndpointStats("e", 5, 0, 300_000, SECOND // 2)],
             [],
-            [m.Load(0, 30, 0, 30, 30, 0, 0, 300_000, SECOND // 2)],
+            [m.OpTypeStats(0, 30, 0, 30, 30, 0, 0, 300_000, SECOND // 2)],
         ),
     )
     loop.run(loop.spawn(loop.sleep(SECOND), "wait"))
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -7,7 +7,7 @@
 from program import SECOND, virtual_loop, write_list
 
 from cedarshift.cli.main import main
-from cedarshift.codec.messages import Heat, Met
+from cedarshift.codec.messages import EndpointStats, SliceStats
 from cedarshift.loop import StreamBroken, TimedOut, dial, listen
 from cedarshift.pilot.channel import PacedChannel
 from cedarshift.pilot.intake import Intake
@@ -57,9 +57,9 @@
 def test_sums_beyond_the_intake_add_up_and_follow_oldest_first():
     i = Intake(2, SECOND, 0)
     for now in (0, 100):
-        i.add_met(now, "z", Met("a", 4, 1, 100, 50))
-        i.add_met(now, "y", Met("b", 2, 2, 0, 50))
-        i.add_heat(now, Heat(3, 0, 5, 1, 50))
+        i.add_met(now, "z", EndpointStats("a", 4, 1, 100, 50))
+        i.add_met(now, "y", EndpointStats("b", 2, 2, 0, 50))
+        i.add_heat(now, SliceStats(3, 0, 5, 1, 50))
     mets, heats = i.take(SECOND)
     assert [(m.endpoint, m.zone, m.tries, m.aborted, m.took) for m in mets] == [
         ("a", "z", 8, 2, 100),
@@ -71,7 +71,7 @@
 
 def test_more_aborted_than_tried_is_taken_as_all_aborted():
     i = Intake(9, SECOND, 0)
-    i.add_met(0, "z", Met("a", 2, 9, 100, 50))
+    i.add_met(0, "z", EndpointStats("a", 2, 9, 100, 50))
     assert i.take(SECOND)[0][0][2:5] == (2, 2, 0)
 
 
@@ -207,7 +207,7 @@
 
 def test_a_connection_is_kept_for_the_next_request():
     def handler(asked):
-        yield from loop.breathe()
+        yield from loop.yield_control()
         return Answer(200, asked.body + asked.headers["x-a"].encode())
 
     loop, pool = web(handler)
--- a/tests/test_peer.py
+++ b/tests/test_peer.py
@@ -3,7 +3,7 @@
 import pytest
 from program import SECOND, Fleet, Watcher, deployment, kill, virtual_loop, write_list
 
-from cedarshift.codec import Badge, ProtocolError, Session
+from cedarshift.codec import Identity, ProtocolError, Session
 from cedarshift.codec import messages as m
 from cedarshift.link import connect
 from cedarshift.loop import StreamBroken
@@ -37,7 +37,7 @@
     def asks():
         with pytest.raises(ProtocolError, match="share nothing"):
             yield from connect(
-                f.loop, f.deployment.pilots[1].listen, Session(Badge("trial", "pilot", "p0")), SECOND
+                f.loop, f.deployment.pilots[1].listen, Session(Identity("trial", "pilot", "p0")), SECOND
             )
 
     task = f.loop.spawn(asks(), "asks")
@@ -77,9 +77,9 @@
 
 def test_sums_of_two_zones_that_came_at_once_have_no_order_of_their_own(tmp_path):
     f = fleet(tmp_path)
-    sums = [m.LentSum(5, 1, 0, 1, 1, zone) for zone in "zy"]
+    sums = [m.LentEndpointStats(5, 1, 0, 1, 1, zone) for zone in "zy"]
     fact = m.EndpointFact("a", "on", "1", 1.0, "z", 0, -1, -1, 0, sums, "l", 99, "p1#y", 0)
-    slices = [m.SliceFact(0, [m.LentHeat(5, kind, 1, 0, 1) for kind in ("put", "get")], "p1#y", 0)]
+    slices = [m.SliceFact(0, [m.LentSliceStats(5, kind, 1, 0, 1) for kind in ("put", "get")], "p1#y", 0)]
     f.pilots["p0"].learning._take("p1", m.Chunk("p1#y", 0, 1, True, 1.0, [fact], slices), f.loop.now())
     assert len(f.pilots["p0"].brain.endpoints["a"].samples) == 2
 
@@ -314,10 +314,10 @@
 
     def asks(name, told):
         link, _ = yield from connect(
-            f.loop, f.deployment.pilots[1].listen, Session(Badge("trial", "pilot", name)), SECOND
+            f.loop, f.deployment.pilots[1].listen, Session(Identity("trial", "pilot", name)), SECOND
         )
         for _ in range(3):
-            link.send(m.AskFacts())
+            link.send(m.FactsRequest())
             told += yield from link.receive(f.loop.now() + SECOND)
 
     first, second = [], []
@@ -327,21 +327,21 @@
     f.run(0.05)
     assert (
         all(isinstance(t, m.Facts) for t in first)
-        and isinstance(second[0], m.NoFacts)
+        and isinstance(second[0], m.FactsDeclined)
         and second[0].again_after
     )
 
 
 def test_a_wrong_secret_on_the_answering_side_is_found_out():
-    accepts = Session(Badge("d", "pilot", "p1", "", b"w" * 16), lambda hello: m.Welcome(1), b"c1")
-    dials = Session(Badge("d", "pilot", "p0", "", b"s" * 16), challenge=b"c2")
-    accepts.badge = accepts.badge._replace(secret=b"s" * 16)
+    accepts = Session(Identity("d", "pilot", "p1", "", b"w" * 16), lambda hello: m.Welcome(1), b"c1")
+    dials = Session(Identity("d", "pilot", "p0", "", b"s" * 16), challenge=b"c2")
+    accepts.identity = accepts.identity._replace(secret=b"s" * 16)
     accepts.start()
     dials.receive(0, accepts.take_outbox())
     hello = dials.take_outbox()
     accepts.receive(0, hello)
     welcome = accepts.take_outbox()
-    liar = Session(Badge("d", "pilot", "p1", "", b""), lambda hello: m.Welcome(1), b"c1")
+    liar = Session(Identity("d", "pilot", "p1", "", b""), lambda hello: m.Welcome(1), b"c1")
     liar.start()
     liar.take_outbox()
     from cedarshift.codec.frames import encode
@@ -364,11 +364,11 @@
 
     def borrows():
         link, _ = yield from connect(
-            f.loop, f.deployment.pilots[1].listen, Session(Badge("trial", "pilot", "p9")), SECOND
+            f.loop, f.deployment.pilots[1].listen, Session(Identity("trial", "pilot", "p9")), SECOND
         )
         version, number, chunks = "", 0, 1
         while number < chunks:
-            link.send(m.AskFacts(version, number))
+            link.send(m.FactsRequest(version, number))
             got = (yield from link.receive(f.loop.now() + SECOND))[0]
             version, number, chunks = got.version, number + 1, got.chunks
             chunk = unpack(got)
--- a/tests/test_pilot.py
+++ b/tests/test_pilot.py
@@ -4,9 +4,9 @@
 from program import SECOND, Fleet, Watcher, deployment, kill, virtual_loop, write_list
 
 from cedarshift.agent.tables import NoPick, Pick
-from cedarshift.codec import Badge, Session
+from cedarshift.codec import Identity, Session
 from cedarshift.codec import messages as m
-from cedarshift.codec.frames import HEAD
+from cedarshift.codec.frames import HEADER
 from cedarshift.link import connect
 from cedarshift.loop import StreamBroken, dial
 
@@ -102,7 +102,7 @@
 
 def swallow(link):
     """Both directions of a link fall silent, while it stays open."""
-    near, far = link.stream.pipe, link.stream.pipe.peer
+    near, far = link.stream.transport, link.stream.transport.peer
     near.send = far.send = len
 
 
@@ -144,7 +144,7 @@
     f.store.numbers["p0"] = f.store.charge.open(f.loop.now(), "p0")  # another life of p0 opened a session
     f.store._wake()
     heard = []
-    old.store.link.send(m.Commit(10_000, [m.Write(0, epoch, "evil")]))
+    old.store.link.send(m.Commit(10_000, [m.SliceWrite(0, epoch, "evil")]))
     old.store.waiting[10_000] = heard.extend
     f.run(0.01)
     assert [d.reason for d in heard] == [f"epoch {epoch}, now {epoch + 1}"]
@@ -178,7 +178,7 @@
 
 
 def peer_of(f, name="bad"):
-    session = Session(Badge(f.deployment.name, "proxy", name, "z"))
+    session = Session(Identity(f.deployment.name, "proxy", name, "z"))
     return connect(f.loop, f.deployment.pilots[0].listen, session, SECOND)
 
 
@@ -194,7 +194,7 @@
 )
 def test_a_bad_peer_is_told_why_and_delays_no_order_to_another(tmp_path, what, code):
     f = fleet(tmp_path)
-    bytes_of = {"garbage": b"\xffGET / HTTP/1.1\r\n\r\n", "2 GB": HEAD.pack(2 << 30, 17, 1)}
+    bytes_of = {"garbage": b"\xffGET / HTTP/1.1\r\n\r\n", "2 GB": HEADER.pack(2 << 30, 17, 1)}
 
     def bad():
         link, _ = yield from peer_of(f)
@@ -209,7 +209,7 @@
             link.send(m.Ack(12_345))
         else:
             for n in range(1000):
-                link.send(m.Beat(n))
+                link.send(m.Heartbeat(n))
         try:
             while True:
                 yield from link.receive(f.loop.now() + SECOND)
@@ -233,15 +233,15 @@
     def deaf():
         link, _ = yield from peer_of(f, "deaf")
         while not link.stream.closed:  # beats keep it joined; it reads three bytes a second at most
-            link.send(m.Beat(1))
-            link.stream.pipe.recv(3)
+            link.send(m.Heartbeat(1))
+            link.stream.transport.recv(3)
             yield from f.loop.sleep(SECOND)
 
     f.loop.spawn(deaf(), "deaf")
     f.run(0.5)
     session = next(s for s in pilot.proxies.values() if s.name == "deaf")
-    session.link.stream.write_most = 2_000
-    session.link.stream.pipe.peer.held = 65_536  # what the kernel holds for it is full
+    session.link.stream.max_pending_bytes = 2_000
+    session.link.stream.transport.peer.buffered_bytes = 65_536  # what the kernel holds for it is full
     drain(tmp_path, "a")
     f.run(3.3)
     assert all("a" not in f.owners(x).values() for x in f.agents)
@@ -316,7 +316,7 @@
     w, owners = Watcher(f), f.owners()
     for agent in f.agents.values():
         for link in list(agent.links.values()):
-            link.stream.pipe.cut()
+            link.stream.transport.abort()
     f.run(3)
     assert all(len(agent.links) == 2 for agent in f.agents.values()) and f.owners() == owners
     sound(w)
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -422,7 +422,7 @@
 
 def test_without_descriptors_callers_wait_and_are_heard_later(monkeypatch):
     stage = Stage().run(1)
-    door = stage.pilot.collectors.listener.door
+    door = stage.pilot.collectors.listener.acceptor
 
     def full():
         raise OSError(24, "Too many open files")
--- a/tests/test_redial.py
+++ b/tests/test_redial.py
@@ -8,7 +8,7 @@
 from program import Fleet, deployment, virtual_loop
 
 from cedarshift.agent import Agent, Tables
-from cedarshift.codec import Badge, Session
+from cedarshift.codec import Identity, Session
 from cedarshift.codec import messages as m
 from cedarshift.judge.redial import GROWS, Redial
 from cedarshift.link import serve
@@ -72,7 +72,7 @@
         StoreClient(
             host.loop,
             ("10.0.1.1", 7000),
-            Badge("d", "pilot", f"p{number}"),
+            Identity("d", "pilot", f"p{number}"),
             number,
             Told(),
             lambda event, host=host, **fields: dials.append(host.loop.now()),
@@ -111,7 +111,7 @@
         door.loop,
         listen(door.loop, ("10.0.1.1", 7000)),
         MemoryLedger(4),
-        Badge("d", "store", "store"),
+        Identity("d", "store", "store"),
         ["p0"],
         2 * SECOND,
         0,
@@ -122,7 +122,7 @@
         StoreClient(
             host.loop,
             ("10.0.1.1", 7000),
-            Badge("d", "pilot", "p0"),
+            Identity("d", "pilot", "p0"),
             0,
             told,
             lambda event, **fields: None,
@@ -148,16 +148,16 @@
         got = first
         while True:
             for message in got:
-                if isinstance(message, m.Beat) and message.n > 1:
+                if isinstance(message, m.Heartbeat) and message.n > 1:
                     beats.append(door.loop.now())
             got = yield from link.receive()
 
-    badge = Badge("d", "pilot", "p0")
+    identity = Identity("d", "pilot", "p0")
     door.loop.spawn(
         serve(
             door.loop,
             listen(door.loop, ("10.0.1.1", 7000)),
-            lambda: Session(badge, lambda hello: m.Welcome(1, 800_000, 200_000, SECOND)),
+            lambda: Session(identity, lambda hello: m.Welcome(1, 800_000, 200_000, SECOND)),
             talk,
             lambda event, **fields: None,
         ),
@@ -167,7 +167,7 @@
         host = world.host(f"10.0.0.{number + 1}")
         Agent(
             host.loop,
-            Badge("d", "proxy", f"x{number}"),
+            Identity("d", "proxy", f"x{number}"),
             {"p0": ("10.0.1.1", 7000)},
             None,
             Tables(0, [], False, 800_000, True),
@@ -192,7 +192,7 @@
             host.loop,
             listen(host.loop, ("127.0.0.1", 7000)),
             ledger,
-            Badge("d", "store", "store"),
+            Identity("d", "store", "store"),
             names,
             2 * SECOND,
             SECOND // 2,
@@ -209,7 +209,7 @@
         StoreClient(
             host.loop,
             ("127.0.0.1", 7000),
-            Badge("d", "pilot", name),
+            Identity("d", "pilot", name),
             n,
             Told(),
             host.loop.report,
--- a/tests/test_sim.py
+++ b/tests/test_sim.py
@@ -232,18 +232,18 @@
     assert 10_000_000 <= woke[0][0] <= 10_000_002 and woke[0][1] < 1_000_000 + 10_000_000
     clock = HostClock(world.clock, 0.9995, 3)
     assert all(
-        int(clock.when(at) * 0.9995) + 3 >= at > int((clock.when(at) - 1) * 0.9995) + 3
+        int(clock.to_world_time(at) * 0.9995) + 3 >= at > int((clock.to_world_time(at) - 1) * 0.9995) + 3
         for at in range(10, 5_000)
     )
 
 
 def test_a_dial_that_finds_the_queue_full_hears_nothing():
     network = MemoryNetwork(VirtualClock())
-    network.queue_most = 1
+    network.max_accept_queue = 1
     network.listen(("h", 1))
     first, second = network.dial(("h", 1)), network.dial(("h", 1))
     network.poll(1_000)
-    assert first.poll() is not None and second.poll() is None and network.overflows == 1
+    assert first.poll() is not None and second.poll() is None and network.dropped_dials == 1
 
 
 @pytest.mark.parametrize("seed", range(20))
--- a/tests/test_system_faults.py
+++ b/tests/test_system_faults.py
@@ -15,7 +15,7 @@
 
 from cedarshift.log_output import LogOutput
 from cedarshift.loop import StreamBroken, datagrams, dial, listen
-from cedarshift.loop.epoll import EpollNetwork, Signals, SocketPipe, real_loop
+from cedarshift.loop.epoll import EpollNetwork, Signals, SocketTransport, real_loop
 
 SECOND = 1_000_000
 SIZE = 200_000  # bytes, more than a socket's buffer takes at once
@@ -28,14 +28,14 @@
 
 
 class ShortPipe:
-    """Patches SocketPipe so that each call transfers a few bytes at most."""
+    """Patches SocketTransport so that each call transfers a few bytes at most."""
 
     def __init__(self, monkeypatch, reads, writes):
-        full_recv, full_send = SocketPipe.recv, SocketPipe.send
+        full_recv, full_send = SocketTransport.recv, SocketTransport.send
         if reads:
-            monkeypatch.setattr(SocketPipe, "recv", lambda pipe, most: full_recv(pipe, min(most, reads)))
+            monkeypatch.setattr(SocketTransport, "recv", lambda pipe, most: full_recv(pipe, min(most, reads)))
         if writes:
-            monkeypatch.setattr(SocketPipe, "send", lambda pipe, view: full_send(pipe, view[:writes]))
+            monkeypatch.setattr(SocketTransport, "send", lambda pipe, view: full_send(pipe, view[:writes]))
 
 
 def run_with_limit(loop, coroutine, seconds=5):
@@ -192,7 +192,7 @@
 def test_connections_are_accepted_once_accept_has_failed_for_a_moment(code, times):
     loop = real_loop()
     listener = listen(loop, ("127.0.0.1", 0))
-    listener.door.sock = FailingSocket(listener.door.sock, "accept", [code] * times)
+    listener.acceptor.sock = FailingSocket(listener.acceptor.sock, "accept", [code] * times)
     callers = [socket.create_connection(listener.address) for _ in range(2)]
 
     def accept_two():
@@ -223,7 +223,7 @@
 
     def use():
         stream = yield from dial(loop, door.getsockname())
-        stream.pipe.sock = FailingSocket(stream.pipe.sock, name, [code])
+        stream.transport.sock = FailingSocket(stream.transport.sock, name, [code])
         with pytest.raises(StreamBroken, match=os.strerror(code)):
             stream.write(b"x")
             yield from stream.read(loop.now() + SECOND)
@@ -239,7 +239,7 @@
 
     def use():
         stream = yield from dial(loop, address)
-        stream.pipe.sock = FailingSocket(stream.pipe.sock, name, [errno.EINTR] * 3)
+        stream.transport.sock = FailingSocket(stream.transport.sock, name, [errno.EINTR] * 3)
         stream.write(b"x")
         return (yield from stream.read())
 
--- a/tests/test_world.py
+++ b/tests/test_world.py
@@ -8,7 +8,7 @@
 
 from cedarshift.cli.main import main
 from cedarshift.loop import StreamBroken, dial, listen
-from cedarshift.loop.world import Hung, World
+from cedarshift.loop.world import Deadlock, World
 from cedarshift.rehearsal.day import load_day
 from cedarshift.rehearsal.hunt import hunt
 from cedarshift.rehearsal.run import play
@@ -29,7 +29,7 @@
     loop.spawn(run(), "echo")
 
 
-def pair(seed=1, delay=lambda chance: 500):
+def pair(seed=1, delay=lambda rng: 500):
     world, heard = World(seed, delay), []
     server, client = world.host("server"), world.host("client")
     echo(server.loop, heard)
@@ -63,7 +63,7 @@
     except StreamBroken:
         pass
     assert len([one for one in got if one]) == answers == len(heard)
-    assert PLACE not in world.network.doors and server not in world.hosts
+    assert PLACE not in world.network.acceptors and server not in world.hosts
 
 
 def test_a_paused_host_stands_still_while_time_goes_on_and_then_hears_what_came():
@@ -126,7 +126,7 @@
         host.loop.waker()
         yield
 
-    with pytest.raises(Hung, match="lonely"):
+    with pytest.raises(Deadlock, match="lonely"):
         world.run(host.loop.spawn(forever(), "forever"))
 
 
@@ -148,7 +148,7 @@
 
     server.loop.spawn(serve(), "serve")
     world.run(client.loop.spawn(ask(), "ask"))
-    assert len(client.pipes) < 600 and len(server.pipes) < 600
+    assert len(client.transports) < 600 and len(server.transports) < 600
 
 
 DAY = """
--- a/tests/test_zookeeper.py
+++ b/tests/test_zookeeper.py
@@ -754,11 +754,11 @@
     elif what in ("cut", "heal", "drop"):
         zoo.ensemble.control({what: [n]})
     elif what == "part":  # the network between the members and the ensemble, for 4 s at least
-        zoo.loop.network.refuse.update(DOORS)
+        zoo.loop.network.refused_addresses.update(DOORS)
         zoo.ensemble.control({"drop": [3, 4, 5]})
         zoo.run(4)
     elif what == "join":
-        zoo.loop.network.refuse.clear()
+        zoo.loop.network.refused_addresses.clear()
     elif what == "lag":
         zoo.ensemble.control({"lag_ms": {str(n): 700 if not zoo.ensemble.servers[n].lag else 0}})
     elif what == "wait":
