--- a/cedarshift/link/__init__.py
+++ b/cedarshift/link/__init__.py
@@ -1,4 +1,5 @@
-"""A session of the main protocol over a stream: handshakes in time, limits kept, errors told to both sides."""
+"""Sessions of the main protocol over streams: handshake with a timeout, limits and error reporting to both
+sides."""
 
 from cedarshift.link.link import HANDSHAKE_TIMEOUT_US, Link, connect, serve
 
--- a/cedarshift/link/link.py
+++ b/cedarshift/link/link.py
@@ -1,4 +1,4 @@
-"""Ties `codec.Session` to `loop.Stream`, for the side that accepts and for the side that dials."""
+"""Connects `codec.Session` to `loop.Stream`, for the accepting and the dialing side."""
 
 from __future__ import annotations
 
@@ -10,12 +10,12 @@
 from cedarshift.loop import Listener, Loop, Stream, StreamBroken, TimedOut, dial
 from cedarshift.loop.core import Coroutine
 
-HANDSHAKE_TIMEOUT_US = 3_000_000  # us that a peer may take from the connect to an open session
-CLOSE_TIMEOUT_US = 500_000  # us for a Bye to leave before the stream is closed
+HANDSHAKE_TIMEOUT_US = 3_000_000  # from the connect to an open session
+CLOSE_TIMEOUT_US = 500_000  # for a Bye to be sent before the stream is closed
 
 
 class Link:
-    """An open session. `receive` raises StreamBroken or a ProtocolError when it ends."""
+    """A session over a stream. `receive` raises StreamBroken or a ProtocolError when it ends."""
 
     def __init__(self, loop: Loop, stream: Stream, session: Session) -> None:
         self.loop = loop
@@ -24,22 +24,24 @@
 
     @property
     def closed(self) -> bool:
+        """Whether the stream is closed or the session is not open."""
         return self.stream.closed or self.session.state != OPEN
 
     @property
     def peer(self) -> Identity:
-        """Who is at the other end of an open session."""
+        """The peer's identity; the session must be open."""
         assert self.session.peer is not None
         return self.session.peer
 
     def receive(self, until: Optional[int] = None) -> Coroutine:
-        """The next messages, at least one. Raises StreamBroken at the stream's end, TimedOut at `until`."""
+        """Waits for the next messages, at least one. Raises StreamBroken at the end of the stream, TimedOut
+        at `until`."""
         while True:
             self.session.raise_pending_error()
             data = yield from self.stream.read(until)
             if not data:
                 self.session.frames.end()
-                raise StreamBroken("the peer closed without a word")
+                raise StreamBroken("the peer closed the connection without a Bye")
             try:
                 received = self.session.receive(self.loop.now(), data)
             finally:
@@ -48,20 +50,24 @@
                 return received
 
     def send(self, message: m.Message) -> None:
-        """Queues a message; one to a session that has ended is dropped, as the reader hears of the end. So is one that finds the end
-        first: senders are timers and loops that serve many peers, and one broken stream must not end those."""
+        """Queues a message; it is dropped if the session has ended or the stream breaks.
+
+        Never raises StreamBroken, as one broken peer must not stop a sender that serves many; the reader gets
+        the error."""
         if not self.closed:
             try:
                 self.stream.write(self.session.send(message))
             except StreamBroken:
-                pass  # the stream is closed by now, and its reader woken with the reason
+                pass  # the stream is closed and its reader gets the error
 
     def send_frame(self, frame: bytes) -> None:
+        """Queues an encoded frame; raises StreamBroken if the stream breaks."""
         if not self.closed:
             self.stream.write(frame)
 
     def close(self, code: str, reason: str) -> None:
-        """Says why, if that can still be heard, and closes. Never raises: it also runs while another error is on its way."""
+        """Sends a Bye if the stream is still usable, and closes. Never raises, so that it can be called in
+        error handlers."""
         self.session.close(code, reason)
         try:
             self._flush()
@@ -75,7 +81,7 @@
             self.stream.write(out)
 
     def handshake(self, until: int) -> Coroutine:
-        """Runs the handshake. Messages that came with its last frame are returned."""
+        """Runs the handshake; returns the messages received together with its last frame."""
         self._flush()
         while self.session.state != OPEN:
             data = yield from self.stream.read(until)
@@ -97,9 +103,10 @@
     handler: Callable[[Link, list[m.Message]], Coroutine],
     report: Callable[..., None],
 ) -> Coroutine:
-    """Accepts for ever. Each connection has a task of its own: handshake, then `talk(link, first messages)`.
+    """Accepts connections forever; each runs the handshake and then `handler(link, first messages)` in its
+    own task.
 
-    What ends a session is reported with the peer's name and harms no other."""
+    The end of a session is reported with the peer's id and does not affect other sessions."""
     while True:
         stream = yield from listener.accept()
         loop.spawn(_run_session(loop, stream, make_session(), handler, report), f"session {stream.peer}")
@@ -133,9 +140,9 @@
 
 
 def connect(loop: Loop, address: tuple[str, int], session: Session, timeout: int) -> Coroutine:
-    """Dials and shakes hands within `timeout` (us); returns (link, first messages).
+    """Dials and runs the handshake within `timeout` (us); returns (link, first messages).
 
-    Raises StreamBroken where nobody answers in time, a ProtocolError where the peer will not have this side."""
+    Raises StreamBroken if the peer does not answer in time, a ProtocolError if it rejects the session."""
     until = loop.now() + timeout
     stream = yield from dial(loop, address, timeout)
     link = Link(loop, stream, session)
--- a/cedarshift/loop/__init__.py
+++ b/cedarshift/loop/__init__.py
@@ -1,4 +1,5 @@
-"""Runs generators as coroutines over a clock and a network that are handed in; nothing above it meets a socket."""
+"""A generator-based event loop with pluggable clock and network; code above it never handles sockets
+directly."""
 
 from cedarshift.loop.core import Cancelled, Loop, Task, TimedOut
 from cedarshift.loop.datagram import Datagrams, datagrams
--- a/cedarshift/loop/core.py
+++ b/cedarshift/loop/core.py
@@ -1,9 +1,8 @@
-"""The scheduler: tasks, timers, and the hand-in points for clock and network.
+"""The scheduler: tasks and timers over a clock and a network supplied by the caller.
 
-A coroutine is a generator that suspends itself with a bare `yield`, always through `Loop.park`. Times are whole
-microseconds of the clock handed in, which only has to be monotonic: `clock.now() -> int`. The network is asked once a
-pass to wait: `network.poll(wait)`, with `wait` in microseconds or None, and calls back whatever became ready.
-"""
+A coroutine is a generator that suspends with a bare `yield` after it created a `Waker`. Times are integer
+microseconds of a monotonic clock. `network.poll(wait)` is called once per pass with the longest wait in
+microseconds, or None for no limit, and invokes the callbacks of whatever became ready."""
 
 from __future__ import annotations
 
@@ -12,20 +11,22 @@
 from collections import deque
 from typing import Any, Callable, Generator, Optional, Protocol
 
-SLOW_STEP_US = 50_000  # us; a step longer than this holds up every other session and is reported
-TIMER_COMPACTION_THRESHOLD = (
-    1024  # cancelled timers are forgotten whenever so many more have come: most waits end before their limit
-)
-MAX_STEPS_PER_PASS = 64  # ready tasks run between two looks at the network, so that input is never starved
+SLOW_STEP_US = 50_000  # longer task steps are reported
+TIMER_COMPACTION_THRESHOLD = 1024  # timers added between two removals of cancelled ones
+MAX_STEPS_PER_PASS = 64  # ready tasks run between two polls of the network, so that I/O is not starved
 
 Coroutine = Generator[None, Any, Any]
 
 
 class Clock(Protocol):
+    """A monotonic clock in integer microseconds."""
+
     def now(self) -> int: ...
 
 
 class Network(Protocol):
+    """Creates listeners, connection attempts and datagram sockets, and waits for their readiness."""
+
     def poll(self, wait: Optional[int]) -> None: ...
     def listen(self, address: tuple[str, int]) -> Any: ...
     def dial(self, address: tuple[str, int]) -> Any: ...
@@ -37,11 +38,11 @@
 
 
 class TimedOut(Exception):
-    """A wait reached its limit."""
+    """A wait reached its deadline."""
 
 
 class Timer:
-    """A call that is due at a time; `cancel` forgets it."""
+    """A scheduled call; `cancel` prevents it from running."""
 
     __slots__ = ("at", "call", "args")
 
@@ -56,7 +57,7 @@
 
 
 class Waker:
-    """Wakes one park of one task, at most once; later calls and calls after another wake do nothing."""
+    """Resumes one suspension of one task, at most once; calls after the task was resumed have no effect."""
 
     __slots__ = ("task", "ticket")
 
@@ -65,12 +66,14 @@
         self.ticket = ticket
 
     def wake(self, value: Any = None) -> None:
+        """Resumes the task with `value`."""
         task = self.task
         if task.ticket == self.ticket and not task.done:
             task.ticket += 1
             task.loop.ready.append((task, value, None))
 
     def fail(self, error: BaseException) -> None:
+        """Resumes the task by raising `error` in it."""
         task = self.task
         if task.ticket == self.ticket and not task.done:
             task.ticket += 1
@@ -78,7 +81,7 @@
 
 
 class Task:
-    """A running coroutine. `ticket` grows with each wake, so that a stale waker is told from a live one."""
+    """A scheduled coroutine. `ticket` counts its wake-ups, so that stale wakers can be detected."""
 
     __slots__ = ("loop", "name", "run", "ticket", "done", "result", "error", "joiners")
 
@@ -93,13 +96,13 @@
         self.joiners: list[Waker] = []
 
     def cancel(self) -> None:
-        """Raises Cancelled inside the task at its next step; a task that has ended is left alone."""
+        """Raises Cancelled inside the task at its next step; has no effect on a finished task."""
         if not self.done:
             self.ticket += 1
             self.loop.ready.append((self, None, Cancelled(self.name)))
 
     def join(self) -> Coroutine:
-        """Waits for the end; returns the result or raises the error."""
+        """Waits for the task to finish; returns its result or raises its error."""
         while not self.done:
             self.joiners.append(self.loop.waker())
             yield
@@ -109,7 +112,8 @@
 
 
 class Loop:
-    """One thread's scheduler. `report(event, **fields)` hears of failed tasks and of slow steps."""
+    """A single-threaded scheduler. `report(event, **fields)` is called for failed tasks and timers and for
+    slow steps."""
 
     def __init__(self, clock: Clock, network: Network, report: Optional[Callable[..., None]] = None) -> None:
         self.clock = clock
@@ -118,11 +122,11 @@
         self.ready: deque[tuple[Task, Any, Optional[BaseException]]] = deque()
         self.timers: list[tuple[int, int, Timer]] = []
         self.compact_at = TIMER_COMPACTION_THRESHOLD
-        self.timer_sequence = 0  # numbers timers, so that those due together run in the order set
+        self.timer_sequence = 0  # breaks ties: timers due at the same time run in the order they were set
         self.current: Optional[Task] = None
         self.tasks: set[Task] = set()
         self.stopping = False
-        self.slowest_step_us = 0  # us; the longest step so far
+        self.slowest_step_us = 0
 
     def now(self) -> int:
         return self.clock.now()
@@ -130,18 +134,20 @@
     # ---- tasks
 
     def spawn(self, run: Coroutine, name: str) -> Task:
+        """Starts a coroutine as a task, which runs for the first time in the next pass."""
         task = Task(self, run, name)
         self.tasks.add(task)
         self.ready.append((task, None, None))
         return task
 
     def waker(self) -> Waker:
-        """For the task that runs now; it must `yield` next."""
+        """Creates a waker for the running task, which must suspend next."""
         assert self.current is not None, "only a running task can park"
         return Waker(self.current, self.current.ticket)
 
     def park(self, until: Optional[int] = None) -> Coroutine:
-        """Suspends until a waker made beforehand fires; raises TimedOut at `until` (us on the loop's clock)."""
+        """Suspends until a waker created beforehand fires; raises TimedOut at `until` (us on the loop's
+        clock)."""
         if until is None:
             return (yield)
         timer = self.at(until, self.waker().fail, TimedOut())
@@ -159,13 +165,14 @@
             timer.cancel()
 
     def yield_control(self) -> Coroutine:
-        """Lets every other ready task and the network run once."""
+        """Lets the other ready tasks and the network run before continuing."""
         self.waker().wake()
         yield
 
     # ---- timers
 
     def at(self, when: int, call: Callable[..., None], *args: Any) -> Timer:
+        """Schedules `call(*args)` at `when` (us on the loop's clock)."""
         timer = Timer(when, call, args)
         self.timer_sequence += 1
         heapq.heappush(self.timers, (when, self.timer_sequence, timer))
@@ -183,7 +190,7 @@
                 self._run_timer(timer)
 
     def _run_timer(self, timer: Timer) -> None:
-        """Runs a timer's call. A failing one is reported and harms no other, as with tasks."""
+        """Runs a timer's call; an exception is reported and does not propagate."""
         assert timer.call is not None
         try:
             timer.call(*timer.args)
@@ -193,13 +200,13 @@
     # ---- running
 
     def run_pass(self) -> None:
-        """Runs the timers that are due and one breath of ready tasks; the network is not asked."""
+        """Runs the due timers and up to MAX_STEPS_PER_PASS ready tasks, without polling the network."""
         self._run_timers()
         for _ in range(min(MAX_STEPS_PER_PASS, len(self.ready))):
             self._step(*self.ready.popleft())
 
     def next_due(self) -> Optional[int]:
-        """When there is something to run: now, or at the next timer; None where only the network can bring it."""
+        """The time of the next work: now, or the next timer; None if only the network can produce any."""
         if self.ready:
             return self.now()
         while self.timers and self.timers[0][2].call is None:
@@ -207,7 +214,8 @@
         return self.timers[0][0] if self.timers else None
 
     def run(self, main: Optional[Task] = None) -> Any:
-        """Runs until `main` has ended, or `stop` was called, or nothing is left to do."""
+        """Runs until `main` finishes, `stop` is called or no tasks and timers are left. Returns the result of
+        `main`."""
         while not self.stopping and not (main is not None and main.done):
             self.run_pass()
             if self.stopping or (main is not None and main.done):
@@ -225,6 +233,7 @@
         return main.result if main is not None else None
 
     def stop(self) -> None:
+        """Makes `run` return after the current pass."""
         self.stopping = True
 
     def _step(self, task: Task, value: Any, error: Optional[BaseException]) -> None:
@@ -243,7 +252,7 @@
         except Cancelled as cancelled:
             task.error = cancelled
             self._end(task)
-        except Exception as failure:  # ends its own session and harms no other
+        except Exception as failure:  # ends this task only
             task.error = failure
             self.report("task_failed", task=task.name, error=repr(failure), traceback=traceback.format_exc())
             self._end(task)
--- a/cedarshift/loop/datagram.py
+++ b/cedarshift/loop/datagram.py
@@ -1,8 +1,7 @@
-"""Datagrams with limits, over whatever port the network hands out.
+"""Size-limited datagrams over a non-blocking socket supplied by the network.
 
-A port is non-blocking: `recv() -> (bytes, address) | None`, `send(data, address) -> bool` (False: no room now, the datagram is
-lost, as it may be anywhere), `address`, `close()`, `watch(call)` as a pipe's. Readiness is told by edges.
-"""
+`send` returns False if the socket buffer is full and the datagram was dropped. Readiness is edge-triggered,
+as for stream transports."""
 
 from __future__ import annotations
 
@@ -10,11 +9,13 @@
 
 from cedarshift.loop.core import Coroutine, Loop, Waker
 
-MAX_DATAGRAM_BYTES = 65_507  # bytes: what UDP over IPv4 can carry
-MAX_RECEIVES_PER_STEP = 64  # datagrams without a pause; a flood must not hold the loop
+MAX_DATAGRAM_BYTES = 65_507  # largest UDP payload over IPv4
+MAX_RECEIVES_PER_STEP = 64  # datagrams received before other tasks run
 
 
 class DatagramSocket(Protocol):
+    """A non-blocking datagram socket; `recv` returns None if no datagram is waiting."""
+
     address: tuple[str, int]
 
     def recv(self) -> Optional[tuple[bytes, tuple[str, int]]]: ...
@@ -24,7 +25,8 @@
 
 
 class Datagrams:
-    """One address's datagrams; one task receives at a time. Longer ones than `most` bytes are dropped and counted."""
+    """The datagrams of one local address; one task may receive at a time. Those over `max_bytes` are dropped
+    and counted."""
 
     def __init__(self, loop: Loop, port: DatagramSocket, max_bytes: int) -> None:
         self.loop = loop
@@ -42,7 +44,7 @@
         return self.port.address
 
     def receive(self, until: Optional[int] = None) -> Coroutine:
-        """The next datagram and where it came from. Raises TimedOut at `until`."""
+        """Returns the next datagram and its source address. Raises TimedOut at `until`."""
         self.receives_since_yield += 1
         if self.receives_since_yield > MAX_RECEIVES_PER_STEP:
             self.receives_since_yield = 0
@@ -64,7 +66,7 @@
                 return got
 
     def send(self, data: bytes, address: tuple[str, int]) -> None:
-        """Sent, or lost: nothing waits."""
+        """Sends a datagram, or drops it if the socket is closed or its buffer is full."""
         sent = not self.closed and self.port.send(data, address)
         self.counts["sent" if sent else "unsent"] += 1
 
@@ -81,6 +83,6 @@
 
 
 def datagrams(loop: Loop, address: tuple[str, int], max_bytes: int = MAX_DATAGRAM_BYTES) -> Datagrams:
-    """Opens a port for datagrams; port 0 takes any. Raises OSError where the address is taken."""
+    """Opens a datagram socket; port 0 selects a free port. Raises OSError if the address is in use."""
     network: Any = loop.network
     return Datagrams(loop, network.datagrams(address), max_bytes)
--- a/cedarshift/loop/epoll.py
+++ b/cedarshift/loop/epoll.py
@@ -1,8 +1,7 @@
-"""The real network: non-blocking sockets under one `select.epoll`, edge-triggered; and the real clock and signals.
+"""Sockets, clock and signals of the operating system, on edge-triggered `select.epoll`.
 
-Edge-triggered, because then a socket is registered once, for reading and writing alike, and no call changes its
-interest when a write buffer fills or empties. The streams above remember what is ready and ask until there is no more.
-"""
+Each socket is registered once for reading and writing, so no system call is needed when a write buffer fills
+or drains. Streams remember readiness and read or write until the socket would block."""
 
 from __future__ import annotations
 
@@ -16,7 +15,7 @@
 
 from cedarshift.loop.core import Coroutine, Loop, Waker
 
-# Errors of accept() that concern the one connection alone (accept(2)): it has gone again, and others may wait behind it.
+# Errors of accept(2) that concern only the connection being accepted; others may be queued behind it.
 ABORTED_CONNECTION_ERRORS = frozenset(
     {
         errno.ECONNABORTED,
@@ -33,11 +32,11 @@
         errno.EPERM,
     }
 )
-MAX_ABORTED_ACCEPTS = 64  # skipped by one accept; a fault that stays must not hold the loop
-MAX_DATAGRAM_ERRORS = 64  # errors of earlier datagrams taken off a socket by one read
-SIGNAL_READ_BYTES = 512  # bytes read from the wake pipe at a time
-MAX_EVENTS_PER_POLL = 256  # events taken from the kernel a pass
-ACCEPT_BACKLOG = 1024  # connections that the kernel may hold for an accept
+MAX_ABORTED_ACCEPTS = 64  # skipped by one accept call
+MAX_DATAGRAM_ERRORS = 64  # errors of earlier datagrams skipped by one receive call
+SIGNAL_READ_BYTES = 512  # read from the wakeup pipe at a time
+MAX_EVENTS_PER_POLL = 256
+ACCEPT_BACKLOG = 1024  # connections queued by the kernel
 REGISTERED_EVENTS = select.EPOLLIN | select.EPOLLOUT | select.EPOLLRDHUP | select.EPOLLET
 READ_EVENTS = select.EPOLLIN | select.EPOLLRDHUP | select.EPOLLHUP | select.EPOLLERR
 HANGUP_EVENTS = select.EPOLLRDHUP | select.EPOLLHUP | select.EPOLLERR
@@ -45,30 +44,31 @@
 
 
 class MonotonicClock:
-    """Microseconds that never jump; the wall clock decides nothing."""
+    """The system's monotonic clock in microseconds."""
 
     def now(self) -> int:
         return time.monotonic_ns() // 1000
 
 
 def wall_clock() -> int:
-    """Unix time in microseconds, for what comes stamped by other machines. It may be stepped: no span is measured by it."""
+    """Unix time in microseconds, to compare with timestamps of other machines. Not monotonic."""
     return time.time_ns() // 1000
 
 
 class EpollNetwork:
-    """Hands out pipes, doors and connection attempts over real sockets."""
+    """Creates socket-based listeners, connection attempts and datagram sockets, and polls them for
+    readiness."""
 
     def __init__(self) -> None:
         self.epoll = select.epoll()
         self.callbacks: dict[int, Callable[[bool, bool, bool], None]] = {}
 
     def poll(self, wait: Optional[int]) -> None:
-        # Rounded up to a whole millisecond: epoll counts in those, and rounding down would spin until a timer is due.
+        # epoll has millisecond resolution; rounding down would busy-wait until a timer is due.
         timeout = -1 if wait is None else -(-wait // 1000) / 1000
         try:
             ready = self.epoll.poll(timeout, MAX_EVENTS_PER_POLL)
-        except InterruptedError:  # the loop looks at its timers and waits again
+        except InterruptedError:  # the loop checks its timers and polls again
             return
         for number, events in ready:
             call = self.callbacks.get(number)
@@ -76,9 +76,10 @@
                 call(bool(events & READ_EVENTS), bool(events & WRITE_EVENTS), bool(events & HANGUP_EVENTS))
 
     def register(self, number: int, call: Callable[[bool, bool, bool], None]) -> None:
-        """Raises OSError where the kernel has no room for one more (ENOSPC, ENOMEM); then nothing is registered."""
+        """Calls `call` on readiness changes. Raises OSError (ENOSPC, ENOMEM) if the kernel cannot register
+        the descriptor."""
         if number in self.callbacks:
-            self.epoll.modify(number, REGISTERED_EVENTS)  # tells anew of what is ready by now
+            self.epoll.modify(number, REGISTERED_EVENTS)  # re-arms it: current readiness is reported again
         else:
             self.epoll.register(number, REGISTERED_EVENTS)
         self.callbacks[number] = call
@@ -87,7 +88,7 @@
         if self.callbacks.pop(number, None) is not None:
             try:
                 self.epoll.unregister(number)
-            except OSError:  # the kernel has dropped it with the descriptor
+            except OSError:  # already removed with the closed descriptor
                 pass
 
     def listen(self, address: tuple[str, int]) -> SocketAcceptor:
@@ -106,7 +107,7 @@
         sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         sock.setblocking(False)
         result = sock.connect_ex(address)
-        if result not in (0, errno.EINPROGRESS, errno.EINTR):  # interrupted, it goes on by itself: connect(2)
+        if result not in (0, errno.EINPROGRESS, errno.EINTR):  # after EINTR the connect continues: connect(2)
             sock.close()
             raise OSError(result, os.strerror(result))
         return SocketAttempt(self, sock, result == 0)
@@ -123,7 +124,8 @@
 
 
 class UdpSocket:
-    """Datagrams of one address. What the kernel has no room for is lost; a peer that refuses them is none of the port's matter."""
+    """A UDP socket. Datagrams that the kernel cannot take are dropped; errors reported by peers are
+    ignored."""
 
     def __init__(self, network: EpollNetwork, sock: socket.socket) -> None:
         self.network = network
@@ -138,7 +140,7 @@
                 return None
             except InterruptedError:
                 continue
-            except OSError:  # of an earlier datagram that found nobody: the next read may bring one
+            except OSError:  # an ICMP error of an earlier datagram
                 continue
         return None
 
@@ -157,6 +159,8 @@
 
 
 class SocketTransport:
+    """A connected TCP socket."""
+
     def __init__(self, network: EpollNetwork, sock: socket.socket) -> None:
         self.network = network
         self.sock = sock
@@ -168,7 +172,7 @@
                 return self.sock.recv(max_bytes)
             except BlockingIOError:
                 return None
-            except InterruptedError:  # no edge would tell again of what is there
+            except InterruptedError:  # readiness would not be reported again
                 continue
 
     def send(self, view: Any) -> int:
@@ -181,7 +185,7 @@
                 continue
 
     def finish_writing(self) -> None:
-        """Tells the peer that no more will come; what it has sent can still be read."""
+        """Shuts down the sending side; the peer's data can still be read."""
         self.sock.shutdown(socket.SHUT_WR)
 
     def watch(self, call: Callable[[bool, bool, bool], None]) -> None:
@@ -193,14 +197,18 @@
 
 
 class SocketAcceptor:
+    """A listening TCP socket."""
+
     def __init__(self, network: EpollNetwork, sock: socket.socket) -> None:
         self.network = network
         self.sock = sock
         self.address = sock.getsockname()
 
     def accept(self) -> Optional[tuple[SocketTransport, str]]:
-        """The next connection, None where none waits. Raises OSError where the machine has no room for one (EMFILE, ENFILE,
-        ENOBUFS, ENOMEM): it stays in the kernel's queue, and no edge tells of it again."""
+        """Returns the next connection and its peer, or None if none is waiting.
+
+        Raises OSError if the system is out of resources (EMFILE, ENFILE, ENOBUFS, ENOMEM). The connection
+        then stays in the kernel's queue and its readiness is not reported again."""
         for _ in range(MAX_ABORTED_ACCEPTS):
             try:
                 sock, peer = self.sock.accept()
@@ -211,13 +219,13 @@
             except OSError as error:
                 if error.errno not in ABORTED_CONNECTION_ERRORS:
                     raise
-                continue  # others may wait behind it, and no edge tells of them
+                continue  # others may be queued, and readiness is not reported again
             sock.setblocking(False)
             try:
                 return SocketTransport(self.network, sock), f"{peer[0]}:{peer[1]}"
-            except OSError:  # reset before it was taken
+            except OSError:  # reset before it was accepted
                 sock.close()
-        raise OSError(errno.EAGAIN, "one connection after the other has gone before it was taken")
+        raise OSError(errno.EAGAIN, "too many connections aborted before they were accepted")
 
     def watch(self, call: Callable[[bool, bool, bool], None]) -> None:
         self.network.register(self.sock.fileno(), call)
@@ -228,7 +236,8 @@
 
 
 class SocketAttempt:
-    """A connect under way; `poll` gives the pipe once it stands, None before, and raises OSError if it failed."""
+    """A connect in progress. `poll` returns the transport once connected, None before, and raises OSError on
+    failure."""
 
     def __init__(self, network: EpollNetwork, sock: socket.socket, done: bool) -> None:
         self.network = network
@@ -256,8 +265,9 @@
 
 
 class Signals:
-    """Signals as something to wait for, by a wake pipe; only the main thread may hold one. A pipe, as a pair of sockets would
-    be Unix sockets, for which there is no room where the platform runs the program."""
+    """Delivers signals to a coroutine through a wakeup pipe; only the main thread may create one.
+
+    A pipe is used because Unix socket pairs may be unavailable in the deployment environment."""
 
     def __init__(self, loop: Loop, network: EpollNetwork, numbers: Iterable[int]) -> None:
         self.loop = loop
@@ -274,7 +284,7 @@
         while True:
             try:
                 self.pending.extend(os.read(self.read_fd, SIGNAL_READ_BYTES))
-            except BlockingIOError:  # a short read is no end: no edge tells of what is left
+            except BlockingIOError:  # read until empty: readiness is not reported again
                 break
             except InterruptedError:
                 continue
@@ -282,13 +292,15 @@
             self.waiting.wake()
 
     def ignore(self) -> None:
-        """For the end of a process: the interpreter gives handlers up before it is gone, and a signal that comes after the one
-        which ended it would turn its exit code into a death by signal."""
+        """Ignores the signals from now on.
+
+        Called at exit: the interpreter restores default handlers during shutdown, and a late signal would
+        then kill the process and change its exit code."""
         for number in self.numbers:
             signal.signal(number, signal.SIG_IGN)
 
     def next(self) -> Coroutine:
-        """The next signal's number."""
+        """Waits for the next signal and returns its number."""
         while not self.pending:
             self.waiting = self.loop.waker()
             try:
@@ -299,10 +311,10 @@
 
 
 def random_bytes(count: int) -> bytes:
-    """From the machine's own source of chance; the seed of a process and the challenges of its handshakes."""
+    """Returns `count` bytes from the operating system's random number generator."""
     return os.urandom(count)
 
 
 def real_loop(report: Optional[Callable[..., None]] = None) -> Loop:
-    """A loop on the machine's own clock and sockets."""
+    """Creates a loop on the system's clock and sockets."""
     return Loop(MonotonicClock(), EpollNetwork(), report)
--- a/cedarshift/loop/memory.py
+++ b/cedarshift/loop/memory.py
@@ -1,8 +1,8 @@
-"""A network and a clock that live in memory: time passes only when every task waits. One process, no sockets.
+"""A simulated network and clock in memory, without sockets: time advances only when every task waits.
 
-The pipes delay by a stated time, hold a bounded number of bytes and can be cut. One loop may use the network by itself;
-where several do (`loop/world.py`), each pipe, door and attempt belongs to one host, which hears of its edges.
-"""
+Transports have latency, a bounded buffer and can be reset. A single loop may use the network directly. If
+several hosts share it (`loop/world.py`), each transport, acceptor and attempt has an owner, which receives
+its readiness events."""
 
 from __future__ import annotations
 
@@ -16,14 +16,15 @@
 ReadyCallback = Callable[[bool, bool, bool], None]
 Address = tuple[str, int]
 
-MAX_BUFFERED_BYTES = 65_536  # bytes on the way in one direction, as in a small socket buffer
-MAX_ACCEPT_QUEUE = 1_024  # connections that wait to be accepted; beyond, a dial is left without an answer
-MAX_QUEUED_DATAGRAMS = 256  # datagrams that wait to be read, as in a socket's buffer
-RETRANSMIT_DELAY_US = 200_000  # us; a piece of a stream that is lost comes so much later
+MAX_BUFFERED_BYTES = 65_536  # sent but not yet read, per direction
+MAX_ACCEPT_QUEUE = 1_024  # connections waiting to be accepted; further dials get no answer
+MAX_QUEUED_DATAGRAMS = 256  # per socket; further ones are dropped
+RETRANSMIT_DELAY_US = 200_000  # added to the delay of a lost stream segment
 
 
 class Owner(Protocol):
-    """A host among several: `hear` passes an edge on, when the host runs; `adopt` learns of a pipe of its own."""
+    """A host that shares the network. `deliver` runs a readiness callback in it; `add_transport` registers a
+    new transport."""
 
     alive: bool
 
@@ -41,6 +42,8 @@
 
 
 class VirtualClock:
+    """A clock in microseconds that is advanced explicitly."""
+
     def __init__(self, start: int = 1_000_000) -> None:
         self.time = start
 
@@ -49,21 +52,22 @@
 
 
 class LinkConditions:
-    """What befalls what one host sends to another; the way back has a state of its own. Shares are from 0 to 1."""
+    """Impairments of traffic from one host to another; each direction has its own. Probabilities are from 0
+    to 1."""
 
     def __init__(
         self, loss: float = 0.0, delay: int = 0, jitter: int = 0, duplicated: float = 0.0, cut: bool = False
     ) -> None:
         self.loss = loss
-        self.delay = delay  # us, beside the network's own
-        self.jitter = jitter  # us at most, drawn for each datagram by itself: they overtake each other
+        self.delay = delay  # us, in addition to the network's own
+        self.jitter = jitter  # us at most, drawn per datagram, so that they may be reordered
         self.duplicated = duplicated
-        self.cut = cut  # datagrams are lost; bytes of streams wait until it is mended
+        self.cut = cut  # datagrams are dropped; stream data waits until it is repaired
 
 
 class MemoryNetwork:
-    """`delay(source, target)` gives the microseconds of one way; `refuse` holds addresses that do not answer. `ways` holds what
-    is wrong between hosts, by (source, target); `chance` draws it."""
+    """`delay()` returns the one-way latency in microseconds. `refused_addresses` refuse connections.
+    `link_conditions` holds the impairments between hosts by (source, target); `rng` draws them."""
 
     def __init__(
         self,
@@ -75,7 +79,7 @@
         self.link_conditions: dict[tuple[str, str], LinkConditions] = {}
         self.blocked: dict[
             tuple[str, str], list[tuple[MemoryTransport, Callable[[], None]]]
-        ] = {}  # what waits in a stream for a cut to be mended
+        ] = {}  # stream data waiting for a cut link to be repaired
         self.ports: dict[Address, MemoryDatagramSocket] = {}
         self.clock = clock
         self.delay = delay or (lambda: 100)
@@ -84,11 +88,9 @@
         self.due: list[tuple[int, int, Callable[[], None]]] = []
         self.event_sequence = 0
         self.next_port = 40_000
-        self.segmenter: Optional[Callable[[bytes], list[bytes]]] = (
-            None  # how what is sent at once comes in several
-        )
+        self.segmenter: Optional[Callable[[bytes], list[bytes]]] = None  # splits one write into segments
         self.max_accept_queue = MAX_ACCEPT_QUEUE
-        self.dropped_dials = 0  # dials that found a full queue
+        self.dropped_dials = 0  # because the accept queue was full
 
     def call_later(self, span: int, call: Callable[[], None]) -> int:
         self.event_sequence += 1
@@ -97,19 +99,22 @@
         return at
 
     def next_due(self) -> Optional[int]:
+        """The time of the next event, or None."""
         return self.due[0][0] if self.due else None
 
     def run_due(self) -> None:
+        """Runs all events that are due."""
         while self.due and self.due[0][0] <= self.clock.time:
             heapq.heappop(self.due)[2]()
 
     def poll(self, wait: Optional[int]) -> None:
+        """Advances the clock to the next event, or by `wait` microseconds if none is due before that."""
         limit = None if wait is None else self.clock.time + wait
         if self.due and (limit is None or self.due[0][0] <= limit):
             self.clock.time = max(self.clock.time, self.due[0][0])
             self.run_due()
         elif limit is None:
-            raise RuntimeError("every task waits, and nothing is due: the program hangs")
+            raise RuntimeError("deadlock: every task waits and no event is scheduled")
         else:
             self.clock.time = limit
 
@@ -119,7 +124,8 @@
         return self.link_conditions.get((getattr(source, "name", ""), getattr(target, "name", "")))
 
     def set_link_conditions(self, source: str, target: str, conditions: Optional[LinkConditions]) -> None:
-        """From now on; None for sound. What waited for a cut passes on, in its order."""
+        """Sets the conditions of a link, None for unimpaired. Stream data held back by a cut is delivered in
+        order."""
         if conditions is None:
             self.link_conditions.pop((source, target), None)
         else:
@@ -153,15 +159,17 @@
 
 
 class MemoryTransport:
+    """One side of an in-memory byte stream."""
+
     def __init__(self, network: MemoryNetwork, owner: Optional[Owner] = None) -> None:
         self.network = network
         self.owner = owner
         self.peer: Optional[MemoryTransport] = None
         self.inbox: deque[bytes] = deque()
-        self.buffered_bytes = 0  # bytes sent to this side and not read yet
-        self.last_arrival = 0  # when the newest of them does: streams keep their order
+        self.buffered_bytes = 0  # sent to this side and not read yet
+        self.last_arrival = 0  # of the newest segment, to keep the stream in order
         self.call: Optional[ReadyCallback] = None
-        self.finished = False  # the other side will send no more
+        self.finished = False  # the peer has shut down its sending side
         self.reset = False
         self.closed = False
         if owner is not None:
@@ -175,7 +183,7 @@
             raise OSError(errno.ECONNRESET, "connection reset")
         if not self.inbox:
             return b"" if self.finished else None
-        data = b"".join(self.inbox)  # less than was asked for means, as on a socket, that no more is there
+        data = b"".join(self.inbox)  # a short read means that the buffer is empty, as on a socket
         self.inbox.clear()
         if len(data) > most:
             self.inbox.append(data[most:])
@@ -215,7 +223,8 @@
         )
 
     def _schedule_arrival(self, late: int, call: Callable[[], None]) -> None:
-        """After all that is on its way to this side: streams keep their order, also what a cut had held."""
+        """Schedules `call` after everything already on its way to this side, so that the stream stays in
+        order."""
         at = max(self.last_arrival, self.network.clock.time + max(late, self.network.delay()))
         self.last_arrival = self.network.call_later(at - self.network.clock.time, call)
 
@@ -233,7 +242,7 @@
         self._notify(True, False)
 
     def finish_writing(self) -> None:
-        """The peer comes to the end; what it sends still arrives here."""
+        """Shuts down the sending side; the peer's data can still be read."""
         if self.reset:
             raise OSError(errno.ECONNRESET, "connection reset")
         if self.peer is not None:
@@ -246,7 +255,7 @@
                 self._transmit(self.peer, self.peer._finish)
 
     def abort(self) -> None:
-        """Resets both sides at once; what was on the way is lost."""
+        """Resets both sides at once; data in flight is lost."""
         for side in (self, self.peer):
             if side is not None:
                 side.reset = True
@@ -254,7 +263,8 @@
 
 
 class MemoryDatagramSocket:
-    """Datagrams of one address: lost, late, doubled and out of order as its ways say."""
+    """A datagram socket; datagrams are lost, delayed, duplicated and reordered according to the link
+    conditions."""
 
     def __init__(self, network: MemoryNetwork, address: Address, owner: Optional[Owner] = None) -> None:
         self.network = network
@@ -301,6 +311,8 @@
 
 
 class MemoryAcceptor:
+    """A listening address with its accept queue."""
+
     def __init__(
         self, network: MemoryNetwork, address: tuple[str, int], owner: Optional[Owner] = None
     ) -> None:
@@ -317,11 +329,13 @@
         self.call = call
 
     def close(self) -> None:
-        if self.network.acceptors.get(self.address) is self:  # the address may be another's by now
+        if self.network.acceptors.get(self.address) is self:  # the address may have been reused
             del self.network.acceptors[self.address]
 
 
 class MemoryAttempt:
+    """A connect in progress; see `SocketAttempt`."""
+
     def __init__(
         self, network: MemoryNetwork, address: tuple[str, int], owner: Optional[Owner] = None
     ) -> None:
@@ -346,7 +360,7 @@
             else ()
         ):
             if conditions is not None and conditions.cut:
-                return  # nothing answers: the dial runs into its limit
+                return  # no answer: the dial times out
         if acceptor is not None and len(acceptor.queue) >= self.network.max_accept_queue:
             self.network.dropped_dials += 1
             return
--- a/cedarshift/loop/stream.py
+++ b/cedarshift/loop/stream.py
@@ -1,10 +1,9 @@
-"""Byte streams with limits, over whatever pipes the network hands out.
+"""Byte streams with limits over non-blocking transports supplied by the network, and listeners that accept
+them.
 
-A pipe is non-blocking: `recv(most) -> bytes | None` (None: nothing now; b"": the peer has finished), `send(view) ->
-int` (0: no room now), `close()`, `watch(call)` where `call(readable, writable, hung)` tells of edges, `hung` that the
-peer has finished. Readiness is told by edges, once a change; the stream remembers it and asks the pipe until there is no more
-(None, or 0). A transfer may be short at any time, so its length tells nothing of what is left.
-"""
+Readiness of a transport is edge-triggered: its `watch` callback runs once per change. The stream remembers
+readiness and reads or writes until the transport would block. Any transfer may be short, so its length does
+not show readiness."""
 
 from __future__ import annotations
 
@@ -13,26 +12,29 @@
 
 from cedarshift.loop.core import Coroutine, Loop, TimedOut, Waker
 
-READ_CHUNK_BYTES = 65_536  # bytes taken from a pipe at a time
-MAX_READS_PER_STEP = 4  # reads without a pause; a peer that always has more must not hold the loop
-MAX_PENDING_BYTES = 1 << 20  # bytes that may wait to be written before the stream counts as stalled
-DIAL_TIMEOUT_US = 1_000_000  # us
-MAX_LINGER_BYTES = (
-    4 << 20
-)  # bytes thrown away of a peer that goes on sending: what the buffers on the way hold at most
-MAX_LINGER_READS = 8  # reads of them without a pause
-ACCEPT_RETRY_DELAY_US = 50_000  # us between tries while the machine has no room for a connection
+READ_CHUNK_BYTES = 65_536
+MAX_READS_PER_STEP = 4  # before other tasks run
+MAX_PENDING_BYTES = 1 << 20  # unsent bytes after which a write fails
+DIAL_TIMEOUT_US = 1_000_000
+MAX_LINGER_BYTES = 4 << 20  # input discarded while waiting for the peer to close
+MAX_LINGER_READS = 8  # before other tasks run
+ACCEPT_RETRY_DELAY_US = 50_000  # while the system is out of resources
 
 
 class StreamBroken(Exception):
-    """The stream has ended in a way that the reader or writer did not ask for."""
+    """The stream was closed or reset."""
 
 
 class BufferFull(StreamBroken):
-    """The peer reads too slowly: more would have to wait than the stream's limit."""
+    """The peer reads too slowly: unsent data exceeds the stream's limit."""
 
 
 class Transport(Protocol):
+    """A non-blocking byte stream.
+
+    `recv` returns None if it would block and b"" at the end of the stream; `send` returns the number of bytes
+    taken, 0 if it would block. `watch` sets the callback `call(readable, writable, hung_up)`."""
+
     def recv(self, max_bytes: int) -> Optional[bytes]: ...
     def send(self, view: Any) -> int: ...
     def finish_writing(self) -> None: ...
@@ -41,7 +43,7 @@
 
 
 class Stream:
-    """One connection. At most one task reads and one drains at a time."""
+    """A buffered connection. At most one task may read and one may drain at a time."""
 
     def __init__(
         self, loop: Loop, transport: Transport, peer: str = "", max_pending_bytes: int = MAX_PENDING_BYTES
@@ -50,25 +52,26 @@
         self.transport = transport
         self.peer = peer
         self.max_pending_bytes = max_pending_bytes
-        self.pending = 0  # bytes that wait to be written
+        self.pending = 0  # unsent bytes
         self.closed = False
         self.chunks: deque[memoryview] = deque()
-        self.readable = True  # until the pipe says otherwise
+        self.readable = True  # until the transport would block
         self.writable = True
         self.close_error: Optional[StreamBroken] = None
         self.reader: Optional[Waker] = None
         self.drainer: Optional[Waker] = None
         self.reads = 0
-        self.has_written = False  # something was sent: to close with unread input would reset it on its way
-        self.finishing = False  # no more is read or written on this side
-        self.lingering = False  # all is written, and the peer's end is waited for
-        self.discarded_bytes = 0  # bytes that came while it was
+        self.has_written = False  # closing with unread input would reset the connection and lose it
+        self.finishing = False  # `finish` was called: no more reads or writes
+        self.lingering = False  # everything is sent, waiting for the peer to close
+        self.discarded_bytes = 0  # while lingering
         transport.watch(self._ready)
 
     # ---- reading
 
     def read(self, until: Optional[int] = None) -> Coroutine:
-        """The next bytes; b"" once the peer has finished. Raises TimedOut at `until`, StreamBroken on a reset."""
+        """Returns the next bytes, or b"" at the end of the stream. Raises TimedOut at `until` and
+        StreamBroken on a reset."""
         self.reads += 1
         if self.reads > MAX_READS_PER_STEP:
             self.reads = 0
@@ -84,8 +87,9 @@
                 self.reader = None
 
     def take(self, ignore_readiness: bool = False) -> Optional[bytes]:
-        """What has come, without waiting: None where there is nothing, b"" at the peer's end. `unseen`: also what no edge has
-        told of yet. Raises StreamBroken."""
+        """Reads without waiting: None if there is no data, b"" at the end of the stream. Raises StreamBroken.
+
+        `ignore_readiness`: asks the transport even if it has not reported data."""
         self._check_open()
         if not self.readable and not ignore_readiness:
             return None
@@ -105,7 +109,8 @@
     # ---- writing
 
     def write(self, data: bytes) -> None:
-        """Sends what the pipe takes and keeps the rest. Raises BufferFull, and closes, past the limit."""
+        """Sends what the transport takes and buffers the rest. Closes and raises BufferFull past the
+        limit."""
         self._check_open()
         self.has_written = True
         view = memoryview(data)
@@ -118,13 +123,13 @@
             self.pending += len(view)
             if self.pending > self.max_pending_bytes:
                 full = BufferFull(
-                    f"{self.pending} bytes wait for {self.peer}, {self.max_pending_bytes} at most"
+                    f"{self.pending} unsent bytes for {self.peer}, at most {self.max_pending_bytes} allowed"
                 )
                 self._fail(full)
                 raise full
 
     def _send_view(self, view: memoryview) -> int:
-        """Hands over until all has gone or the pipe has no room; the number of bytes that went."""
+        """Sends until the view is empty or the transport would block; returns the number of bytes sent."""
         sent = 0
         while sent < len(view):
             try:
@@ -139,7 +144,7 @@
         return sent
 
     def drain(self, below: int = 0, until: Optional[int] = None) -> Coroutine:
-        """Waits until no more than `below` bytes wait to be written."""
+        """Waits until at most `below` bytes are unsent. Raises TimedOut at `until`."""
         while self.pending > below:
             if self.closed:
                 raise self.close_error or StreamBroken("closed on this side")
@@ -152,7 +157,7 @@
     # ---- ending
 
     def close(self) -> None:
-        """Closes at once; what still waits to be written is lost."""
+        """Closes immediately; unsent data is lost."""
         if not self.closed:
             self.closed = True
             self.chunks.clear()
@@ -163,9 +168,10 @@
                     waker.wake()
 
     def finish(self, timeout: int) -> None:
-        """Closes once everything is written and the peer has had it, or after `within` microseconds. Until the peer ends its side
-        what it still sends is read and thrown away: to close over unread input makes the kernel reset the connection, and
-        a reset destroys the last answer on its way."""
+        """Closes once everything is sent and the peer has closed, or after `timeout` microseconds.
+
+        Input is read and discarded meanwhile: closing a socket with unread input resets the connection, which
+        can destroy data the peer has not read yet."""
         if self.closed or self.finishing:
             return
         if not self.has_written:
@@ -183,7 +189,7 @@
             return
         try:
             self.transport.finish_writing()
-        except OSError:  # the peer has gone
+        except OSError:  # the peer has disconnected
             self.close()
             return
         self.lingering = True
@@ -237,8 +243,9 @@
 
 
 class Listener:
-    """Accepts streams; beyond `most` open ones a newcomer is closed at once, so that the others keep their share. Where the
-    machine has no room for one more (descriptors, memory) it is waited for: no failed accept ends who accepts."""
+    """Accepts streams, at most `max_streams` open at a time; further connections are closed immediately.
+
+    While the system is out of resources (descriptors, memory), `accept` retries."""
 
     def __init__(self, loop: Loop, acceptor: Any, max_streams: int, max_pending_bytes: int) -> None:
         self.loop = loop
@@ -247,7 +254,7 @@
         self.max_pending_bytes = max_pending_bytes
         self.open: set[Stream] = set()
         self.refused_count = 0
-        self.failures = 0  # accepts that failed
+        self.failures = 0  # failed accepts
         self.waiting: Optional[Waker] = None
         self.closed = False
         acceptor.watch(self._ready)
@@ -257,7 +264,7 @@
         return self.acceptor.address
 
     def accept(self) -> Coroutine:
-        """The next stream."""
+        """Waits for the next stream. Raises StreamBroken if the listener is closed."""
         while True:
             if self.closed:
                 raise StreamBroken("the listener was closed")
@@ -276,7 +283,7 @@
                 self.waiting = None
 
     def take(self) -> Optional[Stream]:
-        """The next stream that waits, None where there is none. Raises OSError where the machine has no room for one."""
+        """Returns a waiting stream or None. Raises OSError if the system is out of resources."""
         while (got := self.acceptor.accept()) is not None:
             transport, peer = got
             self.open = {stream for stream in self.open if not stream.closed}
@@ -311,7 +318,7 @@
 def listen(
     loop: Loop, address: tuple[str, int], max_streams: int = 4096, max_pending_bytes: int = MAX_PENDING_BYTES
 ) -> Listener:
-    """Opens a listener at an address; port 0 takes any. Raises OSError where the address is taken."""
+    """Opens a listener; port 0 selects a free port. Raises OSError if the address is in use."""
     return Listener(loop, loop.network.listen(address), max_streams, max_pending_bytes)
 
 
@@ -321,7 +328,7 @@
     timeout: int = DIAL_TIMEOUT_US,
     max_pending_bytes: int = MAX_PENDING_BYTES,
 ) -> Coroutine:
-    """Connects; raises StreamBroken where nobody answers or the connect takes longer than `timeout` (us)."""
+    """Connects to `address`. Raises StreamBroken if that fails or takes longer than `timeout` (us)."""
     peer = f"{address[0]}:{address[1]}"
     try:
         attempt = loop.network.dial(address)
--- a/cedarshift/loop/supervise.py
+++ b/cedarshift/loop/supervise.py
@@ -1,4 +1,4 @@
-"""Work that must go on for the life of a process: a fault ends one run of it, not the work."""
+"""Restarts background work that must survive its own exceptions."""
 
 from __future__ import annotations
 
@@ -7,13 +7,14 @@
 
 from cedarshift.loop.core import Cancelled, Coroutine, Loop
 
-RESTART_DELAY_US = 200_000  # us; a fault that stays must not spin
+RESTART_DELAY_US = 200_000  # keeps a persistent failure from busy-looping
 
 
 def supervise(loop: Loop, work: Callable[[], Coroutine], name: str) -> Coroutine:
-    """Runs `work()`, and again a moment after each fault of it, which is reported; ends when a run of it ends, or is cancelled.
+    """Runs `work()`; if it raises, reports the error and restarts it after RESTART_DELAY_US.
 
-    For work that takes up where it was: what it holds has to be kept outside of the coroutine."""
+    Returns when a run returns, and ends when cancelled. State that has to outlive a restart must be kept
+    outside the coroutine."""
     while True:
         try:
             return (yield from work())
--- a/cedarshift/loop/world.py
+++ b/cedarshift/loop/world.py
@@ -1,9 +1,9 @@
-"""Many hosts in one process, on one virtual clock and one network in memory: each has a loop of its own, as a process has.
+"""Deterministic simulation of many hosts in one process, with a virtual clock and an in-memory network.
 
-A host can be killed (its streams end, its tasks are never run again), paused (it stands still while the network goes on)
-and started anew. Time passes only when no host has anything to run, so a run of minutes takes seconds, and the same seed
-gives the same run: the order in which hosts run within an instant, and how long each message takes, come from it.
-"""
+Each host has its own loop, as a separate process would. Hosts can be killed (their streams end and their
+tasks never run again), paused (the network goes on without them) and replaced by new ones. Time advances only
+when no host can run. The seed determines the order in which hosts run and the delay of each message, so equal
+seeds give equal runs."""
 
 from __future__ import annotations
 
@@ -21,15 +21,15 @@
     VirtualClock,
 )
 
-TRANSPORT_CLEANUP_THRESHOLD = 256  # closed pipes are forgotten whenever a host has come to hold so many more
+TRANSPORT_CLEANUP_THRESHOLD = 256  # transports added between two removals of closed ones
 
 
 class Deadlock(Exception):
-    """Every host waits and nothing is due: the main task can never end."""
+    """Every host waits and no event is scheduled, so the main task can never finish."""
 
 
 class HostClock:
-    """A host's own monotonic clock: it may run a little faster or slower than the world's, and begins where it likes."""
+    """A host's monotonic clock, with its own rate and offset (us) relative to the world's clock."""
 
     def __init__(self, clock: VirtualClock, rate: float = 1.0, offset: int = 0) -> None:
         self.clock = clock
@@ -44,7 +44,7 @@
         )
 
     def to_world_time(self, at: int) -> int:
-        """The world's time at which this clock shows `at`, or more."""
+        """The earliest world time at which this clock shows `at` or later."""
         if self.rate == 1.0:
             return at - self.offset
         found = int((at - self.offset) / self.rate)
@@ -54,14 +54,14 @@
 
 
 class HostNetwork:
-    """The network as one host sees it."""
+    """The network as seen by one host, which owns what it opens."""
 
     def __init__(self, host: Host, network: MemoryNetwork) -> None:
         self.host = host
         self.network = network
 
     def poll(self, wait: Optional[int]) -> None:
-        raise RuntimeError("the world runs this host's loop; it does not wait by itself")
+        raise RuntimeError("the loop of a simulated host is run by its world and must not poll")
 
     def listen(self, address: tuple[str, int]) -> MemoryAcceptor:
         acceptor = self.network.listen(address, self.host)
@@ -78,7 +78,7 @@
 
 
 class Host:
-    """One program's place. `alive` until it is killed or has stopped its loop."""
+    """A simulated process. `alive` until it is killed or has stopped its loop."""
 
     def __init__(
         self,
@@ -99,9 +99,10 @@
         self.paused = False
         self.deferred_events: list[
             tuple[ReadyCallback, bool, bool, bool]
-        ] = []  # edges that came while it stood still
+        ] = []  # readiness events that arrived while paused
 
     def deliver(self, call: ReadyCallback, readable: bool, writable: bool, hung_up: bool) -> None:
+        """Runs a readiness callback, once the host is resumed if it is paused."""
         if self.paused:
             self.deferred_events.append((call, readable, writable, hung_up))
         elif self.alive:
@@ -109,13 +110,14 @@
             self.world.mark_runnable(self)
 
     def add_transport(self, transport: MemoryTransport) -> None:
+        """Registers a transport to be closed when the host ends."""
         self.transports.append(transport)
         if len(self.transports) >= self.compact_at:
             self.transports = [one for one in self.transports if not one.closed]
             self.compact_at = len(self.transports) + TRANSPORT_CLEANUP_THRESHOLD
 
     def end(self) -> None:
-        """As when a process ends, however it does: the machine closes what it had open; what it had not sent is lost."""
+        """Ends the host as a process exit would: everything it has open is closed and unsent data is lost."""
         if not self.alive:
             return
         self.alive = False
@@ -131,10 +133,12 @@
         self.world.remove_host(self)
 
     def pause(self) -> None:
+        """Suspends the host; readiness events are kept until `resume`."""
         self.paused = self.alive
         self.world.runnable.pop(self, None)
 
     def resume(self) -> None:
+        """Continues a paused host with the events that arrived meanwhile."""
         if self.paused:
             self.paused = False
             deferred_events, self.deferred_events = self.deferred_events, []
@@ -144,29 +148,29 @@
 
 
 class World:
-    """`delay(chance)` draws the microseconds that a message takes one way."""
+    """The hosts, their clock and network. `delay(rng)` draws the one-way latency of a message in
+    microseconds."""
 
     def __init__(self, seed: int, delay: Optional[Callable[[random.Random], int]] = None) -> None:
         self.rng = random.Random(seed)
         self.clock = VirtualClock()
         draw = delay or (lambda rng: 100 + rng.randrange(200))
         self.network = MemoryNetwork(self.clock, lambda: draw(self.rng), self.rng)
-        self.hosts: dict[Host, Optional[int]] = {}  # living hosts -> when each has something to run
-        self.runnable: dict[Host, None] = {}  # those that have something now, in the order they came
+        self.hosts: dict[Host, Optional[int]] = {}  # live hosts -> world time of their next work
+        self.runnable: dict[Host, None] = {}  # used as an ordered set
         self.passes = 0
-        self.after_pass: Optional[Callable[[Host], None]] = None  # who looks at everything after each step
-        self.ended_hosts: list[
-            Host
-        ] = []  # ended hosts: their tasks' last clauses must not run in the middle of a run
+        self.after_pass: Optional[Callable[[Host], None]] = None  # called after each pass of a host
+        self.ended_hosts: list[Host] = []  # kept so that their generators are not finalized during a run
 
     def dispose(self) -> None:
-        """Ends what is left of all tasks, here and now: a collector would do it anywhere, in the middle of other work too."""
+        """Ends all hosts and closes the generators of their tasks, rather than leaving that to the garbage
+        collector."""
         for host in [*self.hosts, *self.ended_hosts]:
             host.end()
             for task in list(host.loop.tasks):
                 try:
                     task.run.close()
-                except Exception:  # a last clause that finds its world gone tells nothing
+                except Exception:  # errors of `finally` clauses are irrelevant here
                     pass
             host.loop.tasks.clear()
             host.loop.timers.clear()
@@ -176,24 +180,28 @@
     def host(
         self, name: str, report: Optional[Callable[..., None]] = None, rate: float = 1.0, offset: int = 0
     ) -> Host:
+        """Adds a host; `rate` and `offset` (us) are those of its clock."""
         new_host = Host(self, name, report, HostClock(self.clock, rate, offset))
         self.hosts[new_host] = None
         self.mark_runnable(new_host)
         return new_host
 
     def mark_runnable(self, host: Host) -> None:
+        """Has the host's loop run at the current time, unless it is paused or has ended."""
         if host.alive and not host.paused:
             self.runnable[host] = None
 
     def remove_host(self, host: Host) -> None:
+        """Stops scheduling a host that has ended."""
         if host in self.hosts:
             del self.hosts[host]
             self.ended_hosts.append(host)
         self.runnable.pop(host, None)
 
     def run(self, main: Task) -> Any:
-        """Until `main`, a task of one of the hosts, has ended; its result. Raises its error, and Hung."""
-        for host in list(self.hosts):  # whatever was spawned or set from outside counts too
+        """Runs until `main`, a task of one of the hosts, finishes. Returns its result or raises its error;
+        may raise Deadlock."""
+        for host in list(self.hosts):  # tasks or timers may have been added from outside
             self.mark_runnable(host)
         while not main.done:
             if self.runnable:
@@ -205,7 +213,7 @@
         return main.result
 
     def _pick_host(self) -> Host:
-        """Any of those that may run: real processes keep no order, and nothing may lean on one."""
+        """Picks a runnable host at random, since real processes run in no particular order."""
         if len(self.runnable) == 1:
             return next(iter(self.runnable))
         return list(self.runnable)[self.rng.randrange(len(self.runnable))]
@@ -233,7 +241,7 @@
             due.append(coming)
         if not due:
             raise Deadlock(
-                f"at {self.clock.time} us: {', '.join(host.name for host in self.hosts)} wait for ever"
+                f"at {self.clock.time} us: {', '.join(host.name for host in self.hosts)} wait forever"
             )
         self.clock.time = max(self.clock.time, min(due))
         self.network.run_due()
