--- a/cedarshift/codec/__init__.py
+++ b/cedarshift/codec/__init__.py
@@ -1,7 +1,7 @@
-"""Protocols as bytes and states, free of I/O: the main one's frames, messages, and what may be said when.
+"""Wire protocols without I/O: encoding, decoding and session state machines.
 
-The main protocol's names are looked up when first used: its libraries stay out of a program that speaks another one.
-"""
+The names of the main protocol are imported on first use, so that programs that use only another protocol do
+not load its libraries."""
 
 from __future__ import annotations
 
@@ -42,5 +42,5 @@
 def __getattr__(name: str) -> Any:
     if name not in __all__:
         raise AttributeError(f"module {__name__!r} has no attribute {name!r}")
-    home = "session" if name in ("Identity", "Session") else "errors"
-    return getattr(import_module(f"{__name__}.{home}"), name)
+    module = "session" if name in ("Identity", "Session") else "errors"
+    return getattr(import_module(f"{__name__}.{module}"), name)
--- a/cedarshift/codec/errors.py
+++ b/cedarshift/codec/errors.py
@@ -1,44 +1,56 @@
-"""What can be wrong with what a peer sent; each closes that session, with its code and reason told to the peer."""
+"""Protocol errors. Each closes the session; its code and reason are sent to the peer."""
 
 
 class ProtocolError(Exception):
-    """`code` is the short name that travels in a Bye; the text says what was found and what is allowed."""
+    """`code` identifies the error in a Bye; the message says what was received and what is allowed."""
 
     code = "protocol"
 
 
 class FrameTooLarge(ProtocolError):
+    """A frame exceeds the size limit."""
+
     code = "frame-too-large"
 
 
 class BadVersion(ProtocolError):
+    """The major protocol version is not supported."""
+
     code = "bad-version"
 
 
 class UnknownKind(ProtocolError):
+    """The message kind is unknown."""
+
     code = "unknown-kind"
 
 
 class BadBody(ProtocolError):
+    """A frame is truncated or its body cannot be decoded."""
+
     code = "bad-body"
 
 
 class OutOfOrder(ProtocolError):
+    """The message is not allowed in this state or between these roles."""
+
     code = "out-of-order"
 
 
 class TooManyMessages(ProtocolError):
+    """The peer exceeded its message rate."""
+
     code = "too-many-messages"
 
 
 class Refused(ProtocolError):
-    """A hello that this side will not serve, or the peer's Bye."""
+    """The handshake was rejected."""
 
     code = "refused"
 
 
 class Busy(ProtocolError):
-    """A hello that this side will serve later: `after` us from now at the soonest."""
+    """The peer may retry after `after` microseconds."""
 
     code = "busy"
 
@@ -48,7 +60,8 @@
 
 
 class PeerClosed(ProtocolError):
-    """The peer said Bye; the text has its code and reason. `after`: us that it asked to be left alone."""
+    """The peer sent a Bye; the message has its code and reason. `after`: its minimum delay before a retry
+    (us)."""
 
     code = "peer-closed"
 
--- a/cedarshift/codec/frames.py
+++ b/cedarshift/codec/frames.py
@@ -1,6 +1,6 @@
-"""Frames: four bytes of length, one of kind, one of major version, then the body; whole numbers big-endian.
+"""Frames of the main protocol: a 4-byte length, a 1-byte kind, a 1-byte major version and the body.
 
-The length counts what follows it: kind, version and body.
+Integers are big-endian. The length covers everything after it: kind, version and body.
 """
 
 from __future__ import annotations
@@ -14,14 +14,14 @@
 from cedarshift.codec.messages import MAJOR, MESSAGE_CODES, MESSAGE_TYPES, Message, Order
 
 HEADER = struct.Struct(">IBB")
-MAX_FRAME_BYTES = 1 << 20  # bytes after the length; a snapshot of 20,000 slices takes about half
+MAX_FRAME_BYTES = 1 << 20  # without the length field
 
 ENCODER = msgspec.msgpack.Encoder()
 DECODERS = {number: msgspec.msgpack.Decoder(kind) for number, kind in MESSAGE_TYPES.items()}
 
 
 def encode(message: Message) -> bytes:
-    """A message as one frame. Raises FrameTooLarge for one that no peer would take."""
+    """Encodes a message as one frame. Raises FrameTooLarge if it exceeds MAX_FRAME_BYTES."""
     body = ENCODER.encode(message)
     if len(body) + 2 > MAX_FRAME_BYTES:
         raise FrameTooLarge(f"{type(message).__name__} of {len(body)} bytes, {MAX_FRAME_BYTES - 2} at most")
@@ -29,14 +29,15 @@
 
 
 def pack_rows(rows: list) -> msgspec.Raw:
-    """Rows encoded once, to be put into many orders."""
+    """Encodes rows once, for use in many orders."""
     return msgspec.Raw(ENCODER.encode(rows))
 
 
 def encode_order(
     seq: int, waited: int, lines: msgspec.Raw, levels: msgspec.Raw, mark: Optional[int]
 ) -> bytes:
-    """An `Order` whose rows were packed before: a turn goes to every proxy, and only seq and waited differ."""
+    """Encodes an `Order` from rows packed beforehand, since orders to several proxies differ only in seq and
+    waited."""
     body = ENCODER.encode({"seq": seq, "waited": waited, "lines": lines, "levels": levels, "mark": mark})
     if len(body) + 2 > MAX_FRAME_BYTES:
         raise FrameTooLarge(f"Order of {len(body)} bytes, {MAX_FRAME_BYTES - 2} at most")
@@ -44,25 +45,26 @@
 
 
 class Frames:
-    """Cuts a byte stream into messages. After an error the stream is of no more use."""
+    """Decodes a byte stream into messages. Unusable after an error."""
 
     def __init__(self, max_bytes: int = MAX_FRAME_BYTES) -> None:
         self.max_bytes = max_bytes
         self.buffer = bytearray()
 
     def feed(self, data: bytes) -> None:
+        """Adds received bytes."""
         self.buffer += data
 
     def messages(self) -> Iterator[Message]:
-        """The whole messages that have come. Raises a ProtocolError on the first that is none."""
+        """Yields the complete messages received so far. Raises a ProtocolError on the first invalid one."""
         at = 0
         try:
             while len(self.buffer) - at >= HEADER.size:
                 length, number, major = HEADER.unpack_from(self.buffer, at)
-                if length > self.max_bytes:  # told from the head alone: the body is never waited for
+                if length > self.max_bytes:  # rejected before its body is buffered
                     raise FrameTooLarge(f"a frame of {length} bytes, {self.max_bytes} at most")
                 if major != MAJOR:
-                    raise BadVersion(f"protocol version {major}, {MAJOR} is spoken here")
+                    raise BadVersion(f"protocol version {major}, expected {MAJOR}")
                 if number not in MESSAGE_TYPES:
                     raise UnknownKind(f"kind {number}")
                 if length < 2:
@@ -83,7 +85,7 @@
             del self.buffer[:at]
 
     def end(self) -> None:
-        """The stream has ended; raises BadBody if it did so inside a frame."""
+        """Called at the end of the stream; raises BadBody if it ends inside a frame."""
         if self.buffer:
             raise BadBody(f"the stream ended {len(self.buffer)} bytes into a frame")
 
--- a/cedarshift/codec/gossip.py
+++ b/cedarshift/codec/gossip.py
@@ -1,9 +1,9 @@
-"""What members say to each other: sealed bodies, one a datagram, or one a frame of a stream. Free of I/O.
+"""Authenticated gossip messages between members, one per datagram or per stream frame. Free of I/O.
 
-A seal is the magic, the version, a tag of the deployment and a proof (HMAC-SHA256, RFC 2104, cut to 16 bytes, RFC 2104
-section 5) over the body by a key from the deployment's secret. Nothing behind it is looked at before the proof holds. Where
-the deployment has no secret the proof tells damage and foreign deployments, but keeps nobody out.
-"""
+The header consists of a magic number, the version, a tag of the deployment and an HMAC-SHA256 of the body,
+truncated to 16 bytes (RFC 2104), under a key derived from the deployment's secret. The body is parsed only
+after the HMAC is verified. Without a secret the HMAC detects corruption and other deployments, but does not
+authenticate the sender."""
 
 from __future__ import annotations
 
@@ -17,19 +17,21 @@
 MAGIC = b"cG"
 VERSION = 1
 HEADER = struct.Struct(">2sB8s16s")
-MAX_DATAGRAM_BYTES = 1_400  # bytes: fits an Ethernet frame with room for tunnels
-MAX_FRAME_BYTES = 1 << 20  # bytes of a frame of a stream: the whole roll of 10,000 members
+MAX_DATAGRAM_BYTES = 1_400  # fits an Ethernet frame, with room for tunnel headers
+MAX_FRAME_BYTES = 1 << 20  # of a stream frame
 FRAME_HEADER = struct.Struct(">I")
-MIN_BODY_BYTES = 8  # bytes
-MAX_NAME_LENGTH = 64  # characters of a member's name
-MAX_RECORDS = 100_000  # of a body
-MAX_RIDER_BYTES = 480  # bytes of a rider: one leaves room for the records of a datagram
-MAX_RIDERS = 64  # of a body
+MIN_BODY_BYTES = 8
+MAX_NAME_LENGTH = 64  # characters
+MAX_RECORDS = 100_000  # per body
+MAX_RIDER_BYTES = 480  # of one rider's payload, leaves room for records in a datagram
+MAX_RIDERS = 64  # per body
 
 PING, ACK, PING_REQUEST, NACK, UPDATE, FULL_STATE, FULL_STATE_REPLY = range(1, 8)
 
 
 class MemberRecord(msgspec.Struct, array_like=True):
+    """The state of a member: its process start, whether it left, and its incarnation number."""
+
     name: str
     start: int
     left: bool
@@ -37,7 +39,9 @@
 
 
 class ObservationRecord(msgspec.Struct, array_like=True):
-    """`age`: us since its proof of life was sent, or since the silence was found, by the sender's clock."""
+    """Whether `observer` hears `subject`.
+
+    `age`: us, by the sender's clock, since the sign of life was sent or the silence was detected."""
 
     observer: str
     subject: str
@@ -51,6 +55,8 @@
 
 
 class VerdictRecord(msgspec.Struct, array_like=True):
+    """A decision on which side of a partition a member is."""
+
     name: str
     start: int
     incarnation: int
@@ -58,7 +64,8 @@
 
 
 class RiderRecord(msgspec.Struct, array_like=True):
-    """What another subsystem of a pilot tells all the others: the newest of each alone counts. `age`: us since it held."""
+    """Data of another subsystem of a pilot, piggybacked on gossip; the newest replaces older ones. `age`: us
+    since it was valid."""
 
     name: str
     start: int
@@ -68,8 +75,10 @@
 
 
 class Body(msgspec.Struct, array_like=True):
-    """`seq`: counts what this life of the sender has sent. `about`: whom a help, or its answer, is about. `digest`: of all
-    words and verdicts that the sender holds."""
+    """A gossip message.
+
+    `seq` numbers the messages of this process of the sender. `about`: the subject of a ping request or its
+    answer. `digest`: of all member records and verdicts of the sender."""
 
     kind: int
     sender: str
@@ -90,7 +99,7 @@
 
 
 class InvalidMessage(Exception):
-    """Bytes that are not taken: `why` is "short", "long", "foreign", "version", "proof" or "body"."""
+    """A rejected message; `why` is "short", "long", "foreign", "version", "proof" or "body"."""
 
     def __init__(self, why: str, reason: str = "") -> None:
         super().__init__(f"{why}: {reason}" if reason else why)
@@ -98,18 +107,19 @@
 
 
 class Seal:
-    """Of one deployment."""
+    """Authenticates and verifies the messages of one deployment."""
 
     def __init__(self, deployment: str, secret: bytes) -> None:
         self.tag = hashlib.blake2b(deployment.encode(), digest_size=8).digest()
         self.key = hmac.new(secret, b"cedarshift gossip " + deployment.encode(), hashlib.sha256).digest()
 
     def close(self, body: Body) -> bytes:
+        """Encodes a body and prepends the authenticated header."""
         raw = ENCODER.encode(body)
         return HEADER.pack(MAGIC, VERSION, self.tag, self._proof(raw)) + raw
 
     def open(self, data: bytes, max_bytes: int = MAX_DATAGRAM_BYTES) -> Body:
-        """Raises NotOurs; a body is parsed only once its proof holds."""
+        """Verifies and decodes a message. Raises InvalidMessage."""
         if len(data) < HEADER.size + MIN_BODY_BYTES:
             raise InvalidMessage("short")
         if len(data) > max_bytes:
@@ -118,7 +128,7 @@
         if magic != MAGIC or tag != self.tag:
             raise InvalidMessage("foreign")
         if version != VERSION:
-            raise InvalidMessage("version", f"{version}, {VERSION} is spoken here")
+            raise InvalidMessage("version", f"{version}, expected {VERSION}")
         raw = data[HEADER.size :]
         if not hmac.compare_digest(proof, self._proof(raw)):
             raise InvalidMessage("proof")
@@ -126,9 +136,9 @@
             body = DECODER.decode(raw)
         except (msgspec.DecodeError, RecursionError) as error:
             raise InvalidMessage("body", str(error)) from None
-        wrong = _validation_error(body)
-        if wrong:
-            raise InvalidMessage("body", wrong)
+        error_text = _validation_error(body)
+        if error_text:
+            raise InvalidMessage("body", error_text)
         return body
 
     def _proof(self, raw: bytes) -> bytes:
@@ -136,6 +146,7 @@
 
 
 def _validation_error(body: Body) -> str:
+    """Describes the first invalid field; empty if the body is valid."""
     if not PING <= body.kind <= FULL_STATE_REPLY:
         return f"kind {body.kind}"
     if not 0 < len(body.sender) <= MAX_NAME_LENGTH:
@@ -153,20 +164,22 @@
 
 
 def length_prefixed(sealed: bytes) -> bytes:
+    """Frames a message for a stream."""
     return FRAME_HEADER.pack(len(sealed)) + sealed
 
 
 class Frames:
-    """Cuts a stream into sealed bodies. Raises NotOurs for a length that can't be, told from its four bytes alone."""
+    """Splits a byte stream into messages. Raises InvalidMessage as soon as a length is out of range."""
 
     def __init__(self, max_bytes: int) -> None:
         self.max_bytes = max_bytes
         self.buffer = bytearray()
 
     def feed(self, data: bytes) -> Iterable[bytes]:
+        """Adds received bytes; yields the messages that are complete."""
         self.buffer += data
-        while (one := self._next()) is not None:
-            yield one
+        while (message := self._next()) is not None:
+            yield message
 
     def _next(self) -> Optional[bytes]:
         if len(self.buffer) < FRAME_HEADER.size:
@@ -177,6 +190,6 @@
         end = FRAME_HEADER.size + length
         if len(self.buffer) < end:
             return None
-        one = bytes(self.buffer[FRAME_HEADER.size : end])
+        message = bytes(self.buffer[FRAME_HEADER.size : end])
         del self.buffer[:end]
-        return one
+        return message
--- a/cedarshift/codec/messages.py
+++ b/cedarshift/codec/messages.py
@@ -1,7 +1,7 @@
 """The messages of the main protocol. Spans are whole microseconds; no message carries a wall-clock time.
 
-Bodies are MessagePack. Structs travel as maps, so a newer minor version may add fields, which an older one passes
-over; the small rows (`Line`, `Level`, ...) travel as arrays, to which fields may be added at the end.
+Bodies are MessagePack. Structs travel as maps, so a newer minor version may add fields, which an older one
+passes over; the small rows (`Line`, `Level`, ...) travel as arrays, to which fields may be added at the end.
 """
 
 from __future__ import annotations
@@ -33,7 +33,8 @@
 
 
 class Level(Row, frozen=True, array_like=True):
-    """What share of some op types a table lets in; mask 0 stands for all op types, table 65535 for all tables."""
+    """What share of some op types a table lets in; mask 0 stands for all op types, table 65535 for all
+    tables."""
 
     table: TableId
     mask: NonNegativeInt
@@ -43,8 +44,9 @@
 
 
 class EndpointStats(Row, frozen=True, array_like=True):
-    """What a proxy met at an endpoint: tries, those aborted, mean time of the acked (us), span counted over (us); of the aborted,
-    those that the endpoint turned away for want of room; and how many are under way now."""
+    """What a proxy met at an endpoint: tries, those aborted, mean time of the acked (us), span counted over
+    (us); of the aborted, those that the endpoint turned away for want of room; and how many are under way
+    now."""
 
     endpoint: ShortString
     tries: NonNegativeInt
@@ -56,7 +58,8 @@
 
 
 class SliceStats(Row, frozen=True, array_like=True):
-    """What came for a slice: ops of a type (by its place among the op types), those let in and not answered, span."""
+    """What came for a slice: ops of a type (by its place among the op types), those let in and not answered,
+    span."""
 
     slice: TableId
     op_type: NonNegativeInt
@@ -66,7 +69,8 @@
 
 
 class SliceState(Row, frozen=True, array_like=True):
-    """A slice as the store holds it: the giving's epoch, the version, the owner ("" for none) and its levels."""
+    """A slice as the store holds it: the giving's epoch, the version, the owner ("" for none) and its
+    levels."""
 
     slice: TableId
     epoch: NonNegativeInt
@@ -76,7 +80,8 @@
 
 
 class SliceWrite(Row, frozen=True, array_like=True):
-    """A change of a slice in the store under an epoch; `owner` None leaves the line as it is, "" empties it."""
+    """A change of a slice in the store under an epoch; `owner` None leaves the line as it is, "" empties
+    it."""
 
     slice: TableId
     epoch: NonNegativeInt
@@ -106,8 +111,8 @@
 class EndpointFact(Row, frozen=True, array_like=True):
     """What a pilot knows of an endpoint. Ages are us at the lender's answering; -1 where it is not known.
 
-    `source` and `rev`: the list that said so; `confirmed`: how long ago that list last answered. `origin` is the life of
-    the pilot that heard it first-hand, `hops` how often it was borrowed since."""
+    `source` and `rev`: the list that said so; `confirmed`: how long ago that list last answered. `origin` is
+    the life of the pilot that heard it first-hand, `hops` how often it was borrowed since."""
 
     endpoint: ShortString
     phase: ShortString
@@ -151,8 +156,8 @@
 
 
 class BudgetSpec(Row, frozen=True, array_like=True):
-    """A budget that proxies spend: what for, its burst (us of the rate), the part of a token that a fresh op earns (0: no such
-    limit), and how far clocks may run apart."""
+    """A budget that proxies spend: what for, its burst (us of the rate), the part of a token that a fresh op
+    earns (0: no such limit), and how far clocks may run apart."""
 
     name: ShortString
     use: ShortString
@@ -162,8 +167,8 @@
 
 
 class BudgetRequest(Row, frozen=True, array_like=True):
-    """What is asked of a budget, in parts: demand; the number and amount of the right that is held; the newest number taken; how
-    many spend below."""
+    """What is asked of a budget, in parts: demand; the number and amount of the right that is held; the
+    newest number taken; how many spend below."""
 
     budget: ShortString
     demand: NonNegativeInt
@@ -174,7 +179,8 @@
 
 
 class BudgetGrant(Row, frozen=True, array_like=True):
-    """A right to so many parts for `span` us from the asking. A higher number takes the place of a lower one."""
+    """A right to so many parts for `span` us from the asking. A higher number takes the place of a lower
+    one."""
 
     budget: ShortString
     number: NonNegativeInt
@@ -197,8 +203,8 @@
 
 
 class OpTypeStats(Row, frozen=True, array_like=True):
-    """Ops of a type that came for a pilot's slices: fresh, repeats, those let in, acked, aborted, turned away by endpoints without room;
-    mean time of the acked (us), span counted over (us)."""
+    """Ops of a type that came for a pilot's slices: fresh, repeats, those let in, acked, aborted, turned away
+    by endpoints without room; mean time of the acked (us), span counted over (us)."""
 
     op_type: NonNegativeInt
     fresh: NonNegativeInt
@@ -219,8 +225,8 @@
 
 
 class AdmissionPolicy(Row, frozen=True, array_like=True):
-    """What is let in: `share` of all work, the op types in `order` first, each `mix` of it; repeats for each fresh op; us that who is
-    rejected is to wait; endpoints with a share of their own."""
+    """What is let in: `share` of all work, the op types in `order` first, each `mix` of it; repeats for each
+    fresh op; us that who is rejected is to wait; endpoints with a share of their own."""
 
     state: ShortString
     share: NonNegativeFloat
@@ -246,7 +252,8 @@
 
 
 class Hello(Message):
-    """First word of the side that dials. `proof`: HMAC-SHA256 of challenge and id under the deployment's secret."""
+    """First word of the side that dials. `proof`: HMAC-SHA256 of challenge and id under the deployment's
+    secret."""
 
     deployment: str
     role: str
@@ -258,8 +265,8 @@
 
 
 class Welcome(Message):
-    """The hello is taken. `session` numbers it; `lease` and `beat_every` are spans in us. `proof`: as in the Hello, over
-    the Hello's challenge and this side's id."""
+    """The hello is taken. `session` numbers it; `lease` and `beat_every` are spans in us. `proof`: as in the
+    Hello, over the Hello's challenge and this side's id."""
 
     session: int
     lease: int = 0
@@ -272,7 +279,8 @@
 
 
 class Bye(Message):
-    """The last word before a close: a code and a reason for people; `after`: us before which another try is not wanted."""
+    """The last word before a close: a code and a reason for people; `after`: us before which another try is
+    not wanted."""
 
     code: str
     reason: str = ""
@@ -290,7 +298,8 @@
 class Snapshot(Message):
     """All that the pilot has in its charge for this proxy: replaces what this pilot told before.
 
-    `slices` at sites with slices; `table` and `lines` at sites without. `levels` are those that stand for all."""
+    `slices` at sites with slices; `table` and `lines` at sites without. `levels` are those that stand for
+    all."""
 
     slices: list[SliceState] = []
     table: int = -1
@@ -299,7 +308,8 @@
 
 
 class Order(Message):
-    """One turn's delta. `waited`: us that it lay in the pilot's channel; `seq` grows by one a message a session."""
+    """One turn's delta. `waited`: us that it lay in the pilot's channel; `seq` grows by one a message a
+    session."""
 
     seq: int
     waited: int = 0
@@ -316,8 +326,9 @@
 
 
 class Heartbeat(Message):
-    """A proxy asks whether its lease may run on, counted from when it asked; and, where `ask` is set, for its shares: the ask's
-    number, this life of the proxy, the life of the pilot that it knows, and what it wants."""
+    """A proxy asks whether its lease may run on, counted from when it asked; and, where `ask` is set, for its
+    shares: the ask's number, this life of the proxy, the life of the pilot that it knows, and what it
+    wants."""
 
     n: int
     ask: NonNegativeInt = 0
@@ -327,9 +338,10 @@
 
 
 class HeartbeatOk(Message):
-    """The pilot is there; `in_charge`: nobody else can have been given its slices, so the lease runs on. `told`: what is let in from
-    now on, where that is news; `fair`: by op type, times that for this proxy. `trials`: endpoints that get a part of their share (0: none),
-    in the place of those told before; `probe`: one of them that this proxy may try once."""
+    """The pilot is there; `in_charge`: nobody else can have been given its slices, so the lease runs on.
+    `told`: what is let in from now on, where that is news; `fair`: by op type, times that for this proxy.
+    `trials`: endpoints that get a part of their share (0: none), in the place of those told before; `probe`:
+    one of them that this proxy may try once."""
 
     n: int
     in_charge: bool = True
@@ -343,15 +355,16 @@
 
 
 class Ack(Message):
-    """The message with this mark, and all before it, is in force; `held`: us from then until this was sent."""
+    """The message with this mark, and all before it, is in force; `held`: us from then until this was
+    sent."""
 
     mark: TableId
     held: NonNegativeInt = 0
 
 
 class ProxyReport(Message):
-    """What the proxy met and what came, since its last sums; `loads` where the Welcome asked for them, and then the endpoints that it
-    shuns for what they did to it."""
+    """What the proxy met and what came, since its last sums; `loads` where the Welcome asked for them, and
+    then the endpoints that it shuns for what they did to it."""
 
     met: list[EndpointStats] = []
     heat: list[SliceStats] = []
@@ -366,7 +379,8 @@
 
 
 class Opened(Message):
-    """The pilot's session at the store; it ends `lease` us after the pilot sent what the store answered last."""
+    """The pilot's session at the store; it ends `lease` us after the pilot sent what the store answered
+    last."""
 
     session: int
     lease: int
@@ -383,15 +397,16 @@
 
 
 class FactsRequest(Message):
-    """A pilot asks another for one chunk of what it knows. `version` "" begins anew; else it goes on with that one."""
+    """A pilot asks another for one chunk of what it knows. `version` "" begins anew; else it goes on with
+    that one."""
 
     version: ShortString = ""
     chunk: NonNegativeInt = 0
 
 
 class Facts(Message):
-    """One chunk. `payload` is MessagePack of a `Chunk`, compressed by zstandard where `packed`; `digest`: BLAKE2b, 16
-    bytes, of the payload as it travels."""
+    """One chunk. `payload` is MessagePack of a `Chunk`, compressed by zstandard where `packed`; `digest`:
+    BLAKE2b, 16 bytes, of the payload as it travels."""
 
     version: ShortString
     chunk: NonNegativeInt
@@ -402,7 +417,8 @@
 
 
 class Chunk(msgspec.Struct, array_like=True):
-    """What a payload holds. `list_age`: us since the lender's list answered last, -1 for never; `proxies` joined to it."""
+    """What a payload holds. `list_age`: us since the lender's list answered last, -1 for never; `proxies`
+    joined to it."""
 
     origin: ShortString
     list_age: int
@@ -468,7 +484,8 @@
 
 
 class BudgetSharesRequest(Message):
-    """A pilot asks the store for its shares. `era`: the life of the store that it knows; `doubted`: pilots it holds for dead."""
+    """A pilot asks the store for its shares. `era`: the life of the store that it knows; `doubted`: pilots it
+    holds for dead."""
 
     number: NonNegativeInt
     life: NonNegativeInt
@@ -479,7 +496,8 @@
 
 
 class BudgetSharesReply(Message):
-    """The answer to an ask, kept durably before; of another `era` than was asked under it holds nothing. Era 0: no budgets here."""
+    """The answer to an ask, kept durably before; of another `era` than was asked under it holds nothing. Era
+    0: no budgets here."""
 
     number: NonNegativeInt
     era: NonNegativeInt
--- a/cedarshift/codec/session.py
+++ b/cedarshift/codec/session.py
@@ -1,11 +1,10 @@
-"""One session's states: who greets, who may say what, and when. Free of I/O.
+"""The state machine of a session: handshake, permitted messages and limits. Free of I/O.
 
-    accepts:  start() -> Greet      GREETED --Hello--> OPEN --Bye/error--> CLOSED
-    dials:                          WAITING --Greet--> HELLOED --Welcome--> OPEN --Bye/error--> CLOSED
+    accepting side:  start() -> Greet      GREETED --Hello--> OPEN --Bye/error--> CLOSED
+    dialing side:                          WAITING --Greet--> HELLOED --Welcome--> OPEN --Bye/error--> CLOSED
 
-`receive` takes bytes and returns the messages that are the user's to handle; what the session itself has to say
-collects in `outbox`. A Ping is answered here.
-"""
+`receive` takes bytes and returns the messages for the application. Frames that the session itself sends are
+collected in `outbox`. Pings are answered here."""
 
 from __future__ import annotations
 
@@ -17,12 +16,12 @@
 from cedarshift.codec.errors import OutOfOrder, PeerClosed, ProtocolError, Refused, TooManyMessages
 from cedarshift.codec.frames import MAX_FRAME_BYTES, Frames, encode
 
-RATE_WINDOW_US = 1_000_000  # us over which messages are counted
-MAX_ID_LENGTH = 128  # characters of an id; ids end up in logs and metrics
+RATE_WINDOW_US = 1_000_000  # over which messages are counted
+MAX_ID_LENGTH = 128  # characters
 
 WAITING, GREETED, HELLOED, OPEN, CLOSED = "waiting", "greeted", "helloed", "open", "closed"
 
-# Who may say what to whom once a session is open: (role of the sender, role of the receiver).
+# Messages allowed in an open session, by (role of the sender, role of the receiver).
 ALLOWED_MESSAGES: dict[tuple[str, str], tuple[type[m.Message], ...]] = {
     ("proxy", "pilot"): (m.Heartbeat, m.Ack, m.ProxyReport),
     ("pilot", "proxy"): (m.Snapshot, m.Order, m.SliceAssignment, m.HeartbeatOk),
@@ -52,7 +51,7 @@
 
 
 class Identity(NamedTuple):
-    """How one side shows itself."""
+    """The identity of one side of a session. An empty `secret` disables authentication."""
 
     deployment: str
     role: str
@@ -62,15 +61,16 @@
 
 
 def proof(secret: bytes, challenge: bytes, name: str) -> bytes:
-    """HMAC-SHA256 (RFC 2104) over challenge and name; empty where the deployment has no secret."""
+    """HMAC-SHA256 (RFC 2104) of challenge and name; empty if the deployment has no secret."""
     return hmac.new(secret, challenge + name.encode(), hashlib.sha256).digest() if secret else b""
 
 
 class Session:
-    """`admit(hello) -> Welcome` is asked by the accepting side; it raises Refused to turn a peer away.
+    """One side of a session.
 
-    `challenge`: fresh bytes, which the other side proves the secret over, for whichever side.
-    `rate_most`: messages a second that the peer may send, 0 for no limit."""
+    `admit(hello)` returns the Welcome on the accepting side; it raises Refused or Busy to reject the peer.
+    `challenge`: random bytes over which the peer proves that it knows the secret.
+    `max_messages_per_s`: limit on messages from the peer, 0 for none."""
 
     def __init__(
         self,
@@ -94,22 +94,23 @@
         self.rate_count = 0
 
     def start(self) -> None:
-        """The accepting side greets."""
+        """Sends the Greet of the accepting side."""
         assert self.admit is not None and self.state == WAITING
         self.state = GREETED
-        self._say(m.Greet(self.identity.deployment, self.identity.role, self.identity.id, self.challenge))
+        self._queue(m.Greet(self.identity.deployment, self.identity.role, self.identity.id, self.challenge))
 
     def receive(self, now: int, data: bytes) -> list[m.Message]:
-        """Raises a ProtocolError, after which the session is closed and `outbox` ends with the Bye.
+        """Decodes bytes received at `now` (us) and returns the messages for the application.
 
-        What came whole before the error is returned first; `failed` then holds the error, for the next call."""
+        On a ProtocolError the session is closed and `outbox` ends with a Bye. Messages before the error are
+        returned first; the error is then raised by the next call."""
         received: list[m.Message] = []
         self.raise_pending_error()
         self.frames.feed(data)
         try:
             for message in self.frames.messages():
-                self._count(now)
-                self._take(message, received)
+                self._check_rate(now)
+                self._handle(message, received)
         except ProtocolError as error:
             self.close(error.code, str(error), getattr(error, "after", 0))
             if not received:
@@ -118,11 +119,12 @@
         return received
 
     def raise_pending_error(self) -> None:
+        """Raises the error of an earlier `receive`, if any."""
         if self.pending_error is not None:
             raise self.pending_error
 
     def send(self, message: m.Message) -> bytes:
-        """The frame of a message that the user says; asserts that the roles allow it."""
+        """Encodes a message of the application; asserts that the state and roles allow it."""
         assert self.state == OPEN and self.peer is not None, f"{type(message).__name__} while {self.state}"
         assert isinstance(message, ALLOWED_MESSAGES[self.identity.role, self.peer.role] + (m.Ping,)), type(
             message
@@ -130,46 +132,47 @@
         return encode(message)
 
     def close(self, code: str, reason: str, after: int = 0) -> None:
-        """Puts a Bye into the outbox and takes no more."""
+        """Adds a Bye to the outbox and closes the session. `after`: minimum delay before a retry (us)."""
         if self.state != CLOSED:
             self.state = CLOSED
-            self._say(m.Bye(code, reason[:400], after))
+            self._queue(m.Bye(code, reason[:400], after))
 
     def take_outbox(self) -> bytes:
+        """Returns the frames to be sent and clears the outbox."""
         out = b"".join(self.outbox)
         self.outbox.clear()
         return out
 
-    def _say(self, message: m.Message) -> None:
+    def _queue(self, message: m.Message) -> None:
         self.outbox.append(encode(message))
 
-    def _count(self, now: int) -> None:
-        """Guards against a peer that sends without end."""
+    def _check_rate(self, now: int) -> None:
+        """Enforces the message rate limit."""
         if now - self.rate_since >= RATE_WINDOW_US:
             self.rate_since, self.rate_count = now, 0
         self.rate_count += 1
         if self.max_messages_per_s and self.rate_count > self.max_messages_per_s:
             raise TooManyMessages(f"over {self.max_messages_per_s} messages a second")
 
-    def _take(self, message: m.Message, received: list[m.Message]) -> None:
+    def _handle(self, message: m.Message, received: list[m.Message]) -> None:
         if isinstance(message, m.Bye):
             self.state = CLOSED
             raise PeerClosed(f"{message.code}: {message.reason}", message.after)
         if self.state == OPEN:
-            self._take_open(message, received)
+            self._handle_open(message, received)
         elif self.state == GREETED and isinstance(message, m.Hello):
-            self._take_hello(message)
+            self._handle_hello(message)
         elif self.state == WAITING and isinstance(message, m.Greet):
-            self._take_greet(message)
+            self._handle_greet(message)
         elif self.state == HELLOED and isinstance(message, m.Welcome):
-            self._take_welcome(message)
+            self._handle_welcome(message)
         else:
             raise OutOfOrder(f"{type(message).__name__} while {self.state}")
 
-    def _take_open(self, message: m.Message, received: list[m.Message]) -> None:
+    def _handle_open(self, message: m.Message, received: list[m.Message]) -> None:
         assert self.peer is not None
         if isinstance(message, m.Ping):
-            self._say(m.Pong(message.nonce))
+            self._queue(m.Pong(message.nonce))
         elif isinstance(message, m.Pong):
             pass
         elif isinstance(message, ALLOWED_MESSAGES.get((self.peer.role, self.identity.role), ())):
@@ -177,7 +180,7 @@
         else:
             raise OutOfOrder(f"{type(message).__name__} from a {self.peer.role} to a {self.identity.role}")
 
-    def _take_hello(self, hello: m.Hello) -> None:
+    def _handle_hello(self, hello: m.Hello) -> None:
         assert self.admit is not None
         if hello.deployment != self.identity.deployment:
             raise Refused(f"deployment {hello.deployment!r}, this is {self.identity.deployment!r}")
@@ -193,9 +196,9 @@
         welcome.proof = proof(self.identity.secret, hello.challenge, self.identity.id)
         self.peer = Identity(hello.deployment, hello.role, hello.id, hello.zone)
         self.state = OPEN
-        self._say(welcome)
+        self._queue(welcome)
 
-    def _take_greet(self, greet: m.Greet) -> None:
+    def _handle_greet(self, greet: m.Greet) -> None:
         if greet.deployment != self.identity.deployment:
             raise Refused(f"deployment {greet.deployment!r}, this is {self.identity.deployment!r}")
         if (self.identity.role, greet.role) not in ALLOWED_MESSAGES:
@@ -203,7 +206,7 @@
         self.peer = Identity(greet.deployment, greet.role, greet.id)
         self.state = HELLOED
         identity = self.identity
-        self._say(
+        self._queue(
             m.Hello(
                 identity.deployment,
                 identity.role,
@@ -214,8 +217,8 @@
             )
         )
 
-    def _take_welcome(self, welcome: m.Welcome) -> None:
-        """The accepting side has to know the secret too: a proxy must not obey, nor a pilot believe, just anyone."""
+    def _handle_welcome(self, welcome: m.Welcome) -> None:
+        """Authenticates the accepting side, which has to know the secret too."""
         assert self.peer is not None
         if not hmac.compare_digest(welcome.proof, proof(self.identity.secret, self.challenge, self.peer.id)):
             raise Refused("the other side's proof of the deployment's secret is wrong")
--- a/cedarshift/loop/memory.py
+++ b/cedarshift/loop/memory.py
@@ -2,7 +2,8 @@
 
 Transports have latency, a bounded buffer and can be reset. A single loop may use the network directly. If
 several hosts share it (`loop/world.py`), each transport, acceptor and attempt has an owner, which receives
-its readiness events."""
+its readiness events.
+"""
 
 from __future__ import annotations
 
@@ -23,8 +24,7 @@
 
 
 class Owner(Protocol):
-    """A host that shares the network. `deliver` runs a readiness callback in it; `add_transport` registers a
-    new transport."""
+    """A host on the network: `deliver` runs a readiness callback in it, `add_transport` adds a transport."""
 
     alive: bool
 
@@ -52,8 +52,7 @@
 
 
 class LinkConditions:
-    """Impairments of traffic from one host to another; each direction has its own. Probabilities are from 0
-    to 1."""
+    """Impairments of traffic in one direction between two hosts. Probabilities are from 0 to 1."""
 
     def __init__(
         self, loss: float = 0.0, delay: int = 0, jitter: int = 0, duplicated: float = 0.0, cut: bool = False
@@ -92,9 +91,10 @@
         self.max_accept_queue = MAX_ACCEPT_QUEUE
         self.dropped_dials = 0  # because the accept queue was full
 
-    def call_later(self, span: int, call: Callable[[], None]) -> int:
+    def call_later(self, delay: int, call: Callable[[], None]) -> int:
+        """Schedules `call` in `delay` microseconds; returns that time."""
         self.event_sequence += 1
-        at = self.clock.time + span
+        at = self.clock.time + delay
         heapq.heappush(self.due, (at, self.event_sequence, call))
         return at
 
@@ -222,10 +222,10 @@
             call,
         )
 
-    def _schedule_arrival(self, late: int, call: Callable[[], None]) -> None:
+    def _schedule_arrival(self, min_delay: int, call: Callable[[], None]) -> None:
         """Schedules `call` after everything already on its way to this side, so that the stream stays in
         order."""
-        at = max(self.last_arrival, self.network.clock.time + max(late, self.network.delay()))
+        at = max(self.last_arrival, self.network.clock.time + max(min_delay, self.network.delay()))
         self.last_arrival = self.network.call_later(at - self.network.clock.time, call)
 
     def _arrive(self, data: bytes) -> None:
@@ -286,8 +286,12 @@
         if conditions is not None and (conditions.cut or rng.random() < conditions.loss):
             return True
         for _ in range(2 if conditions is not None and rng.random() < conditions.duplicated else 1):
-            late = 0 if conditions is None else conditions.delay + int(rng.random() * conditions.jitter)
-            network.call_later(network.delay() + late, functools.partial(target._arrive, data, self.address))
+            extra_delay = (
+                0 if conditions is None else conditions.delay + int(rng.random() * conditions.jitter)
+            )
+            network.call_later(
+                network.delay() + extra_delay, functools.partial(target._arrive, data, self.address)
+            )
         return True
 
     def _arrive(self, data: bytes, source: Address) -> None:
--- a/cedarshift/loop/stream.py
+++ b/cedarshift/loop/stream.py
@@ -1,9 +1,9 @@
-"""Byte streams with limits over non-blocking transports supplied by the network, and listeners that accept
-them.
+"""Byte streams with limits over non-blocking transports, and listeners that accept them.
 
 Readiness of a transport is edge-triggered: its `watch` callback runs once per change. The stream remembers
 readiness and reads or writes until the transport would block. Any transfer may be short, so its length does
-not show readiness."""
+not show readiness.
+"""
 
 from __future__ import annotations
 
@@ -61,7 +61,7 @@
         self.reader: Optional[Waker] = None
         self.drainer: Optional[Waker] = None
         self.reads = 0
-        self.has_written = False  # closing with unread input would reset the connection and lose it
+        self.has_written = False  # an immediate close could then lose unsent or unread data
         self.finishing = False  # `finish` was called: no more reads or writes
         self.lingering = False  # everything is sent, waiting for the peer to close
         self.discarded_bytes = 0  # while lingering
@@ -70,14 +70,13 @@
     # ---- reading
 
     def read(self, until: Optional[int] = None) -> Coroutine:
-        """Returns the next bytes, or b"" at the end of the stream. Raises TimedOut at `until` and
-        StreamBroken on a reset."""
+        """Returns the next bytes, b"" at the end. Raises TimedOut at `until` and StreamBroken on a reset."""
         self.reads += 1
         if self.reads > MAX_READS_PER_STEP:
             self.reads = 0
             yield from self.loop.yield_control()
         while True:
-            if (data := self.take()) is not None:
+            if (data := self.read_nowait()) is not None:
                 return data
             self.reads = 0
             self.reader = self.loop.waker()
@@ -86,7 +85,7 @@
             finally:
                 self.reader = None
 
-    def take(self, ignore_readiness: bool = False) -> Optional[bytes]:
+    def read_nowait(self, ignore_readiness: bool = False) -> Optional[bytes]:
         """Reads without waiting: None if there is no data, b"" at the end of the stream. Raises StreamBroken.
 
         `ignore_readiness`: asks the transport even if it has not reported data."""
@@ -109,8 +108,7 @@
     # ---- writing
 
     def write(self, data: bytes) -> None:
-        """Sends what the transport takes and buffers the rest. Closes and raises BufferFull past the
-        limit."""
+        """Sends what it can and buffers the rest. Closes and raises BufferFull past the limit."""
         self._check_open()
         self.has_written = True
         view = memoryview(data)
@@ -269,7 +267,7 @@
             if self.closed:
                 raise StreamBroken("the listener was closed")
             try:
-                stream = self.take()
+                stream = self.accept_nowait()
             except OSError as error:
                 self._failed(error)
                 yield from self.loop.sleep(ACCEPT_RETRY_DELAY_US)
@@ -282,7 +280,7 @@
             finally:
                 self.waiting = None
 
-    def take(self) -> Optional[Stream]:
+    def accept_nowait(self) -> Optional[Stream]:
         """Returns a waiting stream or None. Raises OSError if the system is out of resources."""
         while (got := self.acceptor.accept()) is not None:
             transport, peer = got
--- a/cedarshift/loop/world.py
+++ b/cedarshift/loop/world.py
@@ -142,14 +142,13 @@
         if self.paused:
             self.paused = False
             deferred_events, self.deferred_events = self.deferred_events, []
-            for edge in deferred_events:
-                self.deliver(*edge)
+            for event in deferred_events:
+                self.deliver(*event)
             self.world.mark_runnable(self)
 
 
 class World:
-    """The hosts, their clock and network. `delay(rng)` draws the one-way latency of a message in
-    microseconds."""
+    """Hosts with a common clock and network. `delay(rng)` draws the one-way latency in microseconds."""
 
     def __init__(self, seed: int, delay: Optional[Callable[[random.Random], int]] = None) -> None:
         self.rng = random.Random(seed)
@@ -163,8 +162,7 @@
         self.ended_hosts: list[Host] = []  # kept so that their generators are not finalized during a run
 
     def dispose(self) -> None:
-        """Ends all hosts and closes the generators of their tasks, rather than leaving that to the garbage
-        collector."""
+        """Ends all hosts and closes the generators of their tasks before the garbage collector would."""
         for host in [*self.hosts, *self.ended_hosts]:
             host.end()
             for task in list(host.loop.tasks):
@@ -199,8 +197,9 @@
         self.runnable.pop(host, None)
 
     def run(self, main: Task) -> Any:
-        """Runs until `main`, a task of one of the hosts, finishes. Returns its result or raises its error;
-        may raise Deadlock."""
+        """Runs until `main`, a task of one of the hosts, finishes. Returns its result or raises its error.
+
+        Raises Deadlock if it can never finish."""
         for host in list(self.hosts):  # tasks or timers may have been added from outside
             self.mark_runnable(host)
         while not main.done:
@@ -236,9 +235,9 @@
 
     def _advance_time(self) -> None:
         due = [at for host, at in self.hosts.items() if at is not None and not host.paused]
-        coming = self.network.next_due()
-        if coming is not None:
-            due.append(coming)
+        next_event = self.network.next_due()
+        if next_event is not None:
+            due.append(next_event)
         if not due:
             raise Deadlock(
                 f"at {self.clock.time} us: {', '.join(host.name for host in self.hosts)} wait forever"
--- a/cedarshift/platform/collectors.py
+++ b/cedarshift/platform/collectors.py
@@ -142,7 +142,7 @@
         """Takes in what a caller has sent by now, as its task would."""
         try:
             for _ in range(READS_AT_PARTING):
-                if not (data := caller.stream.take(ignore_readiness=True)):
+                if not (data := caller.stream.read_nowait(ignore_readiness=True)):
                     return
                 self._take_in(caller, data)
         except (Unreadable, Spoilt) as error:
@@ -175,7 +175,7 @@
     def _admit_waiting(self) -> None:
         """All who are in the kernel's queue: with the listener they would be reset, though they were connected."""
         try:
-            while (stream := self.listener.take()) is not None:
+            while (stream := self.listener.accept_nowait()) is not None:
                 self._admit(stream)
         except OSError as error:
             self.report("accept_failed", reason=str(error))
