--- a/cedarshift/codec/gossip.py
+++ b/cedarshift/codec/gossip.py
@@ -30,7 +30,8 @@
 
 
 class MemberRecord(msgspec.Struct, array_like=True):
-    """The state of a member: its process start, whether it left, and its incarnation number."""
+    """The state of a member as known to the sender: process start, whether it left, and incarnation
+    number."""
 
     name: str
     start: int
@@ -55,7 +56,7 @@
 
 
 class VerdictRecord(msgspec.Struct, array_like=True):
-    """A decision on which side of a partition a member is."""
+    """A majority decision that a member is dead; `side`: number of members on the deciding side."""
 
     name: str
     start: int
--- a/cedarshift/codec/messages.py
+++ b/cedarshift/codec/messages.py
@@ -1,8 +1,7 @@
-"""The messages of the main protocol. Spans are whole microseconds; no message carries a wall-clock time.
+"""The messages of the main protocol, encoded in MessagePack. Durations are integer microseconds.
 
-Bodies are MessagePack. Structs travel as maps, so a newer minor version may add fields, which an older one
-passes over; the small rows (`Line`, `Level`, ...) travel as arrays, to which fields may be added at the end.
-"""
+Messages are encoded as maps: newer minor versions may add fields, which older ones ignore. Records within
+them (`Line`, `Level`, ...) are encoded as arrays, to which fields may be appended."""
 
 from __future__ import annotations
 
@@ -13,18 +12,18 @@
 MAJOR = 1
 MINOR = 0
 
-NonNegativeInt = Annotated[int, msgspec.Meta(ge=0, le=1 << 53)]  # counts and spans: never below nought
+NonNegativeInt = Annotated[int, msgspec.Meta(ge=0, le=1 << 53)]
 TableId = Annotated[int, msgspec.Meta(ge=0, le=65_535)]
 NonNegativeFloat = Annotated[float, msgspec.Meta(ge=0)]
 ShortString = Annotated[str, msgspec.Meta(max_length=256)]
 
 
 class Row(msgspec.Struct, array_like=True, frozen=True):
-    """A small array inside a message."""
+    """A record inside a message, encoded as an array."""
 
 
 class Line(Row, frozen=True, array_like=True):
-    """One line of a table: weight 0 removes it. `epoch` is the giving under which it was ordered."""
+    """A line of a routing table; weight 0 removes it. `epoch`: the slice epoch under which it was ordered."""
 
     table: TableId
     endpoint: ShortString
@@ -33,7 +32,7 @@
 
 
 class Level(Row, frozen=True, array_like=True):
-    """What share of some op types a table lets in; mask 0 stands for all op types, table 65535 for all
+    """The `share` of the op types in `mask` that a table admits. Mask 0: all op types; table 65535: all
     tables."""
 
     table: TableId
@@ -44,9 +43,10 @@
 
 
 class EndpointStats(Row, frozen=True, array_like=True):
-    """What a proxy met at an endpoint: tries, those aborted, mean time of the acked (us), span counted over
-    (us); of the aborted, those that the endpoint turned away for want of room; and how many are under way
-    now."""
+    """Outcomes of tries at an endpoint, as seen by a proxy.
+
+    `took`: mean time of the acked tries (us). `span`: period covered (us). `full`: aborted tries that the
+    endpoint rejected for lack of capacity. `open`: tries in flight."""
 
     endpoint: ShortString
     tries: NonNegativeInt
@@ -58,8 +58,9 @@
 
 
 class SliceStats(Row, frozen=True, array_like=True):
-    """What came for a slice: ops of a type (by its place among the op types), those let in and not answered,
-    span."""
+    """Ops that arrived for a slice in `span` microseconds.
+
+    `op_type`: index of the op type. `unanswered`: ops that were admitted but not answered."""
 
     slice: TableId
     op_type: NonNegativeInt
@@ -69,8 +70,7 @@
 
 
 class SliceState(Row, frozen=True, array_like=True):
-    """A slice as the store holds it: the giving's epoch, the version, the owner ("" for none) and its
-    levels."""
+    """A slice in the store: epoch of its assignment, version, owning endpoint ("" for none) and levels."""
 
     slice: TableId
     epoch: NonNegativeInt
@@ -80,8 +80,7 @@
 
 
 class SliceWrite(Row, frozen=True, array_like=True):
-    """A change of a slice in the store under an epoch; `owner` None leaves the line as it is, "" empties
-    it."""
+    """A conditional write to a slice in the store; `owner` None keeps the owner, "" clears it."""
 
     slice: TableId
     epoch: NonNegativeInt
@@ -90,7 +89,7 @@
 
 
 class DeniedWrite(Row, frozen=True, array_like=True):
-    """A write that the store refused, and why."""
+    """A write that the store rejected, with the reason."""
 
     slice: int
     epoch: int
@@ -98,7 +97,7 @@
 
 
 class LentEndpointStats(Row, frozen=True, array_like=True):
-    """Sums that the lender took in: how long ago (us), then as in `Met`; `zone` is the proxies'."""
+    """Endpoint outcomes received by the lending pilot `age` us ago; other fields as in `EndpointStats`."""
 
     age: NonNegativeInt
     tries: NonNegativeInt
@@ -109,10 +108,11 @@
 
 
 class EndpointFact(Row, frozen=True, array_like=True):
-    """What a pilot knows of an endpoint. Ages are us at the lender's answering; -1 where it is not known.
+    """What a pilot knows about an endpoint. Ages are in us when the lender answers; -1 if unknown.
 
-    `source` and `rev`: the list that said so; `confirmed`: how long ago that list last answered. `origin` is
-    the life of the pilot that heard it first-hand, `hops` how often it was borrowed since."""
+    `source` and `rev`: the list this comes from; `confirmed`: age of that list's last answer. `origin`:
+    run of the pilot
+    process that observed it directly; `hops`: number of times it has been forwarded since."""
 
     endpoint: ShortString
     phase: ShortString
@@ -131,7 +131,7 @@
 
 
 class LentSliceStats(Row, frozen=True, array_like=True):
-    """What came for a slice: how long ago it was heard (us), then as in `Heat`."""
+    """Slice ops received by the lending pilot `age` us ago; other fields as in `SliceStats`."""
 
     age: NonNegativeInt
     op_type: ShortString
@@ -141,6 +141,8 @@
 
 
 class SliceFact(Row, frozen=True, array_like=True):
+    """What a pilot knows about the ops of a slice; `origin` and `hops` as in `EndpointFact`."""
+
     slice: TableId
     heats: list[LentSliceStats]
     origin: ShortString
@@ -148,7 +150,7 @@
 
 
 class ProxyFact(Row, frozen=True, array_like=True):
-    """A proxy that is joined to the lender: its zone, and ops a second that it told of lately."""
+    """A proxy joined to the lending pilot: its zone and recent ops per second."""
 
     id: ShortString
     zone: ShortString
@@ -156,8 +158,10 @@
 
 
 class BudgetSpec(Row, frozen=True, array_like=True):
-    """A budget that proxies spend: what for, its burst (us of the rate), the part of a token that a fresh op
-    earns (0: no such limit), and how far clocks may run apart."""
+    """A budget that proxies spend from.
+
+    `burst`: time (us) over which unused tokens accumulate. `of_fresh`: tokens earned per fresh op, 0 for no
+    such limit. `drift`: assumed relative clock drift."""
 
     name: ShortString
     use: ShortString
@@ -167,8 +171,10 @@
 
 
 class BudgetRequest(Row, frozen=True, array_like=True):
-    """What is asked of a budget, in parts: demand; the number and amount of the right that is held; the
-    newest number taken; how many spend below."""
+    """A request for a share of a budget, in parts of it.
+
+    `number` and `amount`: the grant currently held. `newest`: the newest grant number seen. `weight`: number
+    of spenders this request stands for."""
 
     budget: ShortString
     demand: NonNegativeInt
@@ -179,8 +185,8 @@
 
 
 class BudgetGrant(Row, frozen=True, array_like=True):
-    """A right to so many parts for `span` us from the asking. A higher number takes the place of a lower
-    one."""
+    """A grant of `amount` parts of a budget, valid for `span` us from the request. Higher numbers replace
+    lower ones."""
 
     budget: ShortString
     number: NonNegativeInt
@@ -189,22 +195,24 @@
 
 
 class RequestedClaim(Row, frozen=True, array_like=True):
-    """A thing that is claimed, and whether it is held now. What a later ask does not name is given up."""
+    """A claimed resource and whether it is held now. Resources missing from a later request are released."""
 
     thing: ShortString
     held: bool
 
 
 class GrantedClaim(Row, frozen=True, array_like=True):
-    """A right to all of a thing for `span` us from the asking."""
+    """Exclusive use of a resource for `span` us from the request."""
 
     thing: ShortString
     span: NonNegativeInt
 
 
 class OpTypeStats(Row, frozen=True, array_like=True):
-    """Ops of a type that came for a pilot's slices: fresh, repeats, those let in, acked, aborted, turned away
-    by endpoints without room; mean time of the acked (us), span counted over (us)."""
+    """Ops of a type that arrived for a pilot's slices, with their outcomes.
+
+    `full`: ops rejected by endpoints for lack of capacity. `took`: mean time of the acked ops (us). `span`:
+    period covered (us)."""
 
     op_type: NonNegativeInt
     fresh: NonNegativeInt
@@ -218,15 +226,18 @@
 
 
 class EndpointShare(Row, frozen=True, array_like=True):
-    """An endpoint at which another share is let in than the fleet's."""
+    """An endpoint whose admitted share differs from the fleet's."""
 
     endpoint: ShortString
     share: NonNegativeFloat
 
 
 class AdmissionPolicy(Row, frozen=True, array_like=True):
-    """What is let in: `share` of all work, the op types in `order` first, each `mix` of it; repeats for each
-    fresh op; us that who is rejected is to wait; endpoints with a share of their own."""
+    """What proxies admit.
+
+    `share`: part of all work. `order`: op types by priority, `mix`: the admitted part of each. `again`:
+    repeats per fresh op. `wait`: us that rejected callers are asked to wait. `own`: endpoints with a share of
+    their own."""
 
     state: ShortString
     share: NonNegativeFloat
@@ -238,11 +249,11 @@
 
 
 class Message(msgspec.Struct, omit_defaults=True):
-    """A frame's body."""
+    """The body of a frame, encoded as a map."""
 
 
 class Greet(Message):
-    """First word of the side that accepts: who it is, and a challenge for the secret's proof."""
+    """First message of the accepting side: its identity and a challenge for authentication."""
 
     deployment: str
     role: str
@@ -252,7 +263,7 @@
 
 
 class Hello(Message):
-    """First word of the side that dials. `proof`: HMAC-SHA256 of challenge and id under the deployment's
+    """First message of the dialing side. `proof`: HMAC-SHA256 of challenge and id under the deployment's
     secret."""
 
     deployment: str
@@ -265,8 +276,10 @@
 
 
 class Welcome(Message):
-    """The hello is taken. `session` numbers it; `lease` and `beat_every` are spans in us. `proof`: as in the
-    Hello, over the Hello's challenge and this side's id."""
+    """Accepts a Hello. `session`: its number.
+
+    `lease`, `beat_every`, `report_every`: us. `proof`: as in the Hello, over the Hello's challenge and this
+    side's id. `loads`: whether the proxy is to report `OpTypeStats`."""
 
     session: int
     lease: int = 0
@@ -279,8 +292,8 @@
 
 
 class Bye(Message):
-    """The last word before a close: a code and a reason for people; `after`: us before which another try is
-    not wanted."""
+    """Last message before closing: a code and a readable reason. `after`: minimum delay before a retry
+    (us)."""
 
     code: str
     reason: str = ""
@@ -288,18 +301,22 @@
 
 
 class Ping(Message):
+    """Asks for a Pong with the same nonce."""
+
     nonce: int = 0
 
 
 class Pong(Message):
+    """Answers a Ping."""
+
     nonce: int = 0
 
 
 class Snapshot(Message):
-    """All that the pilot has in its charge for this proxy: replaces what this pilot told before.
+    """Everything the pilot is in charge of for this proxy; replaces what this pilot sent before.
 
-    `slices` at sites with slices; `table` and `lines` at sites without. `levels` are those that stand for
-    all."""
+    `slices` if the site has slices, `table` and `lines` otherwise. `levels`: those that apply to all
+    slices."""
 
     slices: list[SliceState] = []
     table: int = -1
@@ -308,8 +325,9 @@
 
 
 class Order(Message):
-    """One turn's delta. `waited`: us that it lay in the pilot's channel; `seq` grows by one a message a
-    session."""
+    """A change of the tables. `seq` increases by one per message of the session.
+
+    `waited`: us spent in the pilot's send queue. `mark`: to be acked by the proxy, if set."""
 
     seq: int
     waited: int = 0
@@ -319,16 +337,18 @@
 
 
 class SliceAssignment(Message):
-    """Slices that came into this pilot's charge, as the store holds them, and slices that left it."""
+    """Slices newly assigned to this pilot, with their state in the store, and slices taken away from it."""
 
     given: list[SliceState] = []
     taken: list[int] = []
 
 
 class Heartbeat(Message):
-    """A proxy asks whether its lease may run on, counted from when it asked; and, where `ask` is set, for its
-    shares: the ask's number, this life of the proxy, the life of the pilot that it knows, and what it
-    wants."""
+    """Sent by a proxy to renew its lease, counted from when this was sent; with `ask` also requests budget
+    shares.
+
+    `ask`: number of the request. `life`: identifies this run of the proxy process. `era`: run of the pilot
+    process that the proxy knows. `wants`: the requested shares."""
 
     n: int
     ask: NonNegativeInt = 0
@@ -338,10 +358,11 @@
 
 
 class HeartbeatOk(Message):
-    """The pilot is there; `in_charge`: nobody else can have been given its slices, so the lease runs on.
-    `told`: what is let in from now on, where that is news; `fair`: by op type, times that for this proxy.
-    `trials`: endpoints that get a part of their share (0: none), in the place of those told before; `probe`:
-    one of them that this proxy may try once."""
+    """Answers a Heartbeat.
+
+    `in_charge`: the pilot still owns its slices, so the lease is renewed. `told`: the new admission policy,
+    if changed. `fair`: per op type, the factor on it for this proxy. `trials`: endpoints that get part of
+    their share (0: none); replaces the previous list. `probe`: one of them that this proxy may try once."""
 
     n: int
     in_charge: bool = True
@@ -355,16 +376,16 @@
 
 
 class Ack(Message):
-    """The message with this mark, and all before it, is in force; `held`: us from then until this was
-    sent."""
+    """The message with this mark and all before it are in force. `held`: us from then until this was sent."""
 
     mark: TableId
     held: NonNegativeInt = 0
 
 
 class ProxyReport(Message):
-    """What the proxy met and what came, since its last sums; `loads` where the Welcome asked for them, and
-    then the endpoints that it shuns for what they did to it."""
+    """What the proxy observed since its last report.
+
+    `loads`: if requested in the Welcome. `shuns`: endpoints the proxy avoids because of failures."""
 
     met: list[EndpointStats] = []
     heat: list[SliceStats] = []
@@ -379,7 +400,7 @@
 
 
 class Opened(Message):
-    """The pilot's session at the store; it ends `lease` us after the pilot sent what the store answered
+    """The pilot's session at the store; it expires `lease` us after the pilot sent the request answered
     last."""
 
     session: int
@@ -387,26 +408,28 @@
 
 
 class Renew(Message):
-    """A pilot asks the store to prolong its session, counted from when it asked."""
+    """A pilot asks the store to renew its session, counted from when this was sent."""
 
     n: int
 
 
 class Renewed(Message):
+    """Answers a Renew."""
+
     n: int
 
 
 class FactsRequest(Message):
-    """A pilot asks another for one chunk of what it knows. `version` "" begins anew; else it goes on with
-    that one."""
+    """A pilot asks another for one chunk of its facts; `version` "" starts a new transfer."""
 
     version: ShortString = ""
     chunk: NonNegativeInt = 0
 
 
 class Facts(Message):
-    """One chunk. `payload` is MessagePack of a `Chunk`, compressed by zstandard where `packed`; `digest`:
-    BLAKE2b, 16 bytes, of the payload as it travels."""
+    """One chunk. `payload`: a `Chunk` in MessagePack, compressed with zstandard if `packed`.
+
+    `digest`: 16-byte BLAKE2b of the payload as transmitted."""
 
     version: ShortString
     chunk: NonNegativeInt
@@ -417,8 +440,10 @@
 
 
 class Chunk(msgspec.Struct, array_like=True):
-    """What a payload holds. `list_age`: us since the lender's list answered last, -1 for never; `proxies`
-    joined to it."""
+    """Contents of a payload.
+
+    `list_age`: us since the lender's list answered last, -1 for never. `proxies_joined`: proxies joined to
+    the lender."""
 
     origin: ShortString
     list_age: int
@@ -431,42 +456,44 @@
 
 
 class FactsDeclined(Message):
-    """The lender declines, and says for how long (us)."""
+    """The lender declines; `again_after`: delay before a retry (us)."""
 
     reason: str
     again_after: NonNegativeInt = 0
 
 
 class Leave(Message):
-    """A pilot that stops gives its slices back, after it has told its proxies."""
+    """A stopping pilot returns its slices, after it has notified its proxies."""
 
 
 class AssignSlices(Message):
-    """Slices that the store puts into a pilot's charge."""
+    """The store assigns slices to a pilot."""
 
     slices: list[SliceState]
 
 
 class RevokeSlices(Message):
-    """Slices that the store takes back; the pilot answers Released once its proxies were told."""
+    """The store revokes slices; the pilot answers SlicesReleased once its proxies have been notified."""
 
     slices: list[int]
     number: int
 
 
 class SlicesReleased(Message):
+    """The pilot has released the revoked slices."""
+
     number: int
 
 
 class Commit(Message):
-    """Writes of one turn, under the epochs by which the pilot holds the slices."""
+    """Writes of one batch, under the epochs of the pilot's assignments."""
 
     number: int
     writes: list[SliceWrite]
 
 
 class Committed(Message):
-    """Durable, but for those denied."""
+    """The writes are durable, except for the denied ones."""
 
     number: int
     denied: list[DeniedWrite] = []
@@ -479,13 +506,17 @@
 
 
 class Tables(Message):
+    """Answers a ReadTables."""
+
     number: int
     slices: list[SliceState]
 
 
 class BudgetSharesRequest(Message):
-    """A pilot asks the store for its shares. `era`: the life of the store that it knows; `doubted`: pilots it
-    holds for dead."""
+    """A pilot asks the store for budget shares and claims.
+
+    `life`: identifies this run of the pilot process. `era`: run of the store process that the pilot knows.
+    `doubted`: pilots that it considers dead."""
 
     number: NonNegativeInt
     life: NonNegativeInt
@@ -496,8 +527,9 @@
 
 
 class BudgetSharesReply(Message):
-    """The answer to an ask, kept durably before; of another `era` than was asked under it holds nothing. Era
-    0: no budgets here."""
+    """Answers a BudgetSharesRequest; durable before it is sent.
+
+    Empty if `era` differs from the requested one. Era 0: the deployment has no budgets."""
 
     number: NonNegativeInt
     era: NonNegativeInt
@@ -506,19 +538,19 @@
 
 
 class LeaveBudgets(Message):
-    """A pilot's life spends no more, and takes no answer any more."""
+    """The pilot process stops spending and accepts no further grants."""
 
     life: NonNegativeInt
 
 
 class ReadBudgetStatus(Message):
-    """Anyone of the deployment asks the store who has what."""
+    """Asks the store for the current budget grants."""
 
     number: NonNegativeInt = 0
 
 
 class BudgetStatus(Message):
-    """`payload`: JSON for people."""
+    """Answers a ReadBudgetStatus; `payload`: JSON for display."""
 
     number: NonNegativeInt
     payload: bytes = b""
