--- a/cedarshift/codec/gossip.py
+++ b/cedarshift/codec/gossip.py
@@ -3,7 +3,8 @@
 The header consists of a magic number, the version, a tag of the deployment and an HMAC-SHA256 of the body,
 truncated to 16 bytes (RFC 2104), under a key derived from the deployment's secret. The body is parsed only
 after the HMAC is verified. Without a secret the HMAC detects corruption and other deployments, but does not
-authenticate the sender."""
+authenticate the sender.
+"""
 
 from __future__ import annotations
 
@@ -30,8 +31,7 @@
 
 
 class MemberRecord(msgspec.Struct, array_like=True):
-    """The state of a member as known to the sender: process start, whether it left, and incarnation
-    number."""
+    """What the sender knows of a member; `left`: it has left the deployment."""
 
     name: str
     start: int
@@ -65,8 +65,9 @@
 
 
 class RiderRecord(msgspec.Struct, array_like=True):
-    """Data of another subsystem of a pilot, piggybacked on gossip; the newest replaces older ones. `age`: us
-    since it was valid."""
+    """Data of another subsystem, piggybacked on gossip; the newest replaces older ones.
+
+    `age`: us since the data was current."""
 
     name: str
     start: int
@@ -78,8 +79,8 @@
 class Body(msgspec.Struct, array_like=True):
     """A gossip message.
 
-    `seq` numbers the messages of this process of the sender. `about`: the subject of a ping request or its
-    answer. `digest`: of all member records and verdicts of the sender."""
+    `seq` numbers the messages of this process of the sender. `subject`: the member that a ping
+    request or its answer concerns. `digest`: of all member records and verdicts of the sender."""
 
     kind: int
     sender: str
@@ -87,10 +88,10 @@
     incarnation: int
     seq: int
     nonce: int = 0
-    about: str = ""
+    subject: str = ""
     digest: int = 0
-    words: list[MemberRecord] = []
-    edges: list[ObservationRecord] = []
+    members: list[MemberRecord] = []
+    observations: list[ObservationRecord] = []
     verdicts: list[VerdictRecord] = []
     riders: list[RiderRecord] = []
 
@@ -151,17 +152,19 @@
     if not PING <= body.kind <= FULL_STATE_REPLY:
         return f"kind {body.kind}"
     if not 0 < len(body.sender) <= MAX_NAME_LENGTH:
-        return f"a name of {len(body.sender)} characters"
-    if len(body.words) + len(body.edges) + len(body.verdicts) > MAX_RECORDS:
-        return f"over {MAX_RECORDS} records"
+        return f"a sender name of {len(body.sender)} characters, 1 to {MAX_NAME_LENGTH} are allowed"
+    if len(body.members) + len(body.observations) + len(body.verdicts) > MAX_RECORDS:
+        return f"more than {MAX_RECORDS} records"
     numbers = [body.start, body.incarnation, body.seq, body.nonce]
-    numbers += [n for w in body.words for n in (w.start, w.incarnation)]
-    numbers += [n for e in body.edges for n in (e.observer_start, e.seq, e.age, e.start, e.incarnation)]
+    numbers += [n for m in body.members for n in (m.start, m.incarnation)]
+    numbers += [
+        n for o in body.observations for n in (o.observer_start, o.seq, o.age, o.start, o.incarnation)
+    ]
     numbers += [n for v in body.verdicts for n in (v.start, v.incarnation, v.side)]
     numbers += [n for r in body.riders for n in (r.start, r.seq, r.age)]
     if len(body.riders) > MAX_RIDERS or any(len(r.payload) > MAX_RIDER_BYTES for r in body.riders):
-        return f"over {MAX_RIDERS} riders, or one over {MAX_RIDER_BYTES} bytes"
-    return "a number below 0 or over 2^63" if any(not 0 <= n < 1 << 63 for n in numbers) else ""
+        return f"more than {MAX_RIDERS} riders, or one over {MAX_RIDER_BYTES} bytes"
+    return "a number below 0 or not below 2^63" if any(not 0 <= n < 1 << 63 for n in numbers) else ""
 
 
 def length_prefixed(sealed: bytes) -> bytes:
--- a/cedarshift/codec/messages.py
+++ b/cedarshift/codec/messages.py
@@ -111,8 +111,9 @@
     """What a pilot knows about an endpoint. Ages are in us when the lender answers; -1 if unknown.
 
     `source` and `rev`: the list this comes from; `confirmed`: age of that list's last answer. `origin`:
-    run of the pilot
-    process that observed it directly; `hops`: number of times it has been forwarded since."""
+    incarnation of the pilot that observed it directly; `hops`: number of times it has been forwarded since.
+    `told`: age of the report that it leaves. `started`: age of its start. `sick_left`: us that it still
+    counts as sick."""
 
     endpoint: ShortString
     phase: ShortString
@@ -347,7 +348,7 @@
     """Sent by a proxy to renew its lease, counted from when this was sent; with `ask` also requests budget
     shares.
 
-    `ask`: number of the request. `life`: identifies this run of the proxy process. `era`: run of the pilot
+    `ask`: number of the request. `life`: incarnation of the proxy. `era`: incarnation of the pilot
     process that the proxy knows. `wants`: the requested shares."""
 
     n: int
@@ -515,7 +516,7 @@
 class BudgetSharesRequest(Message):
     """A pilot asks the store for budget shares and claims.
 
-    `life`: identifies this run of the pilot process. `era`: run of the store process that the pilot knows.
+    `life`: incarnation of the pilot. `era`: incarnation of the store that the pilot knows.
     `doubted`: pilots that it considers dead."""
 
     number: NonNegativeInt
--- a/cedarshift/codec/session.py
+++ b/cedarshift/codec/session.py
@@ -152,7 +152,7 @@
             self.rate_since, self.rate_count = now, 0
         self.rate_count += 1
         if self.max_messages_per_s and self.rate_count > self.max_messages_per_s:
-            raise TooManyMessages(f"over {self.max_messages_per_s} messages a second")
+            raise TooManyMessages(f"more than {self.max_messages_per_s} messages per second")
 
     def _handle(self, message: m.Message, received: list[m.Message]) -> None:
         if isinstance(message, m.Bye):
@@ -183,15 +183,15 @@
     def _handle_hello(self, hello: m.Hello) -> None:
         assert self.admit is not None
         if hello.deployment != self.identity.deployment:
-            raise Refused(f"deployment {hello.deployment!r}, this is {self.identity.deployment!r}")
+            raise Refused(f"deployment {hello.deployment!r}, expected {self.identity.deployment!r}")
         if not 0 < len(hello.id) <= MAX_ID_LENGTH or not hello.id.isprintable():
             raise Refused(
                 f"an id of {len(hello.id)} characters, 1 to {MAX_ID_LENGTH} printable ones are allowed"
             )
         if (hello.role, self.identity.role) not in ALLOWED_MESSAGES:
-            raise Refused(f"role {hello.role!r} has nothing to say to a {self.identity.role}")
+            raise Refused(f"role {hello.role!r} may not connect to a {self.identity.role}")
         if not hmac.compare_digest(hello.proof, proof(self.identity.secret, self.challenge, hello.id)):
-            raise Refused("the proof of the deployment's secret is wrong")
+            raise Refused("invalid proof of the deployment's secret")
         welcome = self.admit(hello)
         welcome.proof = proof(self.identity.secret, hello.challenge, self.identity.id)
         self.peer = Identity(hello.deployment, hello.role, hello.id, hello.zone)
@@ -200,9 +200,9 @@
 
     def _handle_greet(self, greet: m.Greet) -> None:
         if greet.deployment != self.identity.deployment:
-            raise Refused(f"deployment {greet.deployment!r}, this is {self.identity.deployment!r}")
+            raise Refused(f"deployment {greet.deployment!r}, expected {self.identity.deployment!r}")
         if (self.identity.role, greet.role) not in ALLOWED_MESSAGES:
-            raise Refused(f"a {greet.role} answers, to which a {self.identity.role} has nothing to say")
+            raise Refused(f"the peer is a {greet.role}, to which a {self.identity.role} may not connect")
         self.peer = Identity(greet.deployment, greet.role, greet.id)
         self.state = HELLOED
         identity = self.identity
@@ -221,5 +221,5 @@
         """Authenticates the accepting side, which has to know the secret too."""
         assert self.peer is not None
         if not hmac.compare_digest(welcome.proof, proof(self.identity.secret, self.challenge, self.peer.id)):
-            raise Refused("the other side's proof of the deployment's secret is wrong")
+            raise Refused("the other side's proof of the deployment's secret is invalid")
         self.state, self.welcome = OPEN, welcome
--- a/cedarshift/gossip/member.py
+++ b/cedarshift/gossip/member.py
@@ -445,7 +445,7 @@
         roll = self.roll
         if key[0] == "w" and key[1] in roll.words:
             word = roll.words[key[1]]
-            body.words = [*body.words, MemberRecord(key[1], word.start, word.left, word.incarnation)]
+            body.members = [*body.members, MemberRecord(key[1], word.start, word.left, word.incarnation)]
         elif key[0] == "v":
             verdict = roll.verdicts.get(key[1]) or roll.doomed.get(key[1])
             if verdict is not None:
@@ -453,7 +453,7 @@
         elif key[0] == "e":
             edge = roll.edges.get(key[2], {}).get(key[1])
             if edge is not None:
-                body.edges = [*body.edges, self._edge_of(key[1], key[2], edge, now)]
+                body.observations = [*body.observations, self._edge_of(key[1], key[2], edge, now)]
 
     @staticmethod
     def _edge_of(observer: str, subject: str, edge: Edge, now: int) -> ObservationRecord:
@@ -511,7 +511,7 @@
             self._send(now, source, g.ACK, body.sender, body.nonce, self.me)
         elif body.kind == g.ACK:
             self._acked(now, body)
-        elif body.kind == g.PING_REQUEST and body.about in self.routes and len(self.helping) < self._cap():
+        elif body.kind == g.PING_REQUEST and body.subject in self.routes and len(self.helping) < self._cap():
             self._help(now, body, source)
         elif body.kind == g.NACK:
             self.detector.declined_by(body.nonce, body.sender)
@@ -556,18 +556,18 @@
 
     def _help(self, now: int, body: Body, source: Address) -> None:
         nonce = self.detector.nonce()
-        address = self._route(body.about, now)
+        address = self._route(body.subject, now)
         if address is not None:
-            self.helping[nonce] = Help(source, body.nonce, body.about, now)
-            self._send(now, address, g.PING, body.about, nonce)
+            self.helping[nonce] = Help(source, body.nonce, body.subject, now)
+            self._send(now, address, g.PING, body.subject, nonce)
 
     def _take(self, now: int, body: Body) -> None:
         """The records, the sender's own word first."""
         roll = self.roll
         self._take_word(now, MemberRecord(body.sender, body.start, False, body.incarnation))
-        for said in body.words:
+        for said in body.members:
             self._take_word(now, said)
-        for said_edge in body.edges:
+        for said_edge in body.observations:
             if said_edge.observer == self.me:
                 continue  # what this member finds it says itself
             edge = Edge(
@@ -653,8 +653,8 @@
         """All that is known, as one frame."""
         self.seq += 1
         body = Body(kind, self.me, self.start, self.incarnation, self.seq, 0, "", self._digest())
-        body.words = [MemberRecord(name, *word) for name, word in self.roll.words.items()]
-        body.edges = [
+        body.members = [MemberRecord(name, *word) for name, word in self.roll.words.items()]
+        body.observations = [
             self._edge_of(observer, subject, edge, now)
             for subject, edges in self.roll.edges.items()
             for observer, edge in edges.items()
--- a/tests/test_codec.py
+++ b/tests/test_codec.py
@@ -1,3 +1,5 @@
+"""Tests of the main protocol's frames, messages and sessions."""
+
 import pytest
 
 from cedarshift.codec import (
@@ -28,7 +30,7 @@
     return accepts, dials
 
 
-def shake(accepts, dials):
+def handshake(accepts, dials):
     dials.receive(0, accepts.take_outbox())
     accepts.receive(0, dials.take_outbox())
     dials.receive(0, accepts.take_outbox())
@@ -47,16 +49,16 @@
         m.Leave(),
     ],
 )
-@pytest.mark.parametrize("cut", [1, 3, 1000])
-def test_a_message_survives_the_wire_cut_anywhere(message, cut):
+@pytest.mark.parametrize("chunk_size", [1, 3, 1000])
+def test_a_message_is_decoded_however_its_bytes_are_split(message, chunk_size):
     frames, data, got = Frames(), encode(message) * 2, []
-    for at in range(0, len(data), cut):
-        frames.feed(data[at : at + cut])
+    for at in range(0, len(data), chunk_size):
+        frames.feed(data[at : at + chunk_size])
         got += frames.messages()
     assert got == [message, message]
 
 
-def test_an_order_packed_once_reads_as_one_packed_whole():
+def test_an_order_from_packed_rows_decodes_like_any_other():
     order = m.Order(3, 9, [m.Line(1, "a", 0.5, 7)], [m.Level(1, 2, 0.25, 1, 7)], 5)
     frames = Frames()
     frames.feed(encode_order(3, 9, pack_rows(order.lines), pack_rows(order.levels), 5))
@@ -81,16 +83,16 @@
         (b"\xff" * 6, FrameTooLarge),
     ],
 )
-def test_a_bad_frame_is_a_named_error_and_a_bye(data, error):
+def test_a_bad_frame_raises_its_error_and_sends_a_bye(data, error):
     accepts, dials = pair()
-    shake(accepts, dials)
+    handshake(accepts, dials)
     with pytest.raises(error):
         accepts.receive(0, data)
     with pytest.raises(PeerClosed, match=error.code):
         dials.receive(0, accepts.take_outbox())
 
 
-def test_a_newer_peers_fields_are_passed_over():
+def test_unknown_fields_of_a_newer_peer_are_ignored():
     body = ENCODER.encode({"n": 4, "colour": "red", "more": [1, 2]})
     frames = Frames()
     frames.feed(HEADER.pack(len(body) + 2, 19, 1) + body)
@@ -117,9 +119,9 @@
 @pytest.mark.parametrize(
     "message", [m.Hello("d", "proxy", "x"), m.Order(1), m.Welcome(1), m.AssignSlices([])]
 )
-def test_what_may_not_be_said_now_closes_the_session(message):
+def test_a_message_that_is_not_allowed_closes_the_session(message):
     accepts, dials = pair()
-    shake(accepts, dials)
+    handshake(accepts, dials)
     with pytest.raises(OutOfOrder):
         accepts.receive(0, encode(message))
 
@@ -132,7 +134,7 @@
 
 def test_more_messages_a_second_than_allowed_close_the_session():
     accepts, dials = pair(max_messages_per_s=10)
-    shake(accepts, dials)
+    handshake(accepts, dials)
     accepts.receive(2_000_000, encode(m.Heartbeat(1)) * 10)
     with pytest.raises(TooManyMessages):
         accepts.receive(2_900_000, encode(m.Heartbeat(1)))
@@ -141,14 +143,14 @@
 
 def test_a_ping_is_answered_by_the_session_itself():
     accepts, dials = pair()
-    shake(accepts, dials)
+    handshake(accepts, dials)
     assert accepts.receive(0, dials.send(m.Ping(7))) == []
     assert dials.receive(0, accepts.take_outbox()) == []
 
 
-def test_what_came_before_an_error_in_the_same_bytes_is_not_lost():
+def test_messages_before_an_error_in_the_same_bytes_are_not_lost():
     accepts, dials = pair()
-    shake(accepts, dials)
+    handshake(accepts, dials)
     assert accepts.receive(0, encode(m.Heartbeat(1)) + encode(m.Bye("stopping", "for good"))) == [
         m.Heartbeat(1)
     ]
--- a/tests/test_gossip.py
+++ b/tests/test_gossip.py
@@ -269,7 +269,7 @@
         (SEAL.close(body())[:-1] + b"\x00", "proof"),
         (SEAL.close(body(kind=99)), "body"),
         (SEAL.close(body(sender="")), "body"),
-        (SEAL.close(body(words=[MemberRecord("a", -1, False, 0)])), "body"),
+        (SEAL.close(body(members=[MemberRecord("a", -1, False, 0)])), "body"),
     ],
 )
 def test_what_is_not_the_deployments_is_told_apart(data, why):
@@ -320,7 +320,7 @@
 ):
     member = Member("a", {one: (one, 1) for one in NAMES}, SEAL, SECOND, 5, 1, 0)
     member.young = young
-    member.hear(1, SEAL.close(body(words=[MemberRecord("a", 10, False, 3)])), ("b", 1))
+    member.hear(1, SEAL.close(body(members=[MemberRecord("a", 10, False, 3)])), ("b", 1))
     assert member.start == start and member.superseded is not young
 
 
--- a/tests/test_loop.py
+++ b/tests/test_loop.py
@@ -1,3 +1,5 @@
+"""Tests of the event loop, its streams and listeners, on real sockets and on the in-memory network."""
+
 import os
 import signal
 from types import SimpleNamespace
@@ -9,7 +11,7 @@
 from cedarshift.loop.epoll import Signals, real_loop
 from cedarshift.loop.memory import LinkConditions, MemoryNetwork, VirtualClock
 
-DOOR = ("127.0.0.1", 7300)
+ADDRESS = ("127.0.0.1", 7300)
 
 
 def echo(loop, listener):
@@ -26,11 +28,11 @@
 @pytest.mark.parametrize("make", [real_loop, virtual_loop])
 def test_the_same_code_runs_on_sockets_and_in_memory(make):
     loop = make()
-    door = listen(loop, ("127.0.0.1", 0))
-    loop.spawn(echo(loop, door), "accept")
+    listener = listen(loop, ("127.0.0.1", 0))
+    loop.spawn(echo(loop, listener), "accept")
 
     def main():
-        stream = yield from dial(loop, door.address)
+        stream = yield from dial(loop, listener.address)
         stream.write(b"x" * 300_000)
         got = 0
         while got < 300_000:
@@ -42,37 +44,37 @@
 
 
 @pytest.mark.parametrize("make", [real_loop, virtual_loop])
-def test_a_dial_to_nobody_fails_and_a_read_times_out(make):
+def test_a_dial_to_a_closed_listener_fails_and_a_read_times_out(make):
     loop = make()
-    door = listen(loop, ("127.0.0.1", 0))
+    listener = listen(loop, ("127.0.0.1", 0))
 
     def main():
-        stream = yield from dial(loop, door.address)
+        stream = yield from dial(loop, listener.address)
         with pytest.raises(TimedOut):
             yield from stream.read(loop.now() + 20_000)
-        door.close()
+        listener.close()
         with pytest.raises(StreamBroken):
-            yield from dial(loop, door.address)
+            yield from dial(loop, listener.address)
 
     loop.run(loop.spawn(main(), "main"))
 
 
 @pytest.mark.parametrize("make", [real_loop, virtual_loop])
-def test_a_peer_that_does_not_read_fills_its_own_buffer_only(make):
+def test_a_peer_that_does_not_read_fills_only_its_own_buffer(make):
     loop = make()
-    door = listen(loop, ("127.0.0.1", 0), max_pending_bytes=100_000)
+    listener = listen(loop, ("127.0.0.1", 0), max_pending_bytes=100_000)
 
     def main():
-        deaf = yield from dial(loop, door.address)
-        to_deaf = yield from door.accept()
-        live = yield from dial(loop, door.address)
-        to_live = yield from door.accept()
+        stalled = yield from dial(loop, listener.address)
+        to_stalled = yield from listener.accept()
+        live = yield from dial(loop, listener.address)
+        to_live = yield from listener.accept()
         with pytest.raises(BufferFull):
             for _ in range(1000):
-                to_deaf.write(b"y" * 65_536)
+                to_stalled.write(b"y" * 65_536)
         to_live.write(b"z")
         assert (yield from live.read(loop.now() + 1_000_000)) == b"z"
-        deaf.close()
+        stalled.close()
         live.close()
 
     loop.run(loop.spawn(main(), "main"))
@@ -88,7 +90,7 @@
     assert ran == [1, 2, 3]
 
 
-def test_a_task_that_raises_is_told_once_with_its_traceback_and_harms_no_other():
+def test_a_task_that_raises_is_reported_once_with_its_traceback_and_ends_alone():
     loop = virtual_loop()
 
     def bad():
@@ -101,7 +103,7 @@
     assert "KeyError" in loop.heard[0][1]["traceback"]
 
 
-def test_a_cancelled_task_cleans_up_and_join_tells_of_it():
+def test_a_cancelled_task_cleans_up_and_is_not_reported():
     loop, seen = virtual_loop(), []
 
     def waits():
@@ -116,7 +118,7 @@
     assert seen == ["cleaned"] and task.done and loop.heard == []
 
 
-def test_a_stale_waker_wakes_nobody():
+def test_a_waker_resumes_its_task_only_once():
     loop, got = virtual_loop(), []
 
     def main():
@@ -137,19 +139,19 @@
         def now(self):
             return next(times)
 
-    class Nothing:
+    class IdleNetwork:
         def poll(self, wait):
             pass
 
     heard = []
-    loop = Loop(Clock(), Nothing(), lambda event, **fields: heard.append((event, fields["task"])))
+    loop = Loop(Clock(), IdleNetwork(), lambda event, **fields: heard.append((event, fields["task"])))
     loop.run(loop.spawn(loop.yield_control(), "slow"))
     assert ("slow_step", "slow") in heard
 
 
 def test_a_reader_that_always_has_more_lets_others_run():
     loop, swallowed = virtual_loop(delay=0), []
-    door = listen(loop, DOOR)
+    listener = listen(loop, ADDRESS)
 
     def flood(stream):
         while True:
@@ -157,8 +159,8 @@
             yield from stream.drain(0)
 
     def main():
-        stream = yield from dial(loop, DOOR)
-        loop.spawn(flood((yield from door.accept())), "flood")
+        stream = yield from dial(loop, ADDRESS)
+        loop.spawn(flood((yield from listener.accept())), "flood")
 
         def swallow():
             while True:
@@ -172,7 +174,7 @@
     assert 0 < len(swallowed) < 200
 
 
-def test_signals_come_as_something_to_wait_for():
+def test_a_coroutine_can_wait_for_a_signal():
     loop = real_loop()
     signals = Signals(loop, loop.network, [signal.SIGHUP])
     loop.at(loop.now() + 1000, os.kill, os.getpid(), signal.SIGHUP)
@@ -180,35 +182,35 @@
     signal.set_wakeup_fd(-1)
 
 
-def test_a_full_listener_turns_newcomers_away():
+def test_a_full_listener_closes_further_connections():
     loop = virtual_loop()
-    door = listen(loop, DOOR, max_streams=2)
+    listener = listen(loop, ADDRESS, max_streams=2)
 
     def main():
         streams = []
         for _ in range(3):
-            streams.append((yield from dial(loop, DOOR)))
+            streams.append((yield from dial(loop, ADDRESS)))
         for _ in range(2):
-            yield from door.accept()
-        loop.spawn(door.accept(), "third")
+            yield from listener.accept()
+        loop.spawn(listener.accept(), "third")
         assert (yield from streams[2].read(loop.now() + 10_000)) == b""
-        assert door.refused_count == 1
+        assert listener.refused_count == 1
 
     loop.run(loop.spawn(main(), "main"))
 
 
 @pytest.mark.parametrize("make", [real_loop, virtual_loop])
 @pytest.mark.parametrize("size", [1, 65_536, 70_000])
-def test_the_end_of_a_stream_is_seen_when_it_came_with_the_last_bytes(make, size):
+def test_the_end_of_a_stream_is_seen_when_it_arrives_with_the_last_bytes(make, size):
     loop = make()
-    door = listen(loop, ("127.0.0.1", 0))
+    listener = listen(loop, ("127.0.0.1", 0))
 
     def main():
-        stream = yield from dial(loop, door.address)
-        far = yield from door.accept()
+        stream = yield from dial(loop, listener.address)
+        far = yield from listener.accept()
         far.write(b"e" * size)
         far.finish(1_000_000)
-        yield from loop.sleep(20_000)  # bytes and end lie there together
+        yield from loop.sleep(20_000)  # data and end of stream are both waiting
         got = 0
         while data := (yield from stream.read(loop.now() + 1_000_000)):
             got += len(data)
@@ -217,7 +219,7 @@
     assert loop.run(loop.spawn(main(), "main")) == size
 
 
-def test_a_timer_whose_call_fails_is_reported_and_harms_no_other():
+def test_a_timer_whose_call_fails_is_reported_and_others_still_run():
     loop, ran = virtual_loop(), []
     loop.at(loop.now(), lambda: 1 // 0)
     loop.at(loop.now(), ran.append, 1)
@@ -230,7 +232,7 @@
     assert [event for event, _ in loop.heard] == ["timer_failed"]
 
 
-def test_timers_of_waits_that_ended_are_forgotten():
+def test_cancelled_timers_are_removed():
     loop = virtual_loop()
     kept = loop.at(10**12, lambda: None)
     for n in range(20_000):
@@ -238,19 +240,19 @@
     assert len(loop.timers) < 3_000 and kept in [timer for _, _, timer in loop.timers]
 
 
-def test_what_waited_for_a_cut_comes_in_its_order_and_before_what_is_sent_later():
+def test_data_held_back_by_a_cut_link_arrives_in_order_before_later_data():
     delays = iter([5, 5, 90, 10, 50, 1, 1, 1, 1, 1])
     network = MemoryNetwork(VirtualClock(), lambda: next(delays, 1))
-    door, attempt = network.listen(DOOR), network.dial(DOOR)
+    listener, attempt = network.listen(ADDRESS), network.dial(ADDRESS)
     network.poll(1_000)
-    near, (far, _) = attempt.poll(), door.accept()
+    near, (far, _) = attempt.poll(), listener.accept()
     near.owner, far.owner = (
         SimpleNamespace(name="a", alive=True, deliver=lambda *edge: None),
         SimpleNamespace(name="b", alive=True, deliver=lambda *edge: None),
     )
     network.set_link_conditions("a", "b", LinkConditions(cut=True))
-    for piece in (b"one ", b"two ", b"three "):
-        near.send(piece)
+    for segment in (b"one ", b"two ", b"three "):
+        near.send(segment)
     network.set_link_conditions("a", "b", None)
     near.send(b"four")
     for _ in range(10):
--- a/tests/test_world.py
+++ b/tests/test_world.py
@@ -1,4 +1,4 @@
-"""Many hosts on one virtual clock: kills, pauses, ends, and that a seed is a whole run."""
+"""Tests of simulated hosts: kills, pauses, ends and reproducible runs."""
 
 import os
 
@@ -13,27 +13,27 @@
 from cedarshift.rehearsal.hunt import hunt
 from cedarshift.rehearsal.run import play
 
-PLACE = ("10.0.0.1", 80)
+ADDRESS = ("10.0.0.1", 80)
 
 
-def echo(loop, heard):
-    """Serves one stream: what comes is noted with its time and sent back."""
-    listener = listen(loop, PLACE)
+def echo(loop, received):
+    """Accepts one stream and echoes its data, which is recorded with the time of arrival."""
+    listener = listen(loop, ADDRESS)
 
     def run():
         stream = yield from listener.accept()
         while data := (yield from stream.read()):
-            heard.append((loop.now(), data))
+            received.append((loop.now(), data))
             stream.write(data)
 
     loop.spawn(run(), "echo")
 
 
 def pair(seed=1, delay=lambda rng: 500):
-    world, heard = World(seed, delay), []
+    world, received = World(seed, delay), []
     server, client = world.host("server"), world.host("client")
-    echo(server.loop, heard)
-    return world, server, client, heard
+    echo(server.loop, received)
+    return world, server, client, received
 
 
 def wait(loop, seconds):
@@ -41,12 +41,12 @@
 
 
 @pytest.mark.parametrize("after, answers", [(0.0, 0), (0.5, 2), (2.0, 8)])
-def test_a_killed_hosts_streams_end_and_its_tasks_run_no_more(after, answers):
-    world, server, client, heard = pair()
+def test_a_killed_hosts_streams_end_and_its_tasks_stop(after, answers):
+    world, server, client, received = pair()
     got = []
 
     def ask():
-        stream = yield from dial(client.loop, PLACE)
+        stream = yield from dial(client.loop, ADDRESS)
         for number in range(8):
             stream.write(b"%d" % number)
             got.append((yield from stream.read()))
@@ -62,48 +62,48 @@
         world.run(task)
     except StreamBroken:
         pass
-    assert len([one for one in got if one]) == answers == len(heard)
-    assert PLACE not in world.network.acceptors and server not in world.hosts
+    assert len([one for one in got if one]) == answers == len(received)
+    assert ADDRESS not in world.network.acceptors and server not in world.hosts
 
 
-def test_a_paused_host_stands_still_while_time_goes_on_and_then_hears_what_came():
-    world, server, client, heard = pair()
+def test_a_paused_host_gets_its_events_once_resumed():
+    world, server, client, received = pair()
 
     def ask():
-        stream = yield from dial(client.loop, PLACE)
+        stream = yield from dial(client.loop, ADDRESS)
         server.pause()
         stream.write(b"early")
         yield from client.loop.sleep(20 * SECOND)
-        begun = client.loop.now()
+        started = client.loop.now()
         server.resume()
         assert (yield from stream.read()) == b"early"
-        return client.loop.now() - begun
+        return client.loop.now() - started
 
-    took = world.run(client.loop.spawn(ask(), "ask"))
-    assert took < SECOND and heard[0][0] >= 20 * SECOND
+    elapsed = world.run(client.loop.spawn(ask(), "ask"))
+    assert elapsed < SECOND and received[0][0] >= 20 * SECOND
 
 
-def test_a_paused_hosts_timers_wait_until_it_goes_on():
-    world, rang = World(1), []
+def test_a_paused_hosts_timers_fire_once_resumed():
+    world, fired = World(1), []
     sleeper, other = world.host("sleeper"), world.host("other")
-    sleeper.loop.at(world.clock.now() + SECOND, lambda: rang.append(world.clock.now()))
+    sleeper.loop.at(world.clock.now() + SECOND, lambda: fired.append(world.clock.now()))
     sleeper.loop.spawn(wait(sleeper.loop, 30), "stays")
     sleeper.pause()
     world.run(other.loop.spawn(wait(other.loop, 5), "wait"))
-    assert rang == []
+    assert fired == []
     sleeper.resume()
     world.run(other.loop.spawn(wait(other.loop, 1), "wait"))
-    assert len(rang) == 1 and rang[0] > 5 * SECOND
+    assert len(fired) == 1 and fired[0] > 5 * SECOND
 
 
-def test_a_door_is_free_again_once_its_host_has_ended():
-    world, server, client, heard = pair()
+def test_an_address_is_free_again_once_its_host_has_ended():
+    world, server, client, received = pair()
     world.run(client.loop.spawn(wait(client.loop, 1), "wait"))
     server.end()
-    echo(world.host("again").loop, heard)
+    echo(world.host("again").loop, received)
 
     def ask():
-        stream = yield from dial(client.loop, PLACE)
+        stream = yield from dial(client.loop, ADDRESS)
         stream.write(b"x")
         return (yield from stream.read())
 
@@ -118,7 +118,7 @@
     assert not short.alive and other.alive
 
 
-def test_a_world_in_which_all_wait_for_ever_says_so():
+def test_a_world_in_which_every_task_waits_raises_deadlock():
     world = World(1)
     host = world.host("lonely")
 
@@ -130,10 +130,10 @@
         world.run(host.loop.spawn(forever(), "forever"))
 
 
-def test_many_short_streams_leave_nothing_behind():
+def test_closed_streams_are_removed_from_their_hosts():
     world = World(1)
     server, client = world.host("server"), world.host("client")
-    listener = listen(server.loop, PLACE)
+    listener = listen(server.loop, ADDRESS)
 
     def serve():
         while True:
@@ -142,7 +142,7 @@
 
     def ask():
         for _ in range(1000):
-            stream = yield from dial(client.loop, PLACE)
+            stream = yield from dial(client.loop, ADDRESS)
             assert (yield from stream.read()) == b""
             stream.close()
 
@@ -190,7 +190,7 @@
     }
 
 
-def test_the_same_seed_is_the_same_day_to_the_byte_and_another_seed_another(tmp_path):
+def test_equal_seeds_give_identical_runs_and_other_seeds_do_not(tmp_path):
     days = os.path.dirname(__file__) + "/../cedarshift/rehearsal/days/"
     (tmp_path / "deployment-tiles.hcl").write_text(open(days + "deployment-tiles.hcl").read())
     (tmp_path / "small.hcl").write_text(DAY)
@@ -201,14 +201,14 @@
         files.append(len(os.listdir("/proc/self/fd")))
     assert records(tmp_path / "a") == records(tmp_path / "b") != records(tmp_path / "c")
     assert all(rule["held"] for report in reports for rule in report["rules"]) and not reports[0]["crashed"]
-    assert files[2] <= files[0]  # a hunt plays hundreds of days in one process
+    assert files[2] <= files[0]  # descriptors must not leak: a hunt plays many days in one process
     assert reports[0]["service"]["ops"] > 100 and reports[0]["service"]["earned_share"] > 0.5
-    said = [what for _, what, _ in reports[0]["faults"]]
-    assert said.count("started again") == 3
+    fault_events = [what for _, what, _ in reports[0]["faults"]]
+    assert fault_events.count("started again") == 3
 
 
-def test_a_hunt_keeps_the_seeds_that_break_a_rule_and_tells_how_to_play_them_again(tmp_path):
-    """A day with a proxy that heeds no order breaks rules on every seed; without it none does."""
+def test_a_hunt_keeps_the_seeds_that_break_a_rule_and_how_to_replay_them(tmp_path):
+    """A proxy that ignores orders breaks rules on every seed; without it none are broken."""
     days = os.path.dirname(__file__) + "/../cedarshift/rehearsal/days/"
     (tmp_path / "deployment-tiles.hcl").write_text(open(days + "deployment-tiles.hcl").read())
     sound = DAY.split('  fault "kill_pilot"')[0]
@@ -231,6 +231,6 @@
 
 
 @pytest.mark.parametrize("seeds", ["", "a", "9-1", "1-", "-3"])
-def test_a_hunt_wants_its_seeds_well_formed(seeds):
+def test_a_hunt_rejects_malformed_seeds(seeds):
     got = CliRunner().invoke(main, ["hunt", "quiet", "--seeds", seeds])
     assert got.exit_code == 2 and "are allowed" in got.output
