--- a/cedarshift/codec/__init__.py
+++ b/cedarshift/codec/__init__.py
@@ -1,7 +1,8 @@
 """Wire protocols without I/O: encoding, decoding and session state machines.
 
 The names of the main protocol are imported on first use, so that programs that use only another protocol do
-not load its libraries."""
+not load its libraries.
+"""
 
 from __future__ import annotations
 
--- a/cedarshift/codec/errors.py
+++ b/cedarshift/codec/errors.py
@@ -60,8 +60,7 @@
 
 
 class PeerClosed(ProtocolError):
-    """The peer sent a Bye; the message has its code and reason. `after`: its minimum delay before a retry
-    (us)."""
+    """The peer sent a Bye with this code and reason. `after`: minimum delay before a retry (us)."""
 
     code = "peer-closed"
 
--- a/cedarshift/codec/frames.py
+++ b/cedarshift/codec/frames.py
@@ -36,8 +36,7 @@
 def encode_order(
     seq: int, waited: int, lines: msgspec.Raw, levels: msgspec.Raw, mark: Optional[int]
 ) -> bytes:
-    """Encodes an `Order` from rows packed beforehand, since orders to several proxies differ only in seq and
-    waited."""
+    """Encodes an `Order` from packed rows: orders to several proxies differ only in seq and waited."""
     body = ENCODER.encode({"seq": seq, "waited": waited, "lines": lines, "levels": levels, "mark": mark})
     if len(body) + 2 > MAX_FRAME_BYTES:
         raise FrameTooLarge(f"Order of {len(body)} bytes, {MAX_FRAME_BYTES - 2} at most")
--- a/cedarshift/codec/messages.py
+++ b/cedarshift/codec/messages.py
@@ -1,7 +1,8 @@
 """The messages of the main protocol, encoded in MessagePack. Durations are integer microseconds.
 
 Messages are encoded as maps: newer minor versions may add fields, which older ones ignore. Records within
-them (`Line`, `Level`, ...) are encoded as arrays, to which fields may be appended."""
+them (`Line`, `Level`, ...) are encoded as arrays, to which fields may be appended.
+"""
 
 from __future__ import annotations
 
@@ -32,8 +33,7 @@
 
 
 class Level(Row, frozen=True, array_like=True):
-    """The `share` of the op types in `mask` that a table admits. Mask 0: all op types; table 65535: all
-    tables."""
+    """The share of op types that a table admits; mask 0: all op types, table 65535: all tables."""
 
     table: TableId
     mask: NonNegativeInt
@@ -186,8 +186,7 @@
 
 
 class BudgetGrant(Row, frozen=True, array_like=True):
-    """A grant of `amount` parts of a budget, valid for `span` us from the request. Higher numbers replace
-    lower ones."""
+    """Parts of a budget, granted for `span` us from the request. Higher numbers replace lower ones."""
 
     budget: ShortString
     number: NonNegativeInt
@@ -264,8 +263,7 @@
 
 
 class Hello(Message):
-    """First message of the dialing side. `proof`: HMAC-SHA256 of challenge and id under the deployment's
-    secret."""
+    """First message of the dialing side. `proof`: HMAC-SHA256 of challenge and id."""
 
     deployment: str
     role: str
@@ -293,8 +291,7 @@
 
 
 class Bye(Message):
-    """Last message before closing: a code and a readable reason. `after`: minimum delay before a retry
-    (us)."""
+    """Last message before closing. `after`: minimum delay before a retry (us)."""
 
     code: str
     reason: str = ""
@@ -401,8 +398,7 @@
 
 
 class Opened(Message):
-    """The pilot's session at the store; it expires `lease` us after the pilot sent the request answered
-    last."""
+    """The pilot's session; it expires `lease` us after the last answered request was sent."""
 
     session: int
     lease: int
--- a/cedarshift/codec/session.py
+++ b/cedarshift/codec/session.py
@@ -4,7 +4,8 @@
     dialing side:                          WAITING --Greet--> HELLOED --Welcome--> OPEN --Bye/error--> CLOSED
 
 `receive` takes bytes and returns the messages for the application. Frames that the session itself sends are
-collected in `outbox`. Pings are answered here."""
+collected in `outbox`. Pings are answered here.
+"""
 
 from __future__ import annotations
 
--- a/cedarshift/link/__init__.py
+++ b/cedarshift/link/__init__.py
@@ -1,5 +1,6 @@
 """Sessions of the main protocol over streams: handshake with a timeout, limits and error reporting to both
-sides."""
+sides.
+"""
 
 from cedarshift.link.link import HANDSHAKE_TIMEOUT_US, Link, connect, serve
 
--- a/cedarshift/link/link.py
+++ b/cedarshift/link/link.py
@@ -34,8 +34,7 @@
         return self.session.peer
 
     def receive(self, until: Optional[int] = None) -> Coroutine:
-        """Waits for the next messages, at least one. Raises StreamBroken at the end of the stream, TimedOut
-        at `until`."""
+        """Waits for messages. Raises StreamBroken at the end of the stream and TimedOut at `until`."""
         while True:
             self.session.raise_pending_error()
             data = yield from self.stream.read(until)
@@ -66,8 +65,7 @@
             self.stream.write(frame)
 
     def close(self, code: str, reason: str) -> None:
-        """Sends a Bye if the stream is still usable, and closes. Never raises, so that it can be called in
-        error handlers."""
+        """Sends a Bye if the stream is still usable, and closes. Never raises."""
         self.session.close(code, reason)
         try:
             self._flush()
@@ -121,20 +119,20 @@
 ) -> Coroutine:
     link = Link(loop, stream, session)
     session.start()
-    who = stream.peer
+    peer_name = stream.peer
     try:
         first = yield from link.handshake(loop.now() + HANDSHAKE_TIMEOUT_US)
-        who = link.peer.id
+        peer_name = link.peer.id
         yield from handler(link, first)
     except PeerClosed as error:
-        report("session_ended", peer=who, reason=str(error))
+        report("session_ended", peer=peer_name, reason=str(error))
     except ProtocolError as error:
-        report("session_refused", peer=who, code=error.code, reason=str(error))
+        report("session_refused", peer=peer_name, code=error.code, reason=str(error))
     except TimedOut:
         link.close("too-slow", "no answer in time")
-        report("session_refused", peer=who, code="too-slow", reason="no answer in time")
+        report("session_refused", peer=peer_name, code="too-slow", reason="no answer in time")
     except StreamBroken as error:
-        report("session_ended", peer=who, reason=str(error))
+        report("session_ended", peer=peer_name, reason=str(error))
     finally:
         stream.finish(CLOSE_TIMEOUT_US)
 
--- a/cedarshift/loop/__init__.py
+++ b/cedarshift/loop/__init__.py
@@ -1,5 +1,6 @@
 """A generator-based event loop with pluggable clock and network; code above it never handles sockets
-directly."""
+directly.
+"""
 
 from cedarshift.loop.core import Cancelled, Loop, Task, TimedOut
 from cedarshift.loop.datagram import Datagrams, datagrams
--- a/cedarshift/loop/core.py
+++ b/cedarshift/loop/core.py
@@ -2,7 +2,8 @@
 
 A coroutine is a generator that suspends with a bare `yield` after it created a `Waker`. Times are integer
 microseconds of a monotonic clock. `network.poll(wait)` is called once per pass with the longest wait in
-microseconds, or None for no limit, and invokes the callbacks of whatever became ready."""
+microseconds, or None for no limit, and invokes the callbacks of whatever became ready.
+"""
 
 from __future__ import annotations
 
@@ -112,8 +113,7 @@
 
 
 class Loop:
-    """A single-threaded scheduler. `report(event, **fields)` is called for failed tasks and timers and for
-    slow steps."""
+    """A single-threaded scheduler. `report(event, **fields)` gets failed tasks and timers and slow steps."""
 
     def __init__(self, clock: Clock, network: Network, report: Optional[Callable[..., None]] = None) -> None:
         self.clock = clock
@@ -146,8 +146,7 @@
         return Waker(self.current, self.current.ticket)
 
     def park(self, until: Optional[int] = None) -> Coroutine:
-        """Suspends until a waker created beforehand fires; raises TimedOut at `until` (us on the loop's
-        clock)."""
+        """Suspends until a waker created beforehand fires. Raises TimedOut at `until` (us)."""
         if until is None:
             return (yield)
         timer = self.at(until, self.waker().fail, TimedOut())
@@ -157,7 +156,7 @@
             timer.cancel()
 
     def sleep(self, duration: int) -> Coroutine:
-        """Suspends for `span` microseconds."""
+        """Suspends for `duration` microseconds."""
         timer = self.at(self.now() + max(0, duration), self.waker().wake)
         try:
             yield
@@ -214,8 +213,7 @@
         return self.timers[0][0] if self.timers else None
 
     def run(self, main: Optional[Task] = None) -> Any:
-        """Runs until `main` finishes, `stop` is called or no tasks and timers are left. Returns the result of
-        `main`."""
+        """Runs until `main` finishes, `stop` is called or nothing is left to run; returns `main`'s result."""
         while not self.stopping and not (main is not None and main.done):
             self.run_pass()
             if self.stopping or (main is not None and main.done):
--- a/cedarshift/loop/datagram.py
+++ b/cedarshift/loop/datagram.py
@@ -1,7 +1,8 @@
 """Size-limited datagrams over a non-blocking socket supplied by the network.
 
 `send` returns False if the socket buffer is full and the datagram was dropped. Readiness is edge-triggered,
-as for stream transports."""
+as for stream transports.
+"""
 
 from __future__ import annotations
 
@@ -25,8 +26,7 @@
 
 
 class Datagrams:
-    """The datagrams of one local address; one task may receive at a time. Those over `max_bytes` are dropped
-    and counted."""
+    """Datagrams of one local address; one task may receive at a time. Drops those over `max_bytes`."""
 
     def __init__(self, loop: Loop, port: DatagramSocket, max_bytes: int) -> None:
         self.loop = loop
@@ -50,8 +50,8 @@
             self.receives_since_yield = 0
             yield from self.loop.yield_control()
         while True:
-            got = self.port.recv() if self.readable and not self.closed else None
-            if got is None:
+            datagram = self.port.recv() if self.readable and not self.closed else None
+            if datagram is None:
                 self.readable = False
                 self.receives_since_yield = 0
                 self.reader = self.loop.waker()
@@ -59,11 +59,11 @@
                     yield from self.loop.park(until)
                 finally:
                     self.reader = None
-            elif len(got[0]) > self.max_bytes:
+            elif len(datagram[0]) > self.max_bytes:
                 self.counts["too_long"] += 1
             else:
                 self.counts["heard"] += 1
-                return got
+                return datagram
 
     def send(self, data: bytes, address: tuple[str, int]) -> None:
         """Sends a datagram, or drops it if the socket is closed or its buffer is full."""
--- a/cedarshift/loop/epoll.py
+++ b/cedarshift/loop/epoll.py
@@ -1,7 +1,8 @@
 """Sockets, clock and signals of the operating system, on edge-triggered `select.epoll`.
 
 Each socket is registered once for reading and writing, so no system call is needed when a write buffer fills
-or drains. Streams remember readiness and read or write until the socket would block."""
+or drains. Streams remember readiness and read or write until the socket would block.
+"""
 
 from __future__ import annotations
 
@@ -56,8 +57,7 @@
 
 
 class EpollNetwork:
-    """Creates socket-based listeners, connection attempts and datagram sockets, and polls them for
-    readiness."""
+    """Creates the operating system's sockets and polls them for readiness."""
 
     def __init__(self) -> None:
         self.epoll = select.epoll()
@@ -70,24 +70,25 @@
             ready = self.epoll.poll(timeout, MAX_EVENTS_PER_POLL)
         except InterruptedError:  # the loop checks its timers and polls again
             return
-        for number, events in ready:
-            call = self.callbacks.get(number)
+        for descriptor, events in ready:
+            call = self.callbacks.get(descriptor)
             if call is not None:
                 call(bool(events & READ_EVENTS), bool(events & WRITE_EVENTS), bool(events & HANGUP_EVENTS))
 
-    def register(self, number: int, call: Callable[[bool, bool, bool], None]) -> None:
-        """Calls `call` on readiness changes. Raises OSError (ENOSPC, ENOMEM) if the kernel cannot register
-        the descriptor."""
-        if number in self.callbacks:
-            self.epoll.modify(number, REGISTERED_EVENTS)  # re-arms it: current readiness is reported again
+    def register(self, descriptor: int, call: Callable[[bool, bool, bool], None]) -> None:
+        """Calls `call` on readiness changes. Raises OSError (ENOSPC, ENOMEM) if the kernel cannot do so."""
+        if descriptor in self.callbacks:
+            self.epoll.modify(
+                descriptor, REGISTERED_EVENTS
+            )  # re-arms it: current readiness is reported again
         else:
-            self.epoll.register(number, REGISTERED_EVENTS)
-        self.callbacks[number] = call
+            self.epoll.register(descriptor, REGISTERED_EVENTS)
+        self.callbacks[descriptor] = call
 
-    def unregister(self, number: int) -> None:
-        if self.callbacks.pop(number, None) is not None:
+    def unregister(self, descriptor: int) -> None:
+        if self.callbacks.pop(descriptor, None) is not None:
             try:
-                self.epoll.unregister(number)
+                self.epoll.unregister(descriptor)
             except OSError:  # already removed with the closed descriptor
                 pass
 
@@ -124,8 +125,7 @@
 
 
 class UdpSocket:
-    """A UDP socket. Datagrams that the kernel cannot take are dropped; errors reported by peers are
-    ignored."""
+    """A UDP socket. Drops what the kernel cannot take and ignores errors reported by peers."""
 
     def __init__(self, network: EpollNetwork, sock: socket.socket) -> None:
         self.network = network
@@ -236,8 +236,7 @@
 
 
 class SocketAttempt:
-    """A connect in progress. `poll` returns the transport once connected, None before, and raises OSError on
-    failure."""
+    """A connect in progress. `poll` returns the transport or None, and raises OSError on failure."""
 
     def __init__(self, network: EpollNetwork, sock: socket.socket, done: bool) -> None:
         self.network = network
--- a/cedarshift/loop/memory.py
+++ b/cedarshift/loop/memory.py
@@ -124,8 +124,7 @@
         return self.link_conditions.get((getattr(source, "name", ""), getattr(target, "name", "")))
 
     def set_link_conditions(self, source: str, target: str, conditions: Optional[LinkConditions]) -> None:
-        """Sets the conditions of a link, None for unimpaired. Stream data held back by a cut is delivered in
-        order."""
+        """Sets the conditions of a link, None for unimpaired; data held back by a cut is then delivered."""
         if conditions is None:
             self.link_conditions.pop((source, target), None)
         else:
@@ -141,8 +140,8 @@
             port = self.next_port
         if (host, port) in self.ports:
             raise OSError(errno.EADDRINUSE, f"{host}:{port}: address already in use")
-        made = self.ports[host, port] = MemoryDatagramSocket(self, (host, port), owner)
-        return made
+        new_socket = self.ports[host, port] = MemoryDatagramSocket(self, (host, port), owner)
+        return new_socket
 
     def listen(self, address: tuple[str, int], owner: Optional[Owner] = None) -> MemoryAcceptor:
         host, port = address
@@ -178,16 +177,16 @@
     def watch(self, call: ReadyCallback) -> None:
         self.call = call
 
-    def recv(self, most: int) -> Optional[bytes]:
+    def recv(self, max_bytes: int) -> Optional[bytes]:
         if self.reset:
             raise OSError(errno.ECONNRESET, "connection reset")
         if not self.inbox:
             return b"" if self.finished else None
         data = b"".join(self.inbox)  # a short read means that the buffer is empty, as on a socket
         self.inbox.clear()
-        if len(data) > most:
-            self.inbox.append(data[most:])
-            data = data[:most]
+        if len(data) > max_bytes:
+            self.inbox.append(data[max_bytes:])
+            data = data[:max_bytes]
         full = self.buffered_bytes >= MAX_BUFFERED_BYTES
         self.buffered_bytes -= len(data)
         peer = self.peer
@@ -223,8 +222,7 @@
         )
 
     def _schedule_arrival(self, min_delay: int, call: Callable[[], None]) -> None:
-        """Schedules `call` after everything already on its way to this side, so that the stream stays in
-        order."""
+        """Schedules `call` after everything already on its way to this side."""
         at = max(self.last_arrival, self.network.clock.time + max(min_delay, self.network.delay()))
         self.last_arrival = self.network.call_later(at - self.network.clock.time, call)
 
@@ -263,8 +261,7 @@
 
 
 class MemoryDatagramSocket:
-    """A datagram socket; datagrams are lost, delayed, duplicated and reordered according to the link
-    conditions."""
+    """A datagram socket whose traffic is impaired according to the link conditions."""
 
     def __init__(self, network: MemoryNetwork, address: Address, owner: Optional[Owner] = None) -> None:
         self.network = network
--- a/cedarshift/loop/world.py
+++ b/cedarshift/loop/world.py
@@ -3,7 +3,8 @@
 Each host has its own loop, as a separate process would. Hosts can be killed (their streams end and their
 tasks never run again), paused (the network goes on without them) and replaced by new ones. Time advances only
 when no host can run. The seed determines the order in which hosts run and the delay of each message, so equal
-seeds give equal runs."""
+seeds give equal runs.
+"""
 
 from __future__ import annotations
 
@@ -113,7 +114,7 @@
         """Registers a transport to be closed when the host ends."""
         self.transports.append(transport)
         if len(self.transports) >= self.compact_at:
-            self.transports = [one for one in self.transports if not one.closed]
+            self.transports = [transport for transport in self.transports if not transport.closed]
             self.compact_at = len(self.transports) + TRANSPORT_CLEANUP_THRESHOLD
 
     def end(self) -> None:
