--- a/cedarshift/loop/world.py
+++ b/cedarshift/loop/world.py
@@ -114,7 +114,7 @@
         """Registers a transport to be closed when the host ends."""
         self.transports.append(transport)
         if len(self.transports) >= self.compact_at:
-            self.transports = [transport for transport in self.transports if not transport.closed]
+            self.transports = [candidate for candidate in self.transports if not candidate.closed]
             self.compact_at = len(self.transports) + TRANSPORT_CLEANUP_THRESHOLD
 
     def end(self) -> None:
