--- a/cedarshift/budgets/rights.py
+++ b/cedarshift/budgets/rights.py
@@ -1,6 +1,6 @@
 """A pilot's rights that the module goes by: which cold endpoints it may warm, and how many moves it may have under way.
 
-The module is told by one input, `on_rights`; with nothing told it goes by its lot and moves as it sees fit. What is told here ends on
+The module is told by one input, `on_budgets`; with nothing told it goes by its lot and moves as it sees fit. What is told here ends on
 this pilot's clock before the store hands it on, so it is settled before each pull of decisions: a pilot that was stopped decides
 nothing on a right that ended meanwhile. A hand-over that was begun goes on to its end, counted in what is held.
 """
--- a/tests/fleet_process.py
+++ b/tests/fleet_process.py
@@ -146,10 +146,10 @@
             self.streams = []
 
     def _answer(self, stream, conn, number, orders):
-        random_faults = self.rng.random()
+        remaining = self.rng.random()
         for outcome, share in self.relay_faults.answers.items():
-            random_faults -= share
-            if random_faults < 0:
+            remaining -= share
+            if remaining < 0:
                 self.script = [outcome]
                 break
         if self.script != ["lost"] and self.lost_at is None:
