--- a/cedarshift/brain.py
+++ b/cedarshift/brain.py
@@ -2,7 +2,16 @@
 
 No I/O; time is passed in. The host builds a `Pilot`, reports events through the `on_...` methods, which only
 update state, and then calls `next_decision(now)` until it returns None. `cedarshift/interface.py` defines the
-types, decisions and units.
+types, decisions, units and terms.
+
+A hand-over revokes a slice from its owner, waits until no proxy may write to that owner, lets ops in flight
+settle and grants the slice to another endpoint. Its steps:
+
+- revoke, move, shed: close the slice to writes or remove its line. A move has a target. A shed removes the
+  line at once, to relieve a cold owner or to revoke a held slice again.
+- clear: removes the line of a slice that is closed to writes.
+- hold: sets the former owner's line again with all op types closed.
+- grant: assigns the slice to an owner and reopens it.
 """
 
 from __future__ import annotations
@@ -30,49 +39,52 @@
 )
 
 # Durations are in units of 0.1 ms. Shares are fractions of 1.
-POLL_INTERVAL = 250
-ESTIMATE_INTERVAL = 2_000
+POLL_INTERVAL = 250  # from a decision round to its "wake"
+ESTIMATE_INTERVAL = 2_000  # longest time between two updates of the estimates
 MIN_CHECK_INTERVAL = 20_000  # between two checks of the rebalancer
-HOT_MARGIN = 0.2  # load above the mean at which an endpoint counts as hot
+HOT_MARGIN = 0.2  # excess over the mean load or the fair share at which an endpoint counts as hot
 MIN_HOT_CHECKS = 2  # consecutive checks, so that a single late report moves nothing
 MIN_MOVES_PER_CHECK = 2
 ENDPOINTS_PER_MOVE = 8  # larger fleets allow one move per check for this many endpoints
-MAX_MOVES_PER_SOURCE = 2  # per check; reports lag behind, and more would overshoot
+MAX_MOVES_PER_SOURCE = 2  # per check and hot endpoint; reports lag behind, and more would overshoot
 STRAINED_ABORT_SHARE = 0.08  # of ops, above the median endpoint's share
 STRAINED_LATENCY_SHARE = 0.4  # of the lowest target latency
 MAX_REPORT_DELAY = 15_000  # after the end of the reported period
 WINDOW_REPORTS = 4  # report periods in the sample window
 MIN_WINDOW = 40_000  # length of the sample window where report periods are short
-MIN_SPEED_SAMPLES = 4  # samples with acked ops
-MAX_SPEED_RATIO = 2.0  # to the median endpoint, in either direction
-MIN_PATH_OPS = 40
+MIN_SPEED_SAMPLES = 4  # samples with acked ops, to measure an endpoint's speed
+MAX_SPEED_RATIO = 2.0  # of an endpoint's speed to the median, in either direction
+MIN_PATH_OPS = 40  # in the window, to compare a path between two zones with others
 PATH_LOSS_SHARE = 0.2  # of ops, above the loss on the best path to the zone
 PATH_DELAY_SHARE = 0.3  # of the lowest target latency, above the delay on the best path to the zone
-SICK_ABORT_SHARE = 0.75  # of ops
-MIN_SICK_OPS = 12
+SICK_ABORT_SHARE = 0.75  # of an endpoint's ops
+MIN_SICK_OPS = 12  # in the newest samples, to detect an endpoint as sick
 MAX_SICK_SHARE = 0.34  # of endpoints; more failures at once have a common cause elsewhere
 SICK_LATENCY_SHARE = 0.7  # of the lowest target latency; slower acks point to overload instead
-SICK_PERIOD = 150_000  # doubles with each further detection
-COLD_INITIAL_SHARE = 0.5  # of a cold endpoint's budget, until it has reported
-FULL_BUDGET_ACK_RATIO = 1.75  # acked ops times the tipping multiple, per op received
-MIN_BUDGET_SCALE = 0.1
-COLD_LOAD_SHARE = 0.6  # of the load at which a cold endpoint tips over
+SICK_PERIOD = 150_000  # of the first detection; doubles with each further one, up to eightfold
+COLD_INITIAL_SHARE = 0.5  # of a cold endpoint's budget, until it has gained a slice
+FULL_BUDGET_ACK_RATIO = 1.75  # acked ops times `tip_multiple`, per op received, for full cold budgets
+MIN_BUDGET_SCALE = 0.1  # factor on cold budgets while few ops are acked
+COLD_LOAD_SHARE = 0.6  # budget of a cold endpoint, as a share of the load at which it tips
 LEVEL_STEP = 0.05  # raises the admission level per check
 LEVEL_BACKOFF = 0.85  # multiplies the admission level per check under overload
-MIN_LEVEL = 0.6
+MIN_LEVEL = 0.6  # lowest admission level under overload
 OVERLOAD_LATENCY_SHARE = 0.7  # of the lowest target latency, at the median endpoint
-MIN_LIST_RETRY = 10_000
-LIST_RENEWAL_WAITS = 8  # longest retry delays after which a sound subscription is renewed
+MIN_LIST_RETRY = 10_000  # before an unavailable list is requested again; doubles up to a limit
+LIST_RENEWAL_WAITS = 8  # time from a list to the next request, as a multiple of the longest retry delay
 ALL_OP_TYPES = 0  # mask
 ALL_TABLES = 65535  # table number
-ENDPOINT_RETENTION = 600_000  # after it left the list
+ENDPOINT_RETENTION = 600_000  # of the state of an endpoint that left the list
 HAND_OVER_TIMEOUT_DIVISOR = 2  # the other half of `empty_for` is for delivery to the proxies
-ACK_TIMEOUT_TRANSITS = 2  # longest transit times
+ACK_TIMEOUT_TRANSITS = 2  # transit times of silence after which no acknowledgement is outstanding
 MARK_MODULUS = BARRIER_MODULUS
 
 
 class Pilot:
-    """State and decisions of one pilot. Not thread-safe; all times are in units of 0.1 ms."""
+    """Decision module of one pilot; implements `DecisionModule`. Not thread-safe.
+
+    `_update_estimates` sets further attributes, which the decisions use.
+    """
 
     def __init__(self, config: DecisionConfig) -> None:
         self.single_owner, self.gone_binds, self.asks_list = (
@@ -118,23 +130,23 @@
         )
         self.ack_timeout = MAX_ACK_PAUSE + ACK_TIMEOUT_TRANSITS * config.transit_most
         self.slices: dict[int, Slice] = {}
-        # Number of the newest barrier; starts at random to differ from those of an earlier process.
+        # Number of the newest mark; starts at random to differ from those of an earlier process.
         self.mark = Lcg(config.seed).draw(MARK_MODULUS)
-        self.unmarked_proxies: set[int] = set()  # joined since the newest barrier was sent
+        self.unmarked_proxies: set[int] = set()  # joined since the newest mark was sent
         self.alarm_nonce = 0  # nonce of the newest alarm; earlier ones are ignored
         self.next_list_request_at, self.list_retry_delay = 0, MIN_LIST_RETRY
         self.next_check_at = 0  # of the rebalancer and the admission level
         self.planned_moves: dict[int, str] = {}  # slice -> target: moves that were not sent yet
-        self.level, self.level_sent = 1.0, 1.0
-        self.installed: dict[tuple[int, str], bool] = {}
-        # (proxy zone, endpoint zone) -> (loss share, delay); the same grouped by endpoint zone.
+        self.level, self.level_sent = 1.0, 1.0  # admission level of all slices, wanted and last sent
+        self.installed: dict[tuple[int, str], bool] = {}  # (table, endpoint) -> whether it has a line
+        # (proxy zone, endpoint zone) -> (loss share, delay), and these by endpoint zone; only bad paths.
         self.path_penalties, self.path_penalties_to = {}, {}
         self.sorted_slices: Optional[list[Slice]] = None  # cache; None after a slice was added or removed
         self.candidates: Optional[list[tuple]] = None  # cache of `_find_candidates` for one batch
-        self.budgets: dict[str, float] = {}  # see `on_budgets`; empty where the fleet divides none
+        self.budgets: dict[str, float] = {}  # see `on_budgets`; empty where pilots do not share budgets
         self.inputs_changed, self.estimated_at = True, 0
-        self.owned_slices: dict[str, list[Slice]] = {}  # by endpoint
-        self.mean_rate = 1e-3  # ops of a slice per 0.1 ms
+        self.owned_slices: dict[str, list[Slice]] = {}  # slices in state OWNED, by endpoint
+        self.mean_rate = 1e-3  # mean op rate of a slice, per 0.1 ms
         self.counts = DecisionCounts()
         self.pending_decisions, self.wake_pending = deque(), False
 
@@ -181,7 +193,7 @@
         self.stops.on_leave(now, proxy)
 
     def on_slice_assigned(self, now: int, slice_id: int, given: bool) -> None:
-        """The store assigned a slice to this pilot, or took it away."""
+        """The store assigned a slice to this pilot (`given`), or took it away."""
         self.inputs_changed = True
         self.slices.pop(slice_id, None)
         self.planned_moves.pop(slice_id, None)
@@ -207,7 +219,7 @@
                 self._set_phase(self.endpoints[endpoint], "off", now)
 
     def on_ack(self, now: int, proxy: int, mark: int, took: int) -> None:
-        """A proxy acknowledged all orders up to a mark, `took` after they were ordered."""
+        """A proxy acknowledged all orders up to a mark, which took effect `took` after they were sent."""
         p = self.proxies.get(proxy)
         batch = self.channel.find_batch(mark)
         in_force_at = min(now, batch.ordered_at + took) if batch else now
@@ -217,9 +229,9 @@
         self.channel.discard_before(mark)
 
     def on_stream_alive(self, now: int, began: int) -> None:
-        """All acknowledgements up to now were received, in an event stream that began at `began`.
+        """The event stream that began at `began` is alive and complete up to now.
 
-        After a long enough silence no acknowledgement is outstanding: the channel is empty.
+        After a long enough silence no acknowledgement is outstanding, so the channel is empty.
         """
         silent = now - max(self.stops.last_ack_heard_at, self.channel.sent_at, began)
         if silent >= max(self.ack_timeout, ACK_TIMEOUT_TRANSITS * self.channel.last_ack_latency):
@@ -228,14 +240,17 @@
     def on_endpoint_report(
         self, now: int, endpoint: str, zone: str, tries: int, aborted: int, took: int, span: int
     ) -> None:
-        """A zone's proxies report on an endpoint; `took` is the mean time of acked ops, 0 for none."""
+        """A zone's proxies report on an endpoint over a period of length `span`.
+
+        `tries` counts ops sent and `aborted` those without an ack; `took` is the mean ack time, 0 for none.
+        """
         if endpoint in self.endpoints and tries > 0:
             self.endpoints[endpoint].add_sample((now, tries, aborted, took, span, zone))
 
     def on_slice_report(
         self, now: int, slice_id: int, op_type: str, ops: int, unanswered: int, span: int
     ) -> None:
-        """Proxies report the ops of one type to a slice over a period."""
+        """Proxies report the ops of one type to a slice over a period of length `span`."""
         if slice_id in self.slices:
             self.slices[slice_id].add_sample((now, ops, span, unanswered, op_type))
 
@@ -246,10 +261,10 @@
             known.sick_until = max(known.sick_until, until)
 
     def on_budgets(self, now: int, budgets: dict[str, float]) -> None:
-        """Takes this pilot's share of the fleet's budgets.
+        """Takes this pilot's share of the fleet's budgets, which replaces the previous one.
 
-        Values by endpoint say whether it may warm that endpoint, "*" stands for any other, "" is the number
-        of moves allowed at a time.
+        The value of an endpoint is nonzero where this pilot may assign slices to it while it is cold; "*"
+        stands for any other endpoint, and "" is the number of moves allowed at a time.
         """
         self.budgets = budgets
 
@@ -272,9 +287,10 @@
         e.phase = phase
 
     def _is_live(self, e: Endpoint, now: int) -> bool:
-        """Whether an endpoint is listed, or was dropped from the list and is still acking.
+        """Whether an endpoint is listed as in service, or was dropped from the list but still acks ops.
 
-        A grace period allows for reports on their way. Protects against a wrong or stale list.
+        A dropped endpoint without reports stays live for a window, since reports may be on their way. This
+        protects against a wrong or stale list.
         """
         if e.phase != "dropped":
             return e.phase == "on"
@@ -293,6 +309,7 @@
         return list(takewhile(lambda s: s[0] >= at, reversed(samples)))
 
     def _sorted_slices(self) -> list[Slice]:
+        """This pilot's slices by number."""
         if self.sorted_slices is None:
             self.sorted_slices = [s for _, s in sorted(self.slices.items())]
         return self.sorted_slices
@@ -300,6 +317,7 @@
     def _update_estimates(self, now: int) -> None:
         """Recomputes the fleet-wide estimates that decisions use."""
         self.inputs_changed, self.estimated_at, self.candidates = False, now, None
+        # Endpoints that may own slices, by name.
         self.live = [e for _, e in sorted(self.endpoints.items()) if self._is_live(e, now)]
         self.live_names = {e.name for e in self.live}
         self._update_path_penalties(now)
@@ -312,13 +330,16 @@
         self._update_slice_rates(now)
         self._remove_stale_endpoints(now)
         staying = {name for name in self.endpoints if not self._must_leave(name)}
+        # Slices whose line names an endpoint that must be left.
         self.leaving = sum([s.owner not in staying for s in self._sorted_slices() if s.has_line])
         self._update_capacities(now)
         self.mean_capacity = sum(e.capacity for e in self.live) / max(1, len(self.live))
         # Op rate per unit of capacity in an even distribution.
         self.fair_rate = sum(self.slice_rates.values()) / max(1e-9, self.mean_capacity * len(self.live))
+        # Slices of the fleet per slice of this pilot.
         self.fleet_slice_ratio = max(1.0, self.total_slices / max(1, len(self.slices)))
         received_ops = sum([s.ops for s in self._sorted_slices()])
+        # Reduces the budgets of cold endpoints while few of the ops that slices receive are acked.
         self.budget_scale = (
             max(
                 MIN_BUDGET_SCALE,
@@ -331,7 +352,8 @@
     def _update_slice_rates(self, now: int) -> None:
         """Recomputes the op rate of each slice and the total rate assigned to each endpoint.
 
-        Slices without reports get the mean rate.
+        Slices without reports get the mean rate. A tenth of the mean is added to each, so that slices
+        without ops count as well.
         """
         sorted_slices = self._sorted_slices()
         for s in sorted_slices:
@@ -374,7 +396,7 @@
             e.capacity = e.size * max(1 / MAX_SPEED_RATIO, min(MAX_SPEED_RATIO, speed))
 
     def _update_path_penalties(self, now: int) -> None:
-        """Finds paths between zones that lose or delay more ops than the best path to the same zone.
+        """Finds paths between zones that lose or delay ops far more than the best path to the same zone.
 
         The excess is not attributed to the endpoints, since no move or level would help. Endpoints that fail
         only for the zone with most of the traffic are therefore detected late.
@@ -401,9 +423,9 @@
             }
             best = min((t for _, t in by_origin.values() if t), default=0.0)
             for origin, (lost, took) in by_origin.items():
-                lost, late = lost - min(b for b, _ in by_origin.values()), took - best
-                if lost > PATH_LOSS_SHARE or late > PATH_DELAY_SHARE * self.min_target_latency:
-                    self.path_penalties[origin, zone] = (lost, max(0.0, late))
+                lost, delay = lost - min(b for b, _ in by_origin.values()), took - best
+                if lost > PATH_LOSS_SHARE or delay > PATH_DELAY_SHARE * self.min_target_latency:
+                    self.path_penalties[origin, zone] = (lost, max(0.0, delay))
                     self.path_penalties_to.setdefault(zone, []).append(
                         (origin, self.path_penalties[origin, zone])
                     )
@@ -438,7 +460,7 @@
         return e.newest_totals[2]
 
     def _sum_samples(self, samples: list[tuple], zone: str) -> tuple[int, float, float]:
-        """Tries, aborted ops and mean time of acked ops, less the penalties of their paths."""
+        """Tries, aborted ops and mean ack time of samples, less the penalties of their paths."""
         tries, aborted, acked, time = 0, 0.0, 0, 0.0
         for _, sample_tries, sample_aborted, took, _, origin in samples:
             loss, delay = self.path_penalties.get((origin, zone), (0.0, 0.0))
@@ -451,10 +473,10 @@
         return tries, aborted, time / acked if acked else 0.0
 
     def _detect_sick(self, now: int) -> None:
-        """Marks endpoints that abort most ops, quickly or with no acks, while their peers do not.
+        """Sets endpoints to sick that abort most ops, with fast acks or none, while their peers do not.
 
         Slow acks indicate overload, where moving every slice would overload the others. Endpoints already
-        marked count towards the limit, so that successive detections cannot empty the fleet.
+        sick count towards the limit, so that successive detections cannot empty the fleet.
         """
         totals = {e.name: self._newest_totals(e, now) for e in self.live if now >= e.sick_until}
         failing = [
@@ -499,7 +521,7 @@
         return e is None or e.phase in ("fading", "off")
 
     def _leave_reported_at(self, s: Slice) -> float:
-        """When the drain grace of a slice's owner began; infinite where the owner need not be left."""
+        """When the drain grace of a slice began; infinite where its owner need not be left."""
         e = self.endpoints.get(s.owner or "")
         return max(e.leave_reported_at, s.assigned_at) if e and self._must_leave(e.name) else math.inf
 
@@ -508,10 +530,10 @@
         return now >= self._leave_reported_at(s) + self.grace - self.channel.estimated_delay
 
     def _rate_limit(self, e: Endpoint, now: int) -> float:
-        """Op rate that this pilot may assign to an endpoint.
+        """Op rate that this pilot may assign to an endpoint: its fair share, or its budget while it is cold.
 
-        The budget of a cold endpoint belongs to a single pilot: divided among all it would not fit a single
-        slice.
+        The budget of a cold endpoint belongs to a single pilot: divided among all it would be too small for a
+        slice. It is 0 for the other pilots, and until a report covers the newest slice gained.
         """
         warmth = self._warmth(e, now)
         if warmth >= 1.0:
@@ -539,7 +561,7 @@
         )
 
     def _choose_within_limit(self, s: Slice, now: int) -> Optional[str]:
-        """Rendezvous choice among the live endpoints with spare capacity; None where there is none."""
+        """Rendezvous choice among the healthy endpoints with spare capacity; None where there is none."""
         rate, assigned_rates = self.slice_rates[s.number], self.assigned_rates
         if self.candidates is None:
             self.candidates = self._find_candidates(now)
@@ -552,7 +574,7 @@
         return max(scores)[1] if scores else None
 
     def _find_candidates(self, now: int) -> list[tuple[Endpoint, Optional[float]]]:
-        """Endpoints that may take slices, with their rate limits.
+        """Endpoints that are neither sick nor strained, with their rate limits.
 
         None stands for the limit of a cold endpoint, which changes as it gains slices.
         """
@@ -565,7 +587,8 @@
     def _choose_owner(self, s: Slice, now: int) -> Optional[str]:
         """Endpoint for a slice without an owner.
 
-        With no spare capacity it is the least loaded warm endpoint, otherwise a cold or sick one.
+        Where none has spare capacity it is the least loaded warm endpoint; without any, a cold one or
+        at last a sick one.
         """
         healthy = [e for e in self.live if now >= e.sick_until]
         warm = [e for e in healthy if self._warmth(e, now) >= 1.0] or healthy or self.live
@@ -600,10 +623,10 @@
     # ---- steps of a hand-over; each returns its decisions
 
     def _revoke(self, s: Slice, now: int, target: Optional[str], at_once: bool = False) -> list[tuple]:
-        """Closes a slice to writes, or removes its line where the owner is not sound or `at_once` is set.
+        """Closes a slice to writes, or removes its line where the owner is gone or sick, or `at_once` is set.
 
-        The line stays for the other op types: a pilot that takes over resets the levels, which aborts the
-        move.
+        A closed slice keeps its line for the other op types. Another pilot that takes the slice over resets
+        its levels, which aborts the hand-over.
         """
         s.state, s.state_since, s.target, s.mark, s.passed_at = REVOKING, now, target, self.mark, None
         old = self.endpoints[s.owner]
@@ -613,7 +636,7 @@
         return self._clear(s, now)
 
     def _clear(self, s: Slice, now: int) -> list[tuple]:
-        """Removes a slice's line."""
+        """Removes the line of a slice."""
         s.has_line, s.empty_since = False, now
         return [("line", s.number, s.owner, 0)]
 
@@ -645,17 +668,17 @@
         return lines
 
     def _restore_closed_line(self, s: Slice) -> list[tuple]:
-        """Assigns the former owner again with every op type closed, while proxies may still write to it.
+        """Sets the former owner's line again with every op type closed, while proxies may still write to it.
 
-        Keeps the slice from being without a line for as long as the slowest proxy takes. A pilot that takes
-        over opens the levels for the only endpoint that may have writes in flight.
+        Bounds the time without a line where a proxy is slow to stop. It is safe if another pilot takes over
+        and opens the levels, since no other endpoint may have writes in flight.
         """
         self.counts.lines_held += 1
         s.line_restored = s.all_closed = True
         return [("level", s.number, ALL_OP_TYPES, 0, self.retries), ("line", s.number, s.owner, 1)]
 
     def _needs_restored_line(self, s: Slice, now: int) -> bool:
-        """Whether a slice has been without a line for as long as a hand-over may take."""
+        """Whether a slice has been without a line for `hand_over_timeout` and can be held."""
         return (
             self.can_close_writes
             and s.owner in self.endpoints
@@ -664,10 +687,14 @@
         )
 
     def _empty_too_long(self, s: Slice, now: int) -> bool:
+        """Whether a slice has been without a line for `hand_over_timeout`."""
         return not s.has_line and now - s.empty_since >= self.hand_over_timeout
 
-    def _may_return(self, s: Slice, now: int) -> bool:
-        """Whether a sound owner keeps the slice: the target is unfit, or proxies take too long to stop."""
+    def _should_abort_hand_over(self, s: Slice, now: int) -> bool:
+        """Whether a slice should go back to its former owner, which is fit and warm.
+
+        The target is unfit or missing, or proxies take too long to stop.
+        """
         if not s.owner or self._is_unfit(s.owner, now) or not (s.has_line or s.state == SETTLING):
             return False
         stalled = s.state == REVOKING and now - s.state_since >= self.hand_over_timeout
@@ -678,7 +705,8 @@
     def _due(self, now: int) -> list[tuple[int, int, str, Optional[str]]]:
         """Steps that are due, as (urgency, slice, step, endpoint), the most urgent first.
 
-        Urgency 0: required by a rule; 1: grants; 2: other revokes.
+        Urgency 0: required by a rule; 1: grants, and revokes from endpoints that must be left; 2: other
+        revokes. Also advances the states of slices whose proxies have stopped or whose ops have settled.
         """
         due: list[tuple[int, int, str, Optional[str]]] = []
         stopped: dict[tuple, Optional[int]] = {}  # by batch of the revoke
@@ -693,7 +721,7 @@
             if s.state == REVOKING:
                 batch = (s.mark, s.state_since, s.assigned_at)
                 if batch not in stopped:
-                    stopped[batch] = self.stops.stopped(s, now)
+                    stopped[batch] = self.stops.last_stop_time(s, now)
                 if (stopped_at := stopped[batch]) is not None:
                     s.state, s.state_since = SETTLING, stopped_at
             if s.state == SETTLING and now >= s.state_since + self.settle_time:
@@ -707,7 +735,7 @@
             elif s.state in (REVOKING, SETTLING):
                 if s.has_line and overdue:
                     due.append((0, number, "clear", None))
-                elif self._may_return(s, now):
+                elif self._should_abort_hand_over(s, now):
                     due.append((1, number, "grant", s.owner))  # aborts the move
                 elif self._needs_restored_line(s, now):
                     due.append((0, number, "hold", None))
@@ -718,7 +746,7 @@
         )
 
     def _cold_excess(self, now: int) -> list[tuple[int, int, str, Optional[str]]]:
-        """Steps that remove the slices beyond a restarted owner's budget."""
+        """Shed steps for the slices of cold endpoints that exceed their budgets."""
         due = []
         for e in self.live:
             warmth = self._warmth(e, now)
@@ -735,9 +763,9 @@
     # ---- rebalancing and the admission level
 
     def _current_moves(self, now: int) -> list[tuple[int, int, str, Optional[str]]]:
-        """Planned moves that still apply.
+        """Planned moves that still apply, after a check where one is due.
 
-        A move that does not fit the channel stays planned, so that the checks that led to it are not lost.
+        A move that does not fit the channel stays planned, so that the endpoint need not be found hot again.
         """
         if now >= self.next_check_at:
             self._plan_moves(now)
@@ -751,7 +779,7 @@
         ]
 
     def _plan_moves(self, now: int) -> None:
-        """Plans the moves that may go out until the next check."""
+        """Runs a check: updates the admission level and plans the moves until the next check."""
         self.counts.record_check(now)
         self.next_check_at = now + self.check_interval
         self._set_level([self.endpoint_totals[e.name] for e in self.live if now >= e.sick_until])
@@ -819,15 +847,15 @@
                     moves += 1
 
     def _mean_time(self, e: Endpoint, now: int) -> Optional[float]:
-        """Mean time of an op, from reports on periods after the last move; None without any.
+        """Mean time of an op, from periods after its slices last changed; None without reports.
 
-        An aborted op counts as an op timeout.
+        An aborted op counts with the longest op timeout.
         """
         tries, aborted, took = self._window_totals(e, now, e.slices_changed_at + MAX_REPORT_DELAY)
         return ((tries - aborted) * took + aborted * self.max_op_timeout) / tries if tries else None
 
     def _is_strained(self, totals: tuple[int, int, float]) -> bool:
-        """Whether an endpoint is slow or aborts more than its peers, and so is worth a hand-over."""
+        """Whether an endpoint is slow, or aborts a larger share of ops than its peers."""
         tries, aborted, took = totals
         return (
             tries > 0
@@ -887,24 +915,24 @@
             self.mark = (self.mark - 1) % MARK_MODULUS  # nothing fitted: reuses the unsent mark
 
     def _needs_barrier(self, revoked: Collection[Slice], now: int) -> bool:
-        """Whether to send a mark alone.
+        """Whether a mark is needed even without lines, so that awaited proxies can acknowledge a revoke.
 
-        Applies to proxies that joined since the last one, and where an acknowledgement may have been lost.
+        Applies to proxies that joined since the last one, and to all where an acknowledgement may be lost.
         """
         if now - self.channel.sent_at >= self.ack_timeout:
             asked: Iterable[Proxy] = (proxy for proxy in self.proxies.values() if proxy.joined)
         else:
             asked = (self.proxies[number] for number in self.unmarked_proxies)
-        return any(self.stops.stop(proxy, s) is None for proxy in asked for s in revoked)
+        return any(self.stops.proxy_stop_time(proxy, s) is None for proxy in asked for s in revoked)
 
     def _line_count_due(self, due: list[tuple]) -> int:
-        """Lines per proxy of a batch with all required steps and grants, its mark included."""
+        """Lines per proxy of a batch with all steps of urgency 0 and 1, its mark included."""
         return 1 + sum(
             self._line_count(step, self.slices[number]) for urgency, number, step, _ in due if urgency <= 1
         )
 
     def _line_count(self, step: str, s: Slice) -> int:
-        """Most lines per proxy that `_apply_step` returns for a step."""
+        """Upper bound of the decisions that `_apply_step` returns for a step."""
         if step == "hold":
             return 2
         if step != "grant":
@@ -912,7 +940,7 @@
         return 1 + s.writes_closed + s.all_closed + (s.has_line and not self.single_owner)
 
     def _apply_step(self, step: str, s: Optional[Slice], name: Optional[str], now: int) -> list[tuple]:
-        """Carries out a step and returns its decisions."""
+        """Carries out a step, see the module docstring, and returns its decisions."""
         if step == "level":
             self.level_sent = self.level
             return [("level", ALL_TABLES, 0, round(self.level, 3), self.retries)]
@@ -931,7 +959,7 @@
         return self._grant(s, now, owner) if owner else []
 
     def _install_tables(self, now: int) -> None:
-        """Installs tables at sites without slices.
+        """Decides on tables and their installation, in deployments without slices.
 
         One table serves all zones, or each zone has its own where an op type must stay in its zone.
         """
--- a/cedarshift/diagnostics.py
+++ b/cedarshift/diagnostics.py
@@ -9,7 +9,7 @@
 from enum import StrEnum
 from typing import NamedTuple
 
-PROXIES_SHOWN = 3  # per hand-over in a log line
+PROXIES_SHOWN = 3  # awaited proxies listed per hand-over in the log
 
 
 class NoMoveReason(StrEnum):
@@ -25,9 +25,9 @@
     """A hand-over under way. Times are in 0.1 ms."""
 
     slice_id: int
-    step: str  # state of the slice
-    age: int  # since the state began
-    without_line: int  # since the table names no owner; 0 where it names one
+    step: str  # state of the slice, see `cedarshift.observations`
+    age: int  # of the state
+    without_line: int  # how long the table has named no owner; 0 where it names one
 
     def fields(self, awaited: list[int]) -> dict[str, object]:
         """Fields of the log line. `awaited`: proxies that may still write to the former owner."""
@@ -43,14 +43,14 @@
 
 @dataclass
 class DecisionCounts:
-    """Counts since the start; times are in 0.1 ms."""
+    """Counts since the start of the pilot; times are in 0.1 ms."""
 
-    checks: int = 0
-    longest_check_gap: int = 0
+    checks: int = 0  # of the rebalancer
+    longest_check_gap: int = 0  # between two checks
     waits_for_acks: int = 0  # batches postponed until acknowledgements arrive
-    moves_without_room: int = 0  # planned moves that did not fit the channel
-    barrier_only_turns: int = 0  # batches without any line
-    lines_held: int = 0  # lines restored to former owners, closed, in slow hand-overs
+    moves_without_room: int = 0  # moves postponed since they did not fit the channel
+    barrier_only_turns: int = 0  # batches without lines or levels, a barrier alone
+    lines_held: int = 0  # lines restored to former owners, with all op types closed
     last_check_at: int | None = None
 
     def record_check(self, now: int) -> None:
@@ -61,7 +61,7 @@
         self.checks += 1
 
     def record_batch(self, has_lines: bool) -> None:
-        """Counts a batch that is sent."""
+        """Counts a batch that is sent, where it is a barrier alone."""
         self.barrier_only_turns += not has_lines
 
     def fields(self) -> dict[str, int]:
--- a/cedarshift/judge/chance.py
+++ b/cedarshift/judge/chance.py
@@ -1,4 +1,4 @@
-"""Deterministic random numbers for decisions."""
+"""Deterministic pseudo-random numbers for decisions."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class Lcg:
-    """Linear congruential generator with Knuth's MMIX constants; returns the high bits.
+    """Linear congruential generator with Knuth's MMIX constants; uses the high bits of its state.
 
     A seed gives the same numbers on every platform.
     """
--- a/cedarshift/judge/order_channel.py
+++ b/cedarshift/judge/order_channel.py
@@ -1,8 +1,12 @@
 """Flow control of the order channel: when a batch may be sent, and how large it may be. No I/O, no clock.
 
 A batch becomes one message per proxy, which counts its lines and a header. Messages leave one after the other
-at the configured rate. The lines of a batch count as waiting until it or a later batch is acknowledged, or
-until no acknowledgement is outstanding.
+at the configured rate. The lines of a batch count as waiting until each proxy has acknowledged it, any proxy
+has acknowledged a later batch, or no acknowledgement is outstanding.
+
+A barrier is the mark at the end of a batch, which a proxy acknowledges. `joined` is the number of proxies
+that the channel serves. Urgencies are those of the steps of a hand-over: 0 required by a rule, 1 grants
+and revokes of endpoints that must be left, 2 other revokes, 3 moves and levels.
 """
 
 from __future__ import annotations
@@ -16,12 +20,12 @@
 from cedarshift.judge.write_stops import precedes
 
 # Shares are fractions of the lines that may wait in the channel. Durations are in units of 0.1 ms.
-WAITING_SHARES = (0.95, 0.9, 0.6, 0.5)  # by urgency, so that a drain finds room
-RESERVED_LINES = 3  # per proxy that a move leaves free: a revoke, a clear and a grant
-GATHER_SHARE = 0.15  # above it, a batch waits for room for all that is due
+WAITING_SHARES = (0.95, 0.9, 0.6, 0.5)  # limit by urgency; leaves room for urgent steps
+RESERVED_LINES = 3  # per proxy, kept free for a further batch: a revoke, a clear and a grant
+GATHER_SHARE = 0.15  # waiting lines above which a batch is postponed until all its lines fit
 MAX_ACK_PAUSE = 5_000  # longest pause in which acknowledgements count as arriving
 HEADER_GAP_FACTOR = 1.25  # shortest gap between batches, as a multiple of the time for their headers
-SECOND = 10_000
+SECOND = 10_000  # in units of 0.1 ms
 
 
 @dataclass
@@ -29,16 +33,16 @@
     """Orders sent together that may still be in the channel. Line counts include headers."""
 
     barrier: int
-    ordered_at: int
-    waiting: float  # lines to all proxies
-    lines: float  # of one proxy's message
+    ordered_at: int  # 0.1 ms
+    waiting: float  # lines to all proxies that have not acknowledged it
+    lines: float  # of each proxy's message
 
 
 class OrderChannel:
-    """Batches in the channel and the capacity that is left."""
+    """Batches that may still be in the channel, and the limits on further ones. Times are in 0.1 ms."""
 
     def __init__(self, config: DecisionConfig) -> None:
-        self.header_lines = config.lines_per_message + 1  # every message has a barrier
+        self.header_lines = config.lines_per_message + 1  # of a message, barrier included
         self.max_waiting = config.lines_waiting_most or math.inf
         self.time_per_line = SECOND / config.lines_per_s if config.lines_per_s else 0.0
         self.min_interval = (
@@ -46,22 +50,22 @@
         )
         self.unacknowledged: deque[Batch] = deque()  # oldest first
         self.sent_at = -math.inf  # when the last batch was sent
-        self.free_at = 0.0  # when the channel is empty, at the configured rate
-        self.last_ack_latency = 0  # from an order to its effect, by the newest acknowledgement
-        self.estimated_delay = 0.0  # of a batch sent now
+        self.free_at = 0.0  # when all batches have left the channel, at the configured rate
+        self.last_ack_latency = 0  # from the sending of a batch to its effect, by the newest acknowledgement
+        self.estimated_delay = 0.0  # set by `estimate_delay`
 
     # ---- rate
 
     def min_gap(self, joined: int) -> float:
-        """Shortest time between two batches to a number of proxies."""
+        """Shortest time between two batches."""
         return max(self.min_interval, HEADER_GAP_FACTOR * self._header_time(joined))
 
     def ready(self, now: int, joined: int) -> bool:
-        """Whether a batch may be sent now."""
+        """Whether the rate limits allow a batch now: the channel is empty and the gap has passed."""
         return now >= max(self.sent_at + self.min_gap(joined), self.free_at)
 
     def estimate_delay(self, now: int, joined: int, leaving: int) -> None:
-        """Estimates how long a batch sent now waits, with a line for each of the `leaving` slices."""
+        """Sets `estimated_delay`: how long a batch sent now waits, with a line for `leaving` slices."""
         self.estimated_delay = (
             max(0, self.free_at - now)
             + self._header_time(joined)
@@ -76,11 +80,11 @@
     # ---- capacity
 
     def waiting(self) -> float:
-        """Lines that may still wait in the channel."""
+        """Number of lines that may still wait in the channel, to all proxies."""
         return sum(batch.waiting for batch in self.unacknowledged)
 
     def fits(self, urgency: int, joined: int, lines: int) -> bool:
-        """Whether a batch of `lines` lines may grow by a step of an urgency.
+        """Whether the channel has room to add a step of an urgency to a batch that has `lines` lines.
 
         Where the headers of a single batch exceed a share, all but the room for one further batch may be
         used; otherwise nothing could be sent while a batch is unacknowledged.
@@ -98,10 +102,10 @@
         return self.waiting() + joined * self.header_lines <= WAITING_SHARES[1] * self.max_waiting
 
     def must_wait_for_acks(self, now: int, joined: int, lines: int, last_ack_heard_at: int) -> bool:
-        """Whether to wait for room while acknowledgements arrive, the newest at `last_ack_heard_at`.
+        """Whether to postpone a batch of `lines` lines until acknowledgements make room for all of it.
 
-        In a channel slower than configured, batches of a line each would fill it with headers and delay
-        drains.
+        Applies only while acknowledgements arrive, the newest at `last_ack_heard_at`. Without the wait, a
+        channel slower than configured fills with the headers of small batches, which delays drains.
         """
         waiting = self.waiting()
         return (
@@ -113,21 +117,21 @@
     # ---- batches
 
     def send(self, now: int, barrier: int, joined: int, lines: int) -> None:
-        """Records that a batch of `lines` lines, its barrier included, was sent."""
+        """Records a batch sent now with `lines` lines per proxy, its barrier included."""
         each = self.header_lines + lines - 1
         self.unacknowledged.append(Batch(barrier, now, joined * each, each))
         self.free_at = max(now, self.free_at) + joined * each * self.time_per_line
         self.sent_at = now
 
     def find_batch(self, barrier: int) -> Optional[Batch]:
-        """The batch that ends in a barrier; None where it is known to have left."""
+        """The batch that ends in a barrier; None where it is no longer counted as waiting."""
         return next((one for one in self.unacknowledged if one.barrier == barrier), None)
 
     def discard_before(self, barrier: int) -> None:
-        """Removes the batches before an acknowledged one: the channel keeps their order."""
+        """Removes the batches before an acknowledged one, since the channel delivers in order."""
         while self.unacknowledged and precedes(self.unacknowledged[0].barrier, barrier):
             self.unacknowledged.popleft()
 
     def discard_all(self) -> None:
-        """Removes all batches where no acknowledgement is outstanding."""
+        """Removes all batches, once no acknowledgement is outstanding."""
         self.unacknowledged.clear()
--- a/cedarshift/judge/write_stops.py
+++ b/cedarshift/judge/write_stops.py
@@ -1,8 +1,8 @@
 """Determines when proxies have stopped writing to the former owner of a slice. No I/O; time is passed in.
 
-A slice is revoked by a batch of orders that ends in a numbered barrier. A proxy has stopped once one of the
-following is proved. A proof stays valid: a proxy never goes back behind tables that it has applied, or that
-it must read before it writes.
+A slice is revoked by a batch of orders that ends in a numbered barrier, the mark of the slice. A proxy has
+stopped once one of the following is proved. A proof stays valid: a proxy never goes back behind tables that
+it has applied, or that it must read before it writes.
 
 1. It acknowledged the revoke's barrier or a later one, in any stream. 2. Its stream broke a lease ago, and it
 has not joined since. 3. It joined after an absence of a lease, when the store held the revoke, which it reads
@@ -22,10 +22,10 @@
 
 # Durations are in units of 0.1 ms.
 BARRIER_MODULUS = 65536  # barrier numbers wrap around
-ACK_RETENTION = 6_000_000  # of an absent proxy; later, barrier numbers may have wrapped around
+ACK_RETENTION = 6_000_000  # of an absent proxy's barriers; later, numbers may have wrapped around
 MAX_READ_DELAY = 10_000  # from joining to reading the store, by the protocol
 NEVER = -(1 << 62)  # before any time
-MAX_PASSED_BARRIERS = 1024  # a minute of batches has about 200
+MAX_PASSED_BARRIERS = 1024  # kept; covers several minutes of batches
 
 
 def precedes(a: int, b: int) -> bool:
@@ -34,23 +34,24 @@
 
 
 class PassedBarrier(NamedTuple):
-    """A barrier up to which all messages had left the channel at a time."""
+    """All messages up to a barrier had left the channel by a time."""
 
     barrier: int
-    at: int
+    at: int  # 0.1 ms
 
 
 class WriteStops:
-    """Streams and acknowledgements of the proxies. Durations are in 0.1 ms."""
+    """Streams and acknowledgements of the proxies, and when they stopped writing. Times are in 0.1 ms."""
 
     def __init__(self, lease: int, max_transit: int) -> None:
         self.lease = lease
+        # Silence after which a proxy in an open stream must have applied or lost its message.
         self.silence_timeout = max(max_transit, MAX_READ_DELAY) + lease + MAX_READ_DELAY
         self.proxies: dict[int, Proxy] = {}
         # Newest barrier acknowledged by any proxy; the store holds all up to it.
         self.newest_barrier: Optional[int] = None
-        self.last_ack_heard_at = NEVER  # when the newest acknowledgement was received
-        self.passed: deque[PassedBarrier] = deque(maxlen=MAX_PASSED_BARRIERS)
+        self.last_ack_heard_at = NEVER  # when a new acknowledgement was last received
+        self.passed: deque[PassedBarrier] = deque(maxlen=MAX_PASSED_BARRIERS)  # oldest first
 
     # ---- inputs
 
@@ -58,7 +59,7 @@
         """A proxy's stream is established."""
         previous = self.proxies.get(number)
         if previous is not None and previous.joined:
-            self._confirm_silent(previous)  # its break was not reported
+            self._record_silence_proof(previous)  # its break was not reported
         if previous is not None and not previous.joined and now - previous.left_at > ACK_RETENTION:
             previous.acked = previous.read_barrier = None
         proxy = self.proxies[number] = Proxy(zone, now, previous)
@@ -73,11 +74,14 @@
         """A proxy's stream has broken."""
         proxy = self.proxies.get(number)
         if proxy is not None and proxy.joined:
-            self._confirm_silent(proxy)
+            self._record_silence_proof(proxy)
             proxy.joined, proxy.left_at = False, now
 
     def on_ack(self, now: int, proxy: Proxy, barrier: int, in_force_at: int) -> bool:
-        """Records an acknowledgement; False where it is not newer, since a batch may be carried out twice."""
+        """Records an acknowledgement of orders in force since a time; returns False where it is not new.
+
+        A batch may be carried out twice and then is acknowledged twice.
+        """
         if not proxy.joined or proxy.acked is not None and not precedes(proxy.acked, barrier):
             return False
         proxy.acked, proxy.acked_at = barrier, in_force_at
@@ -89,22 +93,22 @@
 
     # ---- proofs
 
-    def stopped(self, revoked: Slice, now: int) -> Optional[int]:
-        """When the last proxy stopped; None while one may still write.
+    def last_stop_time(self, revoked: Slice, now: int) -> Optional[int]:
+        """When the last proxy stopped writing to a slice's former owner; None while one may still write.
 
-        No proxy keeps a slice for longer than a lease after it was assigned to another pilot.
+        No proxy uses the tables of a former pilot for longer than a lease after the slice was reassigned.
         """
         ends = [revoked.state_since, revoked.assigned_at + self.lease]
         if revoked.mark is not None:
             for proxy in self.proxies.values():
-                end = self.stop(proxy, revoked)
+                end = self.proxy_stop_time(proxy, revoked)
                 if end is None:
                     return None
                 ends.append(end)
         return max(ends) if max(ends) <= now else None
 
-    def stop(self, proxy: Proxy, revoked: Slice) -> Optional[int]:
-        """When a proxy stopped or will have stopped; None where that is not known."""
+    def proxy_stop_time(self, proxy: Proxy, revoked: Slice) -> Optional[int]:
+        """When a proxy stopped or will have stopped writing to a revoked slice; None without a proof."""
         assert revoked.mark is not None, "a slice that was not revoked has no barrier"
         if proxy.acked is not None and not precedes(proxy.acked, revoked.mark):
             return proxy.acked_at
@@ -117,14 +121,18 @@
             return away
         if not proxy.joined:
             return proxy.left_at + self.lease
-        silent = self._silent_end(proxy, revoked)
+        silent = self._silent_stop_time(proxy, revoked)
         return silent if silent is not None and silent <= self.last_ack_heard_at else None
 
     def awaited(self, revoked: Slice) -> Iterable[int]:
         """Numbers of the proxies that may still write to the former owner."""
-        return (number for number, proxy in sorted(self.proxies.items()) if self.stop(proxy, revoked) is None)
+        return (
+            number
+            for number, proxy in sorted(self.proxies.items())
+            if self.proxy_stop_time(proxy, revoked) is None
+        )
 
-    def _silent_end(self, proxy: Proxy, revoked: Slice) -> Optional[int]:
+    def _silent_stop_time(self, proxy: Proxy, revoked: Slice) -> Optional[int]:
         """When a proxy that is silent in an open stream must have stopped.
 
         None while its message may still be in the channel.
@@ -141,8 +149,8 @@
             return None
         return next(one.at for one in self.passed if not precedes(one.barrier, barrier))
 
-    def _confirm_silent(self, proxy: Proxy) -> None:
-        """Records what the silence of a stream that ends has proved."""
+    def _record_silence_proof(self, proxy: Proxy) -> None:
+        """Records the newest barrier that proof 4 covers for a proxy whose stream ends."""
         until = self.last_ack_heard_at - self.silence_timeout
         proved = next((one for one in reversed(self.passed) if one.at <= until), None)
         if proved is None or proxy.joined_at > until:
--- a/cedarshift/observations.py
+++ b/cedarshift/observations.py
@@ -10,9 +10,11 @@
 
 from cedarshift.diagnostics import NoMoveReason
 
-MAX_SAMPLES = 48  # per endpoint or slice: a window of reports from several zones
-MOVE_COOLDOWN = 200_000  # 0.1 ms
+MAX_SAMPLES = 48  # kept per endpoint or slice: a window of reports from several zones
+MOVE_COOLDOWN = 200_000  # 0.1 ms, between two moves of a slice
 
+# States of a slice, in the order of a hand-over: OWNED; REVOKING, while proxies may still write to the former
+# owner; SETTLING, while their last ops may be in flight; EMPTY, which may be granted.
 OWNED, REVOKING, SETTLING, EMPTY = "owned", "revoking", "settling", "empty"
 
 
@@ -25,7 +27,7 @@
     def __init__(self) -> None:
         self.samples: deque = deque(maxlen=MAX_SAMPLES)
         self.window_count = 0  # newest samples that are in the window
-        self.totals_valid_until = -math.inf  # if no more samples come
+        self.totals_valid_until = -math.inf  # until then no sample leaves the window
 
     def add_sample(self, sample: tuple) -> None:
         """Adds a sample, whose first field is the time it was received."""
@@ -54,23 +56,23 @@
 
     def __init__(self, name: str) -> None:
         self.reset()
-        self.name, self.phase, self.size, self.zone = name, "on", 1.0, ""
-        self.capacity = 1.0  # listed size scaled by speed
+        self.name, self.phase, self.size, self.zone = name, "on", 1.0, ""  # phases: see `Pilot._set_phase`
+        self.capacity = 1.0  # listed size scaled by measured speed
         self.started: Optional[int] = None  # None: started long ago
         self.leave_reported_at = 0  # when it was reported draining or gone
+        # Until when it counts as sick, times it was detected as sick, consecutive checks that found it hot.
         self.sick_until, self.sick_count, self.hot_checks = 0, 0, 0
-        self.slices_changed_at, self.slice_gained_at = (
-            0,
-            0,
-        )
-        self.has_cold_budget: Optional[bool] = None  # of this pilot; None: not decided
-        self.no_move_reason: Optional[NoMoveReason] = None  # of the newest check
+        self.slices_changed_at, self.slice_gained_at = 0, 0
+        # Whether this pilot is the one that may assign slices to it while it is cold, unless budgets say
+        # otherwise; None: not computed yet.
+        self.has_cold_budget: Optional[bool] = None
+        self.no_move_reason: Optional[NoMoveReason] = None  # of the newest check; None: not hot, or moved
 
     def reset(self) -> None:
         """Drops all samples."""
         SampleWindow.__init__(self)
-        self.totals_by_origin: dict[str, list[int]] = {}  # tries, aborted, acked, their time
-        self.totals, self.max_span = [0, 0, 0, 0], 0  # over all origins; the longest period of a sample
+        self.totals_by_origin: dict[str, list[int]] = {}  # tries, aborted, acked, sum of ack times
+        self.totals, self.max_span = [0, 0, 0, 0], 0  # sums over all origins; longest period of a sample
         self.ack_times: list[int] = []  # sorted, of all samples
         self.newest_totals: Optional[tuple] = None  # cache: (valid until, path penalties, totals)
 
@@ -94,7 +96,7 @@
 
 
 class Proxy:
-    """A proxy that is joined or has left.
+    """A proxy that is joined (its stream is open) or has left.
 
     Barriers proved in an earlier stream stay valid: a proxy reads the store as it joins, so it never goes
     back to older tables.
@@ -102,15 +104,16 @@
 
     def __init__(self, zone: str, now: int, old: Optional[Proxy]) -> None:
         self.zone, self.joined, self.left_at, self.joined_at = zone, True, 0, now
-        self.acked = old.acked if old else None  # newest barrier acknowledged
+        self.acked = old.acked if old else None  # newest barrier acknowledged or proved
         self.acked_at = old.acked_at if old else 0  # when that barrier took effect at the proxy
+        # Start of the absence that ended with this join; 0 at the first join.
         self.absent_since = 0 if not old else now if old.joined else old.left_at
         # The newest barrier that the store held for certain when the proxy last came back after a lease or
         # more, since when it had been absent, and when it joined.
         self.read_barrier: Optional[int] = old.read_barrier if old else None
         self.read_absent_since = old.read_absent_since if old else 0
         self.read_joined_at = old.read_joined_at if old else 0
-        self.table: Optional[int] = None  # installed table, at sites without slices
+        self.table: Optional[int] = None  # installed table, in deployments without slices
 
 
 class Slice(SampleWindow):
@@ -118,26 +121,29 @@
 
     def __init__(self, number: int, now: int) -> None:
         super().__init__()
-        self.ops, self.span = 0, 0
+        self.ops, self.span = 0, 0  # totals over the window: ops, length of the periods
         self.rate: Optional[float] = None  # ops per 0.1 ms; None without samples
         self.number, self.assigned_at, self.state_since = number, now, now
         self.state, self.owner, self.target = EMPTY, None, None
-        self.has_line = False  # the store's table names the owner
+        self.has_line = False  # the table names the owner, and its line was not restored
         self.empty_since = now  # since when the table names no owner
         self.writes_closed = False  # op types that write are at level 0
-        self.mark: Optional[int] = None  # barrier of the revoke; None: only the lease is awaited
-        self.passed_at: Optional[int] = None  # when a later barrier was first acknowledged
+        self.mark: Optional[int] = None  # barrier of the revoke; None: not revoked, only the lease is awaited
+        self.passed_at: Optional[int] = None  # when the revoke had left the channel; None: not known
         self.line_restored = False  # the table names the former owner again
         self.all_closed = False  # every op type is at level 0, until the grant
         self.moved_at = -MOVE_COOLDOWN
 
     def accumulate(self, sample: tuple, sign: int) -> None:
-        """Adds a sample to the totals, or subtracts it where `sign` is -1."""
+        """Adds a sample's ops and period to the totals, or subtracts them where `sign` is -1."""
         self.ops += sign * sample[1]
         self.span += sign * sample[2]
 
 
 def rendezvous(endpoint: str, number: int, weight: float) -> float:
-    """Weighted rendezvous hash score; a keyed digest, since Python's hash() differs between processes."""
+    """Weighted rendezvous hash score of an endpoint for a slice; the highest score wins.
+
+    Uses a digest, since Python's hash() differs between processes.
+    """
     h = int.from_bytes(blake2b(f"{endpoint}/{number}".encode(), digest_size=8).digest(), "big")
     return -weight / math.log(((h >> 11) + 1) / (2**53 + 2))
--- a/cedarshift/sim/planted.py
+++ b/cedarshift/sim/planted.py
@@ -69,8 +69,8 @@
 
 
 def _stops(change: Callable[[Any, Any, Any, Optional[int]], Optional[int]]) -> Patches:
-    stop = WriteStops.stop
-    return [(WriteStops, "stop", lambda self, p, s: change(self, p, s, stop(self, p, s)))]
+    stop = WriteStops.proxy_stop_time
+    return [(WriteStops, "proxy_stop_time", lambda self, p, s: change(self, p, s, stop(self, p, s)))]
 
 
 def _given_empty() -> Patches:
--- a/cedarshift/wirehost/__main__.py
+++ b/cedarshift/wirehost/__main__.py
@@ -1,4 +1,9 @@
-"""Runs pilots for the simulator: events as JSON lines on standard input, decisions on standard output."""
+"""Runs decision modules for the simulator, by JSON lines on standard input and output.
+
+A "tick" line sets the time. The lines after it report events to the named pilots, and "flush" requests the
+decisions of those pilots, which are answered with a line each and a final "done". The protocol calls a proxy
+a forwarder, a slice a set, a zone a hall and a mark a seal; an endpoint list is a roster.
+"""
 
 from __future__ import annotations
 
@@ -16,7 +21,7 @@
     """An input line that the protocol does not allow."""
 
 
-def entry(raw: dict) -> Entry:
+def decode_entry(raw: dict) -> Entry:
     """Decodes an endpoint of the list."""
     started = raw.get("since_ns")
     return Entry(
@@ -29,13 +34,16 @@
 
 
 class Host:
-    """The pilots of one process, by name."""
+    """Decision modules by the name of their pilot."""
 
     def __init__(self) -> None:
         self.pilots: dict[str, Pilot] = {}
 
-    def feed(self, now: int, name: str, command: str, message: dict) -> None:
-        """Passes an event to a pilot. Raises Malformed for an unknown pilot or command."""
+    def handle_event(self, now: int, name: str, command: str, message: dict) -> None:
+        """Creates or removes a pilot, or passes it an event.
+
+        Raises Malformed for an unknown pilot or command.
+        """
         if command == "spawn":
             self.pilots[name] = Pilot(parse_terms(message.get("prng"), message.get("env") or {}))
             return
@@ -76,12 +84,12 @@
         elif command == "held":
             pilot.on_stored_owner(now, message["set_id"], message["endpoint"])
         elif command == "roster_change":
-            pilot.on_list(now, message["kind"], [entry(e) for e in message.get("elements") or []])
+            pilot.on_list(now, message["kind"], [decode_entry(e) for e in message.get("elements") or []])
         elif command not in ("ingress", "probed", "memo"):
             raise Malformed(f"unknown cmd {command!r}")
 
     @staticmethod
-    def line(name: str, decision: tuple) -> dict:
+    def encode_decision(name: str, decision: tuple) -> dict:
         """Encodes a decision of a pilot."""
         verb = decision[0]
         if verb == "line":
@@ -111,7 +119,10 @@
 
 
 def serve(source: Any, sink: Any) -> None:
-    """Answers each batch of events until the input ends. Raises Malformed."""
+    """Answers each flush until the input ends.
+
+    Raises Malformed for an invalid line. A fault of the decision module is answered by a "broken" line.
+    """
     host, now, touched, broken = Host(), None, [], {}
     for raw in source:
         try:
@@ -130,7 +141,7 @@
             if name not in touched:
                 touched.append(name)
             try:
-                host.feed(now, name, command, message)
+                host.handle_event(now, name, command, message)
             except Malformed:
                 raise
             except Exception as e:  # a fault of the decision module is reported in the reply
@@ -143,7 +154,7 @@
             pilot = host.pilots.get(name)
             try:
                 if name not in broken and pilot:
-                    reply.extend(host.line(name, d) for d in pull_decisions(pilot, now))
+                    reply.extend(host.encode_decision(name, d) for d in pull_decisions(pilot, now))
             except Exception as e:
                 broken[name] = f"{type(e).__name__}: {e}"
             if name in broken:
@@ -153,7 +164,7 @@
 
 
 def _from_host(error: BaseException) -> bool:
-    """Whether an exception was raised in this file, while reading a line, and not in the decision module."""
+    """Whether an exception was raised in this file, by a malformed line, and not in the decision module."""
     traceback = error.__traceback__
     while traceback and traceback.tb_next:
         traceback = traceback.tb_next
@@ -161,6 +172,7 @@
 
 
 def main() -> int:
+    """Serves standard input and output; returns the exit code."""
     try:
         serve(sys.stdin.buffer, sys.stdout.buffer)
     except Malformed as e:
--- a/tests/test_brain.py
+++ b/tests/test_brain.py
@@ -36,7 +36,7 @@
         p.on_leave(100_000, proxy)
     for proxy in acks:
         p.on_ack(100_000, proxy, p.mark, 10)
-    assert (p.stops.stopped(p.slices[0], 100_000 + after) is not None) is stopped
+    assert (p.stops.last_stop_time(p.slices[0], 100_000 + after) is not None) is stopped
 
 
 def test_a_proxy_that_joins_during_a_revoke_is_awaited():
@@ -44,12 +44,12 @@
     p.on_join(100_500, 2, "z")
     for proxy in (0, 1):
         p.on_ack(101_000, proxy, p.mark, 10)
-    assert None is p.stops.stopped(p.slices[0], 101_000)
+    assert None is p.stops.last_stop_time(p.slices[0], 101_000)
     mark = p.mark
     decisions(p, 101_500)
     assert p.mark == mark + 1
     p.on_ack(102_000, 2, p.mark, 10)
-    assert p.stops.stopped(p.slices[0], 102_000) is not None
+    assert p.stops.last_stop_time(p.slices[0], 102_000) is not None
 
 
 @pytest.mark.parametrize(
@@ -77,7 +77,7 @@
     ]
     for _, _, event in sorted(events, key=lambda e: e[:2]):
         event()
-    assert p.stops.stop(p.proxies[1], p.slices[0]) == stopped
+    assert p.stops.proxy_stop_time(p.proxies[1], p.slices[0]) == stopped
     marks = p.mark
     decisions(p, 110_000)
     assert (p.mark != marks) == (stopped is None and came > 100_000)  # a mark is sent only to awaited proxies
@@ -89,14 +89,16 @@
         p.on_ack(100_500, proxy, p.mark, 10)
     p.on_leave(101_000, 1)
     p.on_join(102_000, 1, "z")
-    assert p.stops.stopped(p.slices[0], 103_000) == p.stops.stopped(p.slices[0], 203_000) < 101_000
+    assert (
+        p.stops.last_stop_time(p.slices[0], 103_000) == p.stops.last_stop_time(p.slices[0], 203_000) < 101_000
+    )
 
 
 def test_an_ack_of_an_older_mark_is_ignored():
     p = revoking()
     for proxy in (0, 1):
         p.on_ack(100_000, proxy, (p.mark - 1) % MARK_MODULUS, 10)
-    assert None is p.stops.stopped(p.slices[0], 100_000)
+    assert None is p.stops.last_stop_time(p.slices[0], 100_000)
 
 
 def test_grant_comes_only_after_the_settle_time():
--- a/tests/test_hand_over_liveness.py
+++ b/tests/test_hand_over_liveness.py
@@ -157,22 +157,26 @@
 
 
 def skip_acknowledgements(patch):
-    stop = WriteStops.stop
+    proxy_stop_time = WriteStops.proxy_stop_time
     patch.setattr(
         WriteStops,
-        "stop",
+        "proxy_stop_time",
         lambda self, proxy, s: (
-            s.state_since if proxy.joined and stop(self, proxy, s) is None else stop(self, proxy, s)
+            s.state_since
+            if proxy.joined and proxy_stop_time(self, proxy, s) is None
+            else proxy_stop_time(self, proxy, s)
         ),
     )
 
 
 def skip_lease_after_break(patch):
-    stop = WriteStops.stop
+    proxy_stop_time = WriteStops.proxy_stop_time
     patch.setattr(
         WriteStops,
-        "stop",
-        lambda self, proxy, s: stop(self, proxy, s) if proxy.joined else proxy.left_at - 10 * SECOND,
+        "proxy_stop_time",
+        lambda self, proxy, s: (
+            proxy_stop_time(self, proxy, s) if proxy.joined else proxy.left_at - 10 * SECOND
+        ),
     )
 
 
--- a/tests/test_write_stops.py
+++ b/tests/test_write_stops.py
@@ -30,9 +30,11 @@
     acknowledge(p, 101_000, 0, 1, 2)
     for at in range(101_500, 140_000, 2_000):
         p.on_leave(at, 1)
-        assert p.stops.stopped(p.slices[0], at) == 100_010, "the break of a stopped proxy restarts the wait"
+        assert p.stops.last_stop_time(p.slices[0], at) == 100_010, (
+            "the break of a stopped proxy restarts the wait"
+        )
         p.on_join(at + 1_000, 1, "z")
-        assert p.stops.stopped(p.slices[0], at + 1_000) == 100_010
+        assert p.stops.last_stop_time(p.slices[0], at + 1_000) == 100_010
 
 
 def test_a_proxy_that_read_the_revoke_on_return_stays_stopped_after_later_breaks():
@@ -40,10 +42,10 @@
     p.on_leave(100_100, 1)
     acknowledge(p, 101_000, 0, 2)
     p.on_join(130_000, 1, "z")
-    assert p.stops.stopped(p.slices[0], 130_000) == 100_100 + LEASE
+    assert p.stops.last_stop_time(p.slices[0], 130_000) == 100_100 + LEASE
     p.on_leave(131_000, 1)
     p.on_join(132_000, 1, "z")
-    assert p.stops.stopped(p.slices[0], 132_000) == 100_100 + LEASE
+    assert p.stops.last_stop_time(p.slices[0], 132_000) == 100_100 + LEASE
 
 
 @pytest.mark.parametrize("heard, stopped", [(101_000 + SILENCE - 1, False), (101_000 + SILENCE, True)])
@@ -53,12 +55,12 @@
     acknowledge(p, 100_500, 0, 2)
     p.mark += 1
     p.on_ack(101_000, 0, p.mark, 10)  # a later barrier: the revoke's messages have left the channel
-    assert p.stops.stop(p.proxies[1], p.slices[0]) is None
+    assert p.stops.proxy_stop_time(p.proxies[1], p.slices[0]) is None
     p.on_ack(heard, 2, p.mark, 10)  # no break was reported up to now
-    assert (p.stops.stop(p.proxies[1], p.slices[0]) is not None) is stopped
+    assert (p.stops.proxy_stop_time(p.proxies[1], p.slices[0]) is not None) is stopped
     p.on_leave(heard, 1)
     p.on_join(heard + 1, 1, "z")
-    assert (p.stops.stop(p.proxies[1], p.slices[0]) == 101_000 + SILENCE) is stopped, (
+    assert (p.stops.proxy_stop_time(p.proxies[1], p.slices[0]) == 101_000 + SILENCE) is stopped, (
         "the proof of a closed stream is lost"
     )
     assert p.proxies[1].acked != first or stopped
@@ -67,8 +69,8 @@
 def test_silence_proves_nothing_without_a_later_acknowledgement():
     p = revoked()
     acknowledge(p, 101_000, 0, 2)
-    assert p.stops.stop(p.proxies[1], p.slices[0]) is None
-    assert p.stops.stopped(p.slices[0], 10**8) is None
+    assert p.stops.proxy_stop_time(p.proxies[1], p.slices[0]) is None
+    assert p.stops.last_stop_time(p.slices[0], 10**8) is None
 
 
 def test_silence_counts_from_the_last_join():
@@ -79,7 +81,7 @@
     p.on_leave(110_000, 1)
     p.on_join(111_000, 1, "z")
     p.on_ack(101_500 + SILENCE, 2, p.mark, 10)
-    assert p.stops.stop(p.proxies[1], p.slices[0]) is None
+    assert p.stops.proxy_stop_time(p.proxies[1], p.slices[0]) is None
 
 
 def test_a_newly_assigned_empty_slice_waits_only_for_the_lease():
@@ -87,7 +89,7 @@
     for at in range(1_000, 30_000, 2_000):
         p.on_leave(at, 1)
         p.on_join(at + 1_000, 1, "z")
-    assert p.stops.stopped(p.slices[0], 31_000) == LEASE
+    assert p.stops.last_stop_time(p.slices[0], 31_000) == LEASE
 
 
 def test_a_barrier_is_repeated_if_an_acknowledgement_is_missing():
@@ -148,7 +150,9 @@
     p.on_stored_owner(100_000, 0, "b", all_closed=True)
     assert [one for one in decisions(p, 100_000) if one[1] == 0] == [("line", 0, "b", 0)]
     assert p.slices[0].state == REVOKING and p.slices[0].mark == p.mark
-    assert p.stops.stopped(p.slices[0], 100_000 + LEASE) is None, "earlier writers may not have stopped"
+    assert p.stops.last_stop_time(p.slices[0], 100_000 + LEASE) is None, (
+        "earlier writers may not have stopped"
+    )
     acknowledge(p, 101_000, 0, 1)
     lines = [one for at in (126_000, 156_000) for one in decisions(p, at) if one[1] == 0]
     assert ("level", 0, 0, 1, 0) in lines and p.slices[0].state == OWNED
