--- a/benchmarks/lending.py
+++ b/benchmarks/lending.py
@@ -18,7 +18,7 @@
 from cedarshift.cli.daemons import open_store
 from cedarshift.codec import Badge, Session
 from cedarshift.codec import messages as m
-from cedarshift.deployment.deployment import LearnTerms
+from cedarshift.deployment.deployment import LearningSettings
 from cedarshift.link import connect
 from cedarshift.loop import listen
 from cedarshift.loop.epoll import real_loop
@@ -36,7 +36,7 @@
     args = parser.parse_args()
     loop = real_loop(lambda event, **fields: None)
     with tempfile.TemporaryDirectory() as folder:
-        learn = LearnTerms((), 0, 2_000_000, 2_000_000, 2_000_000, 0.05, True)
+        learn = LearningSettings((), 0, 2_000_000, 2_000_000, 2_000_000, 0.05, True)
         d = dataclasses.replace(make_deployment(loop, folder, SLICES, ENDPOINTS, 20_000), learn=learn)
         open_store(loop, d)
         pilot = PilotService(loop, listen(loop, d.pilots[0].listen), d, "p0", 1, lambda event, **fields: None)
--- a/cedarshift/budgets/desk.py
+++ b/cedarshift/budgets/desk.py
@@ -22,7 +22,7 @@
 def open_desk(
     loop: Loop, terms: Any, pilots: int, era: int, ledger: Union[ShareLedger, MemoryShares]
 ) -> ShareDesk:
-    """`terms`: a deployment's `BudgetTerms`, for so many pilots."""
+    """`terms`: a deployment's `BudgetSystemSettings`, for so many pilots."""
     return ShareDesk(
         loop, plan_of(terms.named, pilots), terms.lease, era, ledger, loop.report, terms.claim_cold
     )
--- a/cedarshift/budgets/pilot.py
+++ b/cedarshift/budgets/pilot.py
@@ -27,7 +27,7 @@
     report: Callable[..., None],
     doubted: Callable[[], list[str]] = lambda: [],
 ) -> Optional[PilotBudgets]:
-    """`terms`: a deployment's `BudgetTerms`, for so many pilots; None where it has none."""
+    """`terms`: a deployment's `BudgetSystemSettings`, for so many pilots; None where it has none."""
     if terms is None:
         return None
     return PilotBudgets(
--- a/cedarshift/budgets/terms.py
+++ b/cedarshift/budgets/terms.py
@@ -20,7 +20,7 @@
 
 
 def plan_of(named: dict[str, Any], pilots: int) -> Plan:
-    """`named`: a deployment's `BudgetPlan` by name. Raises Refusal."""
+    """`named`: a deployment's `BudgetSettings` by name. Raises Refusal."""
     return Plan(
         [
             Budget(
--- a/cedarshift/cli/daemons.py
+++ b/cedarshift/cli/daemons.py
@@ -11,8 +11,8 @@
 from cedarshift.budgets.ledger import ShareLedger
 from cedarshift.budgets.pilot import open_budgets
 from cedarshift.codec import Badge
-from cedarshift.deployment import Deployment, FileRefused, load
-from cedarshift.deployment.deployment import changes
+from cedarshift.deployment import Deployment, InvalidFile, load
+from cedarshift.deployment.deployment import diff_settings
 from cedarshift.gossip.service import Membership, MembershipTerms
 from cedarshift.judge.roll import DEAD
 from cedarshift.loop import Loop, listen
@@ -38,7 +38,7 @@
     place = deployment.store
     if place is None:
         raise ValueError(f"{deployment.file} has no block store")
-    ledger = Ledger(deployment.beside(place.path), deployment.name, deployment.slices)
+    ledger = Ledger(deployment.resolve_path(place.path), deployment.name, deployment.slices)
     badge = Badge(deployment.name, "store", "store", "", deployment.secret)
     return StoreService(
         loop,
@@ -68,7 +68,7 @@
         deployment.budgets,
         len(deployment.pilots),
         fresh_life(),
-        ShareLedger(deployment.beside(deployment.store.path) + "-shares"),
+        ShareLedger(deployment.resolve_path(deployment.store.path) + "-shares"),
     )
 
 
@@ -130,10 +130,10 @@
     """The deployment as its file says now; None, with the reason told, where it may not be taken over."""
     try:
         new = load(deployment.file)
-    except (OSError, FileRefused) as error:
+    except (OSError, InvalidFile) as error:
         report("reload_refused", reason=str(error))
         return None
-    may, must_not = changes(deployment, new)
+    may, must_not = diff_settings(deployment, new)
     if must_not:
         report("reload_refused", reason=f"{', '.join(must_not)} can't change while a pilot runs; restart it")
         return None
--- a/cedarshift/cli/main.py
+++ b/cedarshift/cli/main.py
@@ -9,7 +9,7 @@
 
 import click
 
-from cedarshift.deployment.refused import FileRefused
+from cedarshift.deployment.refused import InvalidFile
 
 if TYPE_CHECKING:
     from cedarshift.deployment import Deployment
@@ -28,7 +28,7 @@
 
     try:
         return load_deployment(path)
-    except (OSError, FileRefused) as error:
+    except (OSError, InvalidFile) as error:
         raise click.ClickException(str(error)) from None
 
 
@@ -105,7 +105,7 @@
 def _ledger_path(deployment: Deployment) -> str:
     if deployment.store is None:
         raise click.ClickException(f"{deployment.file} has no block store")
-    return deployment.beside(deployment.store.path)
+    return deployment.resolve_path(deployment.store.path)
 
 
 @store.command()
@@ -161,7 +161,7 @@
                 f"{file}: deployment {deployment.name}, {deployment.slices} slices, "
                 f"{len(deployment.pilots)} pilots, sound"
             )
-    except (OSError, FileRefused) as error:
+    except (OSError, InvalidFile) as error:
         click.echo(str(error), err=True)
         sys.exit(1)
 
@@ -187,7 +187,7 @@
 
     try:
         day = load_day(name)
-    except (OSError, FileRefused) as error:
+    except (OSError, InvalidFile) as error:
         raise click.ClickException(str(error)) from None
     _play(day, out, seed, quiet, virtual)
 
@@ -226,7 +226,7 @@
         raise click.BadParameter(f'{seeds!r}: seeds such as "1-200" or "7" are allowed', param_hint="--seeds")
     try:
         day = load_day(name)
-    except (OSError, FileRefused) as error:
+    except (OSError, InvalidFile) as error:
         raise click.ClickException(str(error)) from None
     found = hunting.hunt(
         name,
@@ -262,7 +262,7 @@
 
     try:
         day, said = map_day(dayfile, scale)
-    except (OSError, FileRefused, ValueError) as error:
+    except (OSError, InvalidFile, ValueError) as error:
         raise click.ClickException(str(error)) from None
     for line in said:
         click.echo(line, err=True)
@@ -420,12 +420,15 @@
         raise click.BadParameter(
             f"{zone!r} is none of {', '.join(deployment.zones) or 'the zones (none)'}", param_hint="--zone"
         )
-    span, allowed = hcl.span()(drain)
-    if span is None:
+    duration, allowed = hcl.duration()(drain)
+    if duration is None:
         raise click.BadParameter(f"{drain!r}: {allowed} is allowed", param_hint="--drain")
     sys.exit(
         run_registration(
-            deployment, Member(endpoint, "on", size, zone, start), span, _report(ctx.obj, endpoint=endpoint)
+            deployment,
+            Member(endpoint, "on", size, zone, start),
+            duration,
+            _report(ctx.obj, endpoint=endpoint),
         )
     )
 
@@ -441,7 +444,7 @@
 
     try:
         found = play(file, lambda text: None if quiet else click.echo(text, err=True))
-    except (OSError, FileRefused, TraceRefused) as error:
+    except (OSError, InvalidFile, TraceRefused) as error:
         raise click.ClickException(str(error)) from None
     if out:
         with open(out, "w", encoding="utf-8") as report:
--- a/cedarshift/deployment/__init__.py
+++ b/cedarshift/deployment/__init__.py
@@ -1,6 +1,6 @@
-"""What a deployment file says, read from HCL and checked: every error with file, line, what was found, what is allowed.
+"""Loads and validates deployment files written in HCL.
 
-Names are looked up when first used: the readers' libraries stay out of a program that reads no such file.
+Names are imported on first use, so that a program that reads no such file does not load the parser.
 """
 
 from __future__ import annotations
@@ -10,29 +10,29 @@
 
 if TYPE_CHECKING:
     from cedarshift.deployment.deployment import (
-        Channel,
+        ChannelSettings,
         Deployment,
-        Guarantees,
-        ListSource,
-        PilotPlace,
-        ProxyTerms,
-        ServedOp,
-        StorePlace,
+        ListSettings,
+        OpTypeSettings,
+        PilotSettings,
+        ProxySettings,
+        RuleSettings,
+        StoreSettings,
         load,
     )
-    from cedarshift.deployment.refused import FileRefused, Problem
+    from cedarshift.deployment.refused import InvalidFile, Problem
 
 __all__ = [
-    "Channel",
+    "ChannelSettings",
     "Deployment",
-    "FileRefused",
-    "Guarantees",
-    "ListSource",
-    "PilotPlace",
+    "InvalidFile",
+    "RuleSettings",
+    "ListSettings",
+    "PilotSettings",
     "Problem",
-    "ProxyTerms",
-    "ServedOp",
-    "StorePlace",
+    "ProxySettings",
+    "OpTypeSettings",
+    "StoreSettings",
     "load",
 ]
 
@@ -40,5 +40,5 @@
 def __getattr__(name: str) -> Any:
     if name not in __all__:
         raise AttributeError(f"module {__name__!r} has no attribute {name!r}")
-    home = "refused" if name in ("FileRefused", "Problem") else "deployment"
-    return getattr(import_module(f"{__name__}.{home}"), name)
+    module = "refused" if name in ("InvalidFile", "Problem") else "deployment"
+    return getattr(import_module(f"{__name__}.{module}"), name)
--- a/cedarshift/deployment/deployment.py
+++ b/cedarshift/deployment/deployment.py
@@ -1,4 +1,4 @@
-"""A deployment as the program uses it. All spans are whole microseconds."""
+"""The settings of a deployment, loaded from an HCL file. All durations are integers in microseconds."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from cedarshift.budgets.terms import BEATS_A_LEASE, HELD, USES, plan_of
 from cedarshift.codec.zookeeper.jute import check_path
 from cedarshift.deployment import hcl
-from cedarshift.deployment.hcl import MUST, Checked, FileRefused, Problem, Shape
+from cedarshift.deployment.hcl import REQUIRED, CheckedBlock, InvalidFile, Problem, Schema
 from cedarshift.judge.budgets import ASK_LEAST, ASKS_A_LEASE, Refusal
 from cedarshift.overload.digest import KINDS_MOST
 
@@ -17,8 +17,8 @@
 
 
 @dataclass(frozen=True)
-class ServedOp:
-    """An op type. `repeats`: "retryable", "deduplicated" or "once-only"."""
+class OpTypeSettings:
+    """The settings of an op type. `repeats`: "retryable", "deduplicated" or "once-only"."""
 
     name: str
     target_latency: int
@@ -31,7 +31,9 @@
 
 
 @dataclass(frozen=True)
-class PilotPlace:
+class PilotSettings:
+    """The addresses and the zone of one pilot."""
+
     name: str
     listen: Address
     admin: Optional[Address]
@@ -40,16 +42,20 @@
 
 
 @dataclass(frozen=True)
-class MembershipPlan:
-    """Where it stands, pilots keep a roll of each other. `period` in us."""
+class MembershipSettings:
+    """Enables membership tracking among pilots. `period`: the probe period in us."""
 
     period: int
 
 
 @dataclass(frozen=True)
-class BudgetPlan:
-    """One whole for the fleet: `rate` tokens a second with `burst` (us of it), or so many `held` at a time. `floor`: of it for each pilot
-    without asking. `of_fresh`: the part of a repeat that a fresh op earns a proxy."""
+class BudgetSettings:
+    """A budget of the whole fleet: either `rate` tokens a second or `held` units at a time.
+
+    `burst`: the time in us over which unused tokens of a rate accumulate. `floor`: the amount that each
+    pilot has without asking the store. `of_fresh`: the share of a retry that each first try adds to the
+    allowance of a proxy.
+    """
 
     use: str
     rate: float
@@ -63,26 +69,32 @@
 
 
 @dataclass(frozen=True)
-class BudgetTerms:
-    """Leases of the shares (us), store to pilot and pilot to proxy, and how far clocks may run apart, as a part of 1. `claim_cold`: whether
-    a cold endpoint is warmed by the one pilot that claims it, in place of one by a lot that knows nothing of who lives."""
+class BudgetSystemSettings:
+    """The leases of budget shares and the budgets by name.
+
+    `lease`, `proxy_lease`: from store to pilot and from pilot to proxy, in us. `clock_drift`: the greatest
+    drift between clocks, as a fraction of 1. `claim_cold`: a cold endpoint is warmed by the one pilot that
+    holds its claim, rather than by one chosen at random without regard to which pilots are alive.
+    """
 
     lease: int
     proxy_lease: int
     clock_drift: float
     claim_cold: bool
-    named: dict[str, BudgetPlan]
+    named: dict[str, BudgetSettings]
 
 
 @dataclass(frozen=True)
-class OverloadPlan:
-    """Where it stands, pilots answer overload as one. `costs`: the work of an op of each type, against the others."""
+class OverloadSettings:
+    """Enables coordinated overload control. `costs`: the relative work of an op of each type."""
 
     costs: dict[str, float]
 
 
 @dataclass(frozen=True)
-class StorePlace:
+class StoreSettings:
+    """The address, the file and the lease times of the durable store."""
+
     listen: Address
     path: str
     embedded: bool
@@ -92,9 +104,12 @@
 
 
 @dataclass(frozen=True)
-class NodeRoster:
-    """Members that keep ephemeral nodes under `path`. `hold`: how long a vanished node may stay untold; its grace runs
-    meanwhile. `auth`: (scheme, credential) each."""
+class RosterSettings:
+    """A ZooKeeper roster: members keep ephemeral nodes under `path`.
+
+    `hold`: how long the removal of a vanished node may be withheld, in us; its grace runs meanwhile.
+    `auth`: pairs of (scheme, credential).
+    """
 
     servers: tuple[Address, ...]
     path: str
@@ -109,8 +124,11 @@
 
 
 @dataclass(frozen=True)
-class ListSource:
-    """`service`, `file` or `nodes`, one of them. `saved`: where a pilot keeps the newest list for its next start."""
+class ListSettings:
+    """The source of the endpoint list: exactly one of `service`, `file` and `nodes`.
+
+    `saved`: the file in which a pilot keeps the newest list for its next start.
+    """
 
     service: Optional[Address]
     file: str
@@ -118,12 +136,12 @@
     refresh: int
     asks: bool
     gone_binds: bool
-    nodes: Optional[NodeRoster] = None
+    nodes: Optional[RosterSettings] = None
 
 
 @dataclass(frozen=True)
-class Channel:
-    """The channel of one pilot."""
+class ChannelSettings:
+    """The rate and size limits of the channel from one pilot to its proxies."""
 
     lines_per_s: float
     lines_waiting_most: float
@@ -134,8 +152,8 @@
 
 
 @dataclass(frozen=True)
-class ProxyTerms:
-    """What every proxy of the deployment keeps to."""
+class ProxySettings:
+    """The settings that every proxy of the deployment follows."""
 
     lease: int
     in_flight_most: int
@@ -150,8 +168,8 @@
 
 
 @dataclass(frozen=True)
-class Guarantees:
-    """The figures of the rules."""
+class RuleSettings:
+    """The time limits and thresholds of the service's rules."""
 
     empty_for: int
     drain_grace: int
@@ -163,11 +181,11 @@
 
 
 @dataclass(frozen=True)
-class LearnTerms:
-    """Where it stands, pilots lend each other what they know. `sources`: pilots to ask; none: all the others."""
+class LearningSettings:
+    """Enables learning from other pilots. `sources`: the pilots to ask, all the others if empty."""
 
     sources: tuple[str, ...]
-    span: int
+    duration: int
     again: int
     patience: int
     answer_within: int
@@ -177,6 +195,8 @@
 
 @dataclass(frozen=True)
 class Deployment:
+    """The settings of a deployment. `file`: the path they were loaded from."""
+
     name: str
     file: str
     slices: int
@@ -187,215 +207,220 @@
     intake_per_s: float
     proxies_most: int
     secret: bytes
-    op_types: tuple[ServedOp, ...]
-    pilots: tuple[PilotPlace, ...]
-    store: Optional[StorePlace]
-    listed: ListSource
-    channel: Channel
-    proxy: ProxyTerms
-    rules: Guarantees
-    learn: Optional[LearnTerms] = None
-    membership: Optional[MembershipPlan] = None
-    budgets: Optional[BudgetTerms] = None
-    overload: Optional[OverloadPlan] = None
-
-    def beside(self, path: str) -> str:
-        """A path of the file, which counts from the folder that the file lies in."""
+    op_types: tuple[OpTypeSettings, ...]
+    pilots: tuple[PilotSettings, ...]
+    store: Optional[StoreSettings]
+    listed: ListSettings
+    channel: ChannelSettings
+    proxy: ProxySettings
+    rules: RuleSettings
+    learn: Optional[LearningSettings] = None
+    membership: Optional[MembershipSettings] = None
+    budgets: Optional[BudgetSystemSettings] = None
+    overload: Optional[OverloadSettings] = None
+
+    def resolve_path(self, path: str) -> str:
+        """Resolves a path relative to the directory of the deployment file; an empty path stays empty."""
         return os.path.join(os.path.dirname(self.file), path) if path else ""
 
-    def pilot(self, name: str) -> PilotPlace:
-        """Raises KeyError with the names that there are."""
-        for place in self.pilots:
-            if place.name == name:
-                return place
+    def pilot(self, name: str) -> PilotSettings:
+        """Returns the settings of a pilot. Raises KeyError with the known names."""
+        for settings in self.pilots:
+            if settings.name == name:
+                return settings
         raise KeyError(
             f"no pilot {name!r} in {self.file}; there are {', '.join(p.name for p in self.pilots)}"
         )
 
 
-OP_TYPE = Shape(
+OP_TYPE_SCHEMA = Schema(
     {
-        "target_latency": (hcl.span(1_000), MUST),
-        "op_timeout": (hcl.span(1_000), MUST),
+        "target_latency": (hcl.duration(1_000), REQUIRED),
+        "op_timeout": (hcl.duration(1_000), REQUIRED),
         "earnings": (hcl.number(), 1.0),
         "late_share": (hcl.number(0, 1), 0.0),
-        "repeats": (hcl.choice("retryable", "deduplicated", "once-only"), MUST),
-        "writes": (hcl.flag, False),
-        "own_zone": (hcl.flag, False),
+        "repeats": (hcl.choice("retryable", "deduplicated", "once-only"), REQUIRED),
+        "writes": (hcl.boolean, False),
+        "own_zone": (hcl.boolean, False),
     }
 )
-PILOT = Shape(
+PILOT_SCHEMA = Schema(
     {
-        "listen": (hcl.address, MUST),
+        "listen": (hcl.address, REQUIRED),
         "admin": (hcl.address, None),
-        "zone": (hcl.text, ""),
+        "zone": (hcl.string, ""),
         "gossip": (hcl.address, None),
     }
 )
-MEMBERSHIP = Shape({"period": (hcl.span(50_000, 60_000_000), 1_000_000)})
-BUDGET = Shape(
+MEMBERSHIP_SCHEMA = Schema({"period": (hcl.duration(50_000, 60_000_000), 1_000_000)})
+BUDGET_SCHEMA = Schema(
     {
         "use": (hcl.choice(*USES), ""),
         "rate": (hcl.number(0.001, 1e9), 0.0),
-        "held": (hcl.whole(1, 1_000_000), 0),
-        "burst": (hcl.span(1_000, 60_000_000), 500_000),
+        "held": (hcl.integer(1, 1_000_000), 0),
+        "burst": (hcl.duration(1_000, 60_000_000), 500_000),
         "floor": (hcl.number(0, 1e9), 0.0),
-        "within": (hcl.text, ""),
-        "priority": (hcl.whole(0, 100), 0),
-        "weight": (hcl.whole(1, 1_000), 1),
+        "within": (hcl.string, ""),
+        "priority": (hcl.integer(0, 100), 0),
+        "weight": (hcl.integer(1, 1_000), 1),
         "of_fresh": (hcl.number(0, 1), 0.0),
     }
 )
-BUDGETS = Shape(
+BUDGETS_SCHEMA = Schema(
     {
-        "lease": (hcl.span(200_000, 60_000_000), 3_000_000),
-        "proxy_lease": (hcl.span(200_000, 60_000_000), 1_000_000),
+        "lease": (hcl.duration(200_000, 60_000_000), 3_000_000),
+        "proxy_lease": (hcl.duration(200_000, 60_000_000), 1_000_000),
         "clock_drift": (hcl.number(0, 0.2), 0.02),
-        "claim_cold": (hcl.flag, False),
+        "claim_cold": (hcl.boolean, False),
     },
-    {"budget": (BUDGET, 1, 1, 64)},
+    {"budget": (BUDGET_SCHEMA, 1, 1, 64)},
 )
-STORE = Shape(
+STORE_SCHEMA = Schema(
     {
-        "listen": (hcl.address, MUST),
-        "path": (hcl.text, MUST),
-        "embedded": (hcl.flag, False),
-        "session_lease": (hcl.span(100_000), 2_000_000),
-        "takeover": (hcl.span(), 500_000),
-        "back_after": (hcl.span(), 3_000_000),
+        "listen": (hcl.address, REQUIRED),
+        "path": (hcl.string, REQUIRED),
+        "embedded": (hcl.boolean, False),
+        "session_lease": (hcl.duration(100_000), 2_000_000),
+        "takeover": (hcl.duration(), 500_000),
+        "back_after": (hcl.duration(), 3_000_000),
     }
 )
-LIST = Shape(
+LIST_SCHEMA = Schema(
     {
         "service": (hcl.address, None),
-        "file": (hcl.text, ""),
-        "saved": (hcl.text, ""),
-        "refresh": (hcl.span(10_000), 250_000),
-        "asks": (hcl.flag, False),
-        "gone_binds": (hcl.flag, True),
+        "file": (hcl.string, ""),
+        "saved": (hcl.string, ""),
+        "refresh": (hcl.duration(10_000), 250_000),
+        "asks": (hcl.boolean, False),
+        "gone_binds": (hcl.boolean, True),
     }
 )
-ROSTER = Shape(
+ROSTER_SCHEMA = Schema(
     {
-        "servers": (hcl.addresses, MUST),
-        "path": (hcl.text, MUST),
-        "session_timeout": (hcl.span(400_000), 6_000_000),
+        "servers": (hcl.addresses, REQUIRED),
+        "path": (hcl.string, REQUIRED),
+        "session_timeout": (hcl.duration(400_000), 6_000_000),
         "format": (hcl.choice("serverset", "curator", "plain"), "serverset"),
-        "port_name": (hcl.text, ""),
+        "port_name": (hcl.string, ""),
         "watch": (hcl.choice("recursive", "one-shot"), "recursive"),
-        "read_only": (hcl.flag, True),
-        "hold": (hcl.span(), 1_000_000),
-        "auth": (hcl.text, ""),
-        "saved": (hcl.text, ""),
-        "gone_binds": (hcl.flag, True),
+        "read_only": (hcl.boolean, True),
+        "hold": (hcl.duration(), 1_000_000),
+        "auth": (hcl.string, ""),
+        "saved": (hcl.string, ""),
+        "gone_binds": (hcl.boolean, True),
     }
 )
-CHANNEL = Shape(
+CHANNEL_SCHEMA = Schema(
     {
         "lines_per_s": (hcl.number(1), 6_000.0),
         "lines_waiting_most": (hcl.number(1), 9_000.0),
         "lines_per_message": (hcl.number(), 16.0),
-        "messages_most": (hcl.whole(), 0),
-        "messages_span": (hcl.span(), 10_000_000),
-        "transit_most": (hcl.span(), 250_000),
+        "messages_most": (hcl.integer(), 0),
+        "messages_span": (hcl.duration(), 10_000_000),
+        "transit_most": (hcl.duration(), 250_000),
     }
 )
-PROXY = Shape(
+PROXY_SCHEMA = Schema(
     {
-        "lease": (hcl.span(50_000), 800_000),
-        "in_flight_most": (hcl.span(1_000), MUST),
-        "buffer_for": (hcl.span(), 200_000),
-        "connect_most": (hcl.span(1_000), 500_000),
-        "report_every": (hcl.span(50_000), 2_000_000),
-        "apply_cost": (hcl.span(), 0),
-        "outlier_after": (hcl.whole(), 3),
-        "retry_default": (hcl.whole(0, 3), 0),
-        "silence": (hcl.span(500_000), 4_000_000),
+        "lease": (hcl.duration(50_000), 800_000),
+        "in_flight_most": (hcl.duration(1_000), REQUIRED),
+        "buffer_for": (hcl.duration(), 200_000),
+        "connect_most": (hcl.duration(1_000), 500_000),
+        "report_every": (hcl.duration(50_000), 2_000_000),
+        "apply_cost": (hcl.duration(), 0),
+        "outlier_after": (hcl.integer(), 3),
+        "retry_default": (hcl.integer(0, 3), 0),
+        "silence": (hcl.duration(500_000), 4_000_000),
         "joins_per_s": (hcl.number(1, 100_000), 500.0),
     }
 )
-OVERLOAD = Shape({}, {"op": (Shape({"cost": (hcl.number(0.001, 1_000), MUST)}), 1, 0, 64)})
-RULES = Shape(
+OVERLOAD_SCHEMA = Schema({}, {"op": (Schema({"cost": (hcl.number(0.001, 1_000), REQUIRED)}), 1, 0, 64)})
+RULES_SCHEMA = Schema(
     {
-        "empty_for": (hcl.span(), 12_000_000),
-        "drain_grace": (hcl.span(100_000), 3_000_000),
-        "ask_within": (hcl.span(), 10_000_000),
-        "warm_within": (hcl.span(), 15_000_000),
+        "empty_for": (hcl.duration(), 12_000_000),
+        "drain_grace": (hcl.duration(100_000), 3_000_000),
+        "ask_within": (hcl.duration(), 10_000_000),
+        "warm_within": (hcl.duration(), 15_000_000),
         "cold_share": (hcl.number(0.01, 1), 1.0),
         "tip_multiple": (hcl.number(1), 3.0),
-        "tip_after": (hcl.span(), 1_500_000),
+        "tip_after": (hcl.duration(), 1_500_000),
     }
 )
-LEARN = Shape(
+LEARN_SCHEMA = Schema(
     {
-        "from": (hcl.texts, []),
-        "for": (hcl.span(), 20_000_000),
-        "again": (hcl.span(100_000), 2_000_000),
-        "patience": (hcl.span(), 2_000_000),
-        "answer_within": (hcl.span(10_000), 2_000_000),
+        "from": (hcl.strings, []),
+        "for": (hcl.duration(), 20_000_000),
+        "again": (hcl.duration(100_000), 2_000_000),
+        "patience": (hcl.duration(), 2_000_000),
+        "answer_within": (hcl.duration(10_000), 2_000_000),
         "lend_share": (hcl.number(0.001, 0.5), 0.05),
-        "compress": (hcl.flag, True),
+        "compress": (hcl.boolean, True),
     }
 )
-DEPLOYMENT = Shape(
+DEPLOYMENT_SCHEMA = Schema(
     {
-        "slices": (hcl.whole(0, 60_000), MUST),
-        "zones": (hcl.texts, []),
-        "single_owner": (hcl.flag, True),
+        "slices": (hcl.integer(0, 60_000), REQUIRED),
+        "zones": (hcl.strings, []),
+        "single_owner": (hcl.boolean, True),
         "pick": (hcl.choice("even", "chance"), "even"),
         "levels": (hcl.choice("fraction", "none"), "fraction"),
         "intake_per_s": (hcl.number(1), 150.0),
-        "proxies_most": (hcl.whole(1), 1_000),
-        "secret_file": (hcl.text, ""),
+        "proxies_most": (hcl.integer(1), 1_000),
+        "secret_file": (hcl.string, ""),
     },
     {
-        "op_type": (OP_TYPE, 1, 1, 64),
-        "pilot": (PILOT, 1, 1, 64),
-        "store": (STORE, 0, 0, 1),
-        "list": (LIST, 0, 0, 1),
-        "roster": (ROSTER, 1, 0, 1),
-        "channel": (CHANNEL, 0, 0, 1),
-        "proxy": (PROXY, 0, 1, 1),
-        "rules": (RULES, 0, 0, 1),
-        "learn": (LEARN, 0, 0, 1),
-        "membership": (MEMBERSHIP, 0, 0, 1),
-        "budgets": (BUDGETS, 0, 0, 1),
-        "overload": (OVERLOAD, 0, 0, 1),
+        "op_type": (OP_TYPE_SCHEMA, 1, 1, 64),
+        "pilot": (PILOT_SCHEMA, 1, 1, 64),
+        "store": (STORE_SCHEMA, 0, 0, 1),
+        "list": (LIST_SCHEMA, 0, 0, 1),
+        "roster": (ROSTER_SCHEMA, 1, 0, 1),
+        "channel": (CHANNEL_SCHEMA, 0, 0, 1),
+        "proxy": (PROXY_SCHEMA, 0, 1, 1),
+        "rules": (RULES_SCHEMA, 0, 0, 1),
+        "learn": (LEARN_SCHEMA, 0, 0, 1),
+        "membership": (MEMBERSHIP_SCHEMA, 0, 0, 1),
+        "budgets": (BUDGETS_SCHEMA, 0, 0, 1),
+        "overload": (OVERLOAD_SCHEMA, 0, 0, 1),
     },
 )
-FILE = Shape({}, {"deployment": (DEPLOYMENT, 1, 1, 1)})
+FILE_SCHEMA = Schema({}, {"deployment": (DEPLOYMENT_SCHEMA, 1, 1, 1)})
 
 
 def load(path: str) -> Deployment:
-    """Reads and checks a deployment file. Raises FileRefused with every problem, OSError if it can't be read."""
+    """Reads a deployment file. Raises InvalidFile with every problem, OSError if it can't be read."""
     with open(path, encoding="utf-8") as source:
         top = hcl.parse(source.read(), path)
     problems: list[Problem] = []
-    found = hcl.check(top, FILE, path, problems)
-    made = None
+    found = hcl.check(top, FILE_SCHEMA, path, problems)
+    deployment = None
     if found.blocks["deployment"] and not problems:
-        made = _build(found.blocks["deployment"][0], path, problems)
-    if problems or made is None:
-        raise FileRefused(problems)
-    return made
-
-
-def _only(body: Checked, kind: str, shape: Shape) -> Checked:
-    got = body.blocks[kind]
-    return got[0] if got else Checked([], body.line, {n: d for n, (_, d) in shape.attributes.items()}, {}, {})
+        deployment = _build(found.blocks["deployment"][0], path, problems)
+    if problems or deployment is None:
+        raise InvalidFile(problems)
+    return deployment
+
+
+def _optional_block(body: CheckedBlock, kind: str, schema: Schema) -> CheckedBlock:
+    """Returns the block of a kind that may occur once, or one with the defaults of its schema."""
+    blocks = body.blocks[kind]
+    return (
+        blocks[0]
+        if blocks
+        else CheckedBlock([], body.line, {n: d for n, (_, d) in schema.attributes.items()}, {}, {})
+    )
 
 
-def _build(body: Checked, path: str, problems: list[Problem]) -> Optional[Deployment]:
-    ops = tuple(ServedOp(name=op.labels[0], **op.values) for op in body.blocks["op_type"])
-    pilots = tuple(PilotPlace(name=p.labels[0], **p.values) for p in body.blocks["pilot"])
-    store = StorePlace(**body.blocks["store"][0].values) if body.blocks["store"] else None
-    rules = Guarantees(**_only(body, "rules", RULES).values)
-    proxy = ProxyTerms(**body.blocks["proxy"][0].values)
-    secret = _secret(body, path, problems)
-    listed = _listed(body, path, problems)
+def _build(body: CheckedBlock, path: str, problems: list[Problem]) -> Optional[Deployment]:
+    ops = tuple(OpTypeSettings(name=op.labels[0], **op.values) for op in body.blocks["op_type"])
+    pilots = tuple(PilotSettings(name=p.labels[0], **p.values) for p in body.blocks["pilot"])
+    store = StoreSettings(**body.blocks["store"][0].values) if body.blocks["store"] else None
+    rules = RuleSettings(**_optional_block(body, "rules", RULES_SCHEMA).values)
+    proxy = ProxySettings(**body.blocks["proxy"][0].values)
+    secret = _read_secret(body, path, problems)
+    listed = _build_list(body, path, problems)
     if problems:
         return None
-    _agree(body, ops, pilots, store, rules, proxy, path, problems)
+    _check_consistency(body, ops, pilots, store, rules, proxy, path, problems)
     return Deployment(
         name=body.labels[0],
         file=path,
@@ -411,57 +436,68 @@
         pilots=pilots,
         store=store,
         listed=listed,
-        channel=Channel(**_only(body, "channel", CHANNEL).values),
+        channel=ChannelSettings(**_optional_block(body, "channel", CHANNEL_SCHEMA).values),
         proxy=proxy,
         rules=rules,
-        learn=_learn(body),
-        membership=MembershipPlan(**body.blocks["membership"][0].values)
+        learn=_build_learning(body),
+        membership=MembershipSettings(**body.blocks["membership"][0].values)
         if body.blocks["membership"]
         else None,
-        budgets=_budgets(body, len(pilots), store, path, problems),
-        overload=_overload(body, ops, path, problems),
+        budgets=_build_budgets(body, len(pilots), store, path, problems),
+        overload=_build_overload(body, ops, path, problems),
     )
 
 
-def _budgets(
-    body: Checked, pilots: int, store: Optional[StorePlace], path: str, problems: list[Problem]
-) -> Optional[BudgetTerms]:
-    """Sums that can't hold are refused with the line of the budget to blame."""
+def _build_budgets(
+    body: CheckedBlock, pilots: int, store: Optional[StoreSettings], path: str, problems: list[Problem]
+) -> Optional[BudgetSystemSettings]:
+    """Builds the budgets; reports amounts that don't add up at the line of the budget at fault."""
     if not body.blocks["budgets"]:
         return None
     block = body.blocks["budgets"][0]
-    named, lines = {one.labels[0]: BudgetPlan(**one.values) for one in block.blocks["budget"]}, {}
-    before = len(problems)
-    asks_every = max(ASK_LEAST, body.blocks["proxy"][0]["lease"] // BEATS_A_LEASE)
-    if block["proxy_lease"] < ASKS_A_LEASE * asks_every:
+    named, line_of = (
+        {budget.labels[0]: BudgetSettings(**budget.values) for budget in block.blocks["budget"]},
+        {},
+    )
+    problems_before = len(problems)
+    ask_interval = max(ASK_LEAST, body.blocks["proxy"][0]["lease"] // BEATS_A_LEASE)
+    if block["proxy_lease"] < ASKS_A_LEASE * ask_interval:
         line = block.lines.get("proxy_lease", block.line)
         problems.append(
             Problem(
                 path,
                 line,
-                f"proxy_lease is under {ASKS_A_LEASE * asks_every} us: proxies ask on beats, each {asks_every} us, "
-                f"and {ASKS_A_LEASE} asks have to fit into it",
+                f"proxy_lease is under {ASKS_A_LEASE * ask_interval} us: proxies ask with each heartbeat, "
+                f"every {ask_interval} us, and {ASKS_A_LEASE} asks must fit into a lease",
             )
         )
     if store is None:
-        problems.append(Problem(path, block.line, "budgets are given by the store: there is no block store"))
-    uses: dict[str, str] = {}
-    for one in block.blocks["budget"]:
-        name = one.labels[0]
-        if name in lines:
-            problems.append(Problem(path, one.line, f"budget {name!r} stands twice"))
-        lines[name] = one.line
-        if one["of_fresh"] and one["use"] != "retries":
-            problems.append(Problem(path, one.lines["of_fresh"], "of_fresh has a meaning for retries only"))
-        problems += [Problem(path, line, text) for line, text in _kind_of(one)]
-        if one["use"] and one["use"] in uses:
+        problems.append(
+            Problem(path, block.line, "budgets are allocated by the store: there is no block store")
+        )
+    name_by_use: dict[str, str] = {}
+    for budget in block.blocks["budget"]:
+        name = budget.labels[0]
+        if name in line_of:
+            problems.append(Problem(path, budget.line, f"budget {name!r} is declared twice"))
+        line_of[name] = budget.line
+        if budget["of_fresh"] and budget["use"] != "retries":
+            problems.append(Problem(path, budget.lines["of_fresh"], "of_fresh applies to retries only"))
+        problems += [Problem(path, line, message) for line, message in _budget_limit_errors(budget)]
+        if budget["use"] and budget["use"] in name_by_use:
             problems.append(
-                Problem(path, one.lines["use"], f"{one['use']} are limited by {uses[one['use']]!r} already")
+                Problem(
+                    path,
+                    budget.lines["use"],
+                    f"{budget['use']} are limited by {name_by_use[budget['use']]!r} already",
+                )
             )
-        if one["use"]:
-            uses[one["use"]] = name
-    problems += [Problem(path, line, text) for line, text in _rights(body, block, uses, store)]
-    if len(problems) == before:
+        if budget["use"]:
+            name_by_use[budget["use"]] = name
+    problems += [
+        Problem(path, line, message) for line, message in _held_lease_errors(body, block, name_by_use, store)
+    ]
+    if len(problems) == problems_before:
         try:
             plan = plan_of(named, pilots)
             for name, planned in named.items():
@@ -469,68 +505,83 @@
                     problems.append(
                         Problem(
                             path,
-                            lines[name],
-                            f"{name!r} has a use, but others draw on it: only the last of a line is spent",
+                            line_of[name],
+                            f"{name!r} has a use, but others draw on it: only a budget without children "
+                            "can be spent",
                         )
                     )
                 if name not in plan.children and not planned.use:
                     problems.append(
                         Problem(
                             path,
-                            lines[name],
-                            f"{name!r} has no use, and none draws on it: nobody could spend it",
+                            line_of[name],
+                            f"{name!r} has no use, and no budget draws on it: nobody could spend it",
                         )
                     )
-        except Refusal as refused:
-            problems.append(Problem(path, lines[refused.budget], f"budget {refused.budget!r}: {refused}"))
-    return BudgetTerms(block["lease"], block["proxy_lease"], block["clock_drift"], block["claim_cold"], named)
-
-
-def _kind_of(one: Checked) -> list[tuple[int, str]]:
-    """A budget is a rate or so many at a time, as its use is."""
-    name, found = one.labels[0], []
-    if bool(one["rate"]) == bool(one["held"]):
-        found.append((one.line, f"budget {name!r} has to have either a rate or a number held at a time"))
-    elif one["use"] and (one["use"] in HELD) != bool(one["held"]):
-        found.append(
-            (one.lines["use"], f"{one['use']} are limited by {'held' if one['use'] in HELD else 'rate'}")
+        except Refusal as error:
+            problems.append(Problem(path, line_of[error.budget], f"budget {error.budget!r}: {error}"))
+    return BudgetSystemSettings(
+        block["lease"], block["proxy_lease"], block["clock_drift"], block["claim_cold"], named
+    )
+
+
+def _budget_limit_errors(budget: CheckedBlock) -> list[tuple[int, str]]:
+    """Returns (line, message) for each conflict between the use of a budget and its kind of limit."""
+    name, errors = budget.labels[0], []
+    if bool(budget["rate"]) == bool(budget["held"]):
+        errors.append((budget.line, f"budget {name!r} needs either a rate or a number held at a time"))
+    elif budget["use"] and (budget["use"] in HELD) != bool(budget["held"]):
+        errors.append(
+            (
+                budget.lines["use"],
+                f"{budget['use']} are limited by {'held' if budget['use'] in HELD else 'rate'}",
+            )
         )
-    if one["held"] and one["floor"] != int(one["floor"]):
-        found.append((one.lines["floor"], f"floor = {one['floor']:g}: what is held comes in whole ones"))
-    if one["held"] and one["within"]:
-        found.append((one.lines["within"], "what is held at a time draws on no other budget"))
-    return found
+    if budget["held"] and budget["floor"] != int(budget["floor"]):
+        errors.append(
+            (budget.lines["floor"], f"floor = {budget['floor']:g}: held budgets are counted in whole units")
+        )
+    if budget["held"] and budget["within"]:
+        errors.append((budget.lines["within"], "a held budget draws on no other budget"))
+    return errors
 
 
-def _rights(
-    body: Checked, block: Checked, uses: dict[str, str], store: Optional[StorePlace]
+def _held_lease_errors(
+    body: CheckedBlock, block: CheckedBlock, name_by_use: dict[str, str], store: Optional[StoreSettings]
 ) -> list[tuple[int, str]]:
-    """Rights that are held must outlive the charge: who has lost its share and still has its slices would go on moving them."""
-    wanted = [
-        word
-        for word, on in (("claim_cold", block["claim_cold"]), ('use = "handovers"', "handovers" in uses))
-        if on
+    """Returns (line, message) where the lease of a held budget may expire before the store session does.
+
+    A pilot would otherwise keep its slices, and go on moving them, after its share has expired.
+    """
+    features = [
+        feature
+        for feature, enabled in (
+            ("claim_cold", block["claim_cold"]),
+            ('use = "handovers"', "handovers" in name_by_use),
+        )
+        if enabled
     ]
-    if not wanted:
+    if not features:
         return []
-    found = []
+    errors = []
     if not body["slices"]:
-        found.append((block.line, f"{wanted[0]} has a meaning for slices only, and slices = 0"))
-    stands = block["lease"] * (1 - block["clock_drift"]) * (1 - 1 / ASKS_A_LEASE)
-    if store is not None and stands < store.session_lease:
-        found.append(
+        errors.append((block.line, f"{features[0]} applies to slices only, and slices = 0"))
+    remaining = block["lease"] * (1 - block["clock_drift"]) * (1 - 1 / ASKS_A_LEASE)
+    if store is not None and remaining < store.session_lease:
+        errors.append(
             (
                 block.lines.get("lease", block.line),
-                f"{wanted[0]}: a share asked for a quarter of a lease ago stands for another "
-                f"{stands / 1e6:.2f} s, less than the store's session_lease of {store.session_lease / 1e6:g} s",
+                f"{features[0]}: a share requested a quarter of a lease ago is valid for another "
+                f"{remaining / 1e6:.2f} s, less than the store's session_lease of "
+                f"{store.session_lease / 1e6:g} s",
             )
         )
-    return found
+    return errors
 
 
-def _overload(
-    body: Checked, ops: tuple[ServedOp, ...], path: str, problems: list[Problem]
-) -> Optional[OverloadPlan]:
+def _build_overload(
+    body: CheckedBlock, ops: tuple[OpTypeSettings, ...], path: str, problems: list[Problem]
+) -> Optional[OverloadSettings]:
     if not body.blocks["overload"]:
         return None
     block, costs = body.blocks["overload"][0], {op.name: 1.0 for op in ops}
@@ -539,231 +590,257 @@
             Problem(
                 path,
                 block.line,
-                "several pilots answer as one only where they hear of each other: there is no block membership",
+                "several pilots coordinate through membership: there is no block membership",
             )
         )
     if len(ops) > KINDS_MOST:
         problems.append(
             Problem(
-                path, block.line, f"{len(ops)} op types, {KINDS_MOST} at most fit what pilots tell each other"
+                path,
+                block.line,
+                f"{len(ops)} op types, the digest that pilots exchange holds at most {KINDS_MOST}",
             )
         )
-    seen: set[str] = set()
-    for one in block.blocks["op"]:
-        name = one.labels[0]
-        if name not in costs or name in seen:
-            what = "stands twice" if name in seen else f"is none of {', '.join(costs)}"
-            problems.append(Problem(path, one.line, f"op {name!r} {what}"))
-        seen.add(name)
-        costs[name] = one["cost"]
-    for op, place in zip(ops, body.blocks["op_type"]):
+    seen_names: set[str] = set()
+    for cost_block in block.blocks["op"]:
+        name = cost_block.labels[0]
+        if name not in costs or name in seen_names:
+            reason = "is declared twice" if name in seen_names else f"is none of {', '.join(costs)}"
+            problems.append(Problem(path, cost_block.line, f"op {name!r} {reason}"))
+        seen_names.add(name)
+        costs[name] = cost_block["cost"]
+    for op, op_block in zip(ops, body.blocks["op_type"]):
         if op.earnings <= 0:
             problems.append(
                 Problem(
                     path,
-                    place.lines.get("earnings", place.line),
-                    f"{op.name!r} earns nothing, so nothing tells when it is to be shed",
+                    op_block.lines.get("earnings", op_block.line),
+                    f"{op.name!r} earns nothing, so its shedding order is undefined",
                 )
             )
-    return OverloadPlan(costs)
+    return OverloadSettings(costs)
 
 
-def _learn(body: Checked) -> Optional[LearnTerms]:
+def _build_learning(body: CheckedBlock) -> Optional[LearningSettings]:
     if not body.blocks["learn"]:
         return None
-    found = dict(body.blocks["learn"][0].values)
-    return LearnTerms(sources=tuple(found.pop("from")), span=found.pop("for"), **found)
+    values = dict(body.blocks["learn"][0].values)
+    return LearningSettings(sources=tuple(values.pop("from")), duration=values.pop("for"), **values)
 
 
-def _listed(body: Checked, path: str, problems: list[Problem]) -> ListSource:
-    """From the block list or the block roster, of which there must be one."""
+def _build_list(body: CheckedBlock, path: str, problems: list[Problem]) -> ListSettings:
+    """Builds the list source from the block list or roster; exactly one of them is required."""
     blocks = body.blocks["list"] + body.blocks["roster"]
     if len(blocks) != 1:
         problems.append(
-            Problem(path, body.line, f"{len(blocks)} blocks list and roster, one of them is wanted")
+            Problem(path, body.line, f"{len(blocks)} blocks list and roster, exactly one is required")
         )
     if body.blocks["list"]:
-        listed = body.blocks["list"][0]
-        if bool(listed["service"]) == bool(listed["file"]):
-            problems.append(Problem(path, listed.line, "a list has either service or file"))
-        return ListSource(**listed.values)
+        list_block = body.blocks["list"][0]
+        if bool(list_block["service"]) == bool(list_block["file"]):
+            problems.append(Problem(path, list_block.line, "a list needs either service or file"))
+        return ListSettings(**list_block.values)
     if not body.blocks["roster"]:
-        return ListSource(None, "", "", 0, False, True)
-    block = body.blocks["roster"][0]
-    return ListSource(None, "", block["saved"], 0, False, block["gone_binds"], _roster(block, path, problems))
+        return ListSettings(None, "", "", 0, False, True)
+    roster = body.blocks["roster"][0]
+    return ListSettings(
+        None, "", roster["saved"], 0, False, roster["gone_binds"], _build_roster(roster, path, problems)
+    )
 
 
-def _roster(block: Checked, path: str, problems: list[Problem]) -> NodeRoster:
+def _build_roster(block: CheckedBlock, path: str, problems: list[Problem]) -> RosterSettings:
     values = dict(block.values)
     if block.labels != ["zookeeper"]:
         problems.append(
             Problem(path, block.line, f'roster {block.labels[0]!r} is unknown; known: "zookeeper"')
         )
-    wrong = check_path(values["path"])
-    if wrong or values["path"] == "/":
+    path_error = check_path(values["path"])
+    if path_error or values["path"] == "/":
         problems.append(
-            Problem(path, block.lines["path"], f"path {values['path']!r}: {wrong or 'it is the root'}")
+            Problem(path, block.lines["path"], f"path {values['path']!r}: {path_error or 'it is the root'}")
         )
     if values["port_name"] and values["format"] == "plain":
         problems.append(
             Problem(path, block.lines["port_name"], "port_name has no meaning with the format plain")
         )
     auth_file = values.pop("auth")
-    auth = _credentials(auth_file, block, path, problems) if auth_file else ()
+    auth = _read_credentials(auth_file, block, path, problems) if auth_file else ()
     del values["saved"], values["gone_binds"]
-    return NodeRoster(auth_file=auth_file, auth=auth, **{**values, "servers": tuple(values["servers"])})
+    return RosterSettings(auth_file=auth_file, auth=auth, **{**values, "servers": tuple(values["servers"])})
 
 
-def _credentials(
-    name: str, block: Checked, path: str, problems: list[Problem]
+def _read_credentials(
+    name: str, block: CheckedBlock, path: str, problems: list[Problem]
 ) -> tuple[tuple[str, bytes], ...]:
-    """Lines such as "digest user:password" of a file that lies beside the deployment file unless its path is absolute."""
-    place, line = os.path.join(os.path.dirname(path), name), block.lines["auth"]
+    """Reads lines such as "digest user:password" from a path relative to the deployment file's directory."""
+    credentials_path, line = os.path.join(os.path.dirname(path), name), block.lines["auth"]
     try:
-        with open(place, "rb") as source:
+        with open(credentials_path, "rb") as source:
             rows = [
                 (number, row.strip())
                 for number, row in enumerate(source.read().splitlines(), 1)
                 if row.strip()
             ]
     except OSError as error:
-        problems.append(Problem(path, line, f"auth {place}: {error.strerror}"))
+        problems.append(Problem(path, line, f"auth {credentials_path}: {error.strerror}"))
         return ()
-    found = []
+    credentials = []
     for number, row in rows:
         scheme, _, credential = row.partition(b" ")
         if scheme != b"digest" or b":" not in credential:
-            problems.append(Problem(path, line, f'auth {place}:{number}: "digest user:password" is allowed'))
-        found.append((scheme.decode(errors="replace"), credential))
+            problems.append(
+                Problem(path, line, f'auth {credentials_path}:{number}: "digest user:password" is allowed')
+            )
+        credentials.append((scheme.decode(errors="replace"), credential))
     if not rows:
-        problems.append(Problem(path, line, f"auth {place}: it holds no credential"))
-    return tuple(found)
+        problems.append(Problem(path, line, f"auth {credentials_path}: it contains no credentials"))
+    return tuple(credentials)
 
 
-def _secret(body: Checked, path: str, problems: list[Problem]) -> bytes:
-    """The first line of the secret's file, which lies beside the deployment file unless its path is absolute."""
+def _read_secret(body: CheckedBlock, path: str, problems: list[Problem]) -> bytes:
+    """Reads the first line of the secret file, whose path is relative to the deployment file's directory."""
     if not body["secret_file"]:
         return b""
-    place = os.path.join(os.path.dirname(path), body["secret_file"])
+    secret_path = os.path.join(os.path.dirname(path), body["secret_file"])
     try:
-        with open(place, "rb") as source:
+        with open(secret_path, "rb") as source:
             secret = source.readline().strip()
     except OSError as error:
-        problems.append(Problem(path, body.lines["secret_file"], f"secret_file {place}: {error.strerror}"))
+        problems.append(
+            Problem(path, body.lines["secret_file"], f"secret_file {secret_path}: {error.strerror}")
+        )
         return b""
     if len(secret) < 16:
         problems.append(
-            Problem(path, body.lines["secret_file"], f"secret_file {place}: {len(secret)} bytes, 16 at least")
+            Problem(
+                path,
+                body.lines["secret_file"],
+                f"secret_file {secret_path}: {len(secret)} bytes, at least 16 are required",
+            )
         )
     return secret
 
 
-def _agree(
-    body: Checked,
-    ops: tuple[ServedOp, ...],
-    pilots: tuple[PilotPlace, ...],
-    store: Optional[StorePlace],
-    rules: Guarantees,
-    proxy: ProxyTerms,
+def _check_consistency(
+    body: CheckedBlock,
+    ops: tuple[OpTypeSettings, ...],
+    pilots: tuple[PilotSettings, ...],
+    store: Optional[StoreSettings],
+    rules: RuleSettings,
+    proxy: ProxySettings,
     path: str,
     problems: list[Problem],
 ) -> None:
-    """What is well formed in itself and yet does not fit together."""
+    """Reports settings that are valid on their own but contradict each other."""
 
-    def wrong(line: int, what: str) -> None:
-        problems.append(Problem(path, line, what))
+    def report(line: int, message: str) -> None:
+        problems.append(Problem(path, line, message))
 
     for op, block in zip(ops, body.blocks["op_type"]):
         if op.op_timeout < op.target_latency:
-            wrong(block.lines["op_timeout"], f"op_timeout is under the target_latency of {op.name!r}")
+            report(block.lines["op_timeout"], f"op_timeout is under the target_latency of {op.name!r}")
         if op.writes and body["single_owner"] and body["slices"] and proxy.in_flight_most < op.op_timeout:
-            wrong(
+            report(
                 body.blocks["proxy"][0].lines["in_flight_most"],
-                f"in_flight_most is under the op_timeout of {op.name!r}, which writes: a write may outlast it",
+                f"in_flight_most is under the op_timeout of {op.name!r}, which writes: "
+                "a write may outlast it",
             )
     if body["slices"] and store is None:
-        wrong(body.line, "a deployment with slices needs a block store")
+        report(body.line, "a deployment with slices needs a block store")
     if store is not None and store.embedded and len(pilots) > 1:
-        wrong(
+        report(
             body.blocks["store"][0].lines["embedded"],
             f"an embedded store serves one pilot, there are {len(pilots)}",
         )
     if store is not None and store.session_lease < 2 * proxy.lease // 4:
-        wrong(body.blocks["store"][0].lines["session_lease"], "session_lease is under half a proxy's lease")
-    if rules.drain_grace <= proxy.connect_most + body_transit(body):
-        wrong(
+        report(body.blocks["store"][0].lines["session_lease"], "session_lease is under half a proxy's lease")
+    if rules.drain_grace <= proxy.connect_most + _max_transit_us(body):
+        report(
             body.line,
-            "drain_grace does not exceed connect_most and transit_most together: no drain could be kept",
+            "drain_grace does not exceed the sum of connect_most and transit_most: "
+            "no endpoint could drain in time",
         )
     for block in body.blocks["roster"]:
-        if rules.drain_grace - block["hold"] <= proxy.connect_most + body_transit(body):
-            wrong(
+        if rules.drain_grace - block["hold"] <= proxy.connect_most + _max_transit_us(body):
+            report(
                 block.lines["hold"],
-                "hold leaves no time for a drain: drain_grace less hold does not exceed connect_most and "
-                "transit_most together",
+                "hold leaves no time for a drain: drain_grace minus hold does not exceed the sum of "
+                "connect_most and transit_most",
             )
     zones = set(body["zones"])
-    for place, block in zip(pilots, body.blocks["pilot"]):
-        if place.zone and place.zone not in zones:
-            wrong(
+    for settings, block in zip(pilots, body.blocks["pilot"]):
+        if settings.zone and settings.zone not in zones:
+            report(
                 block.lines["zone"],
-                f"zone {place.zone!r} is none of {', '.join(sorted(zones)) or 'the zones (none)'}",
+                f"zone {settings.zone!r} is none of {', '.join(sorted(zones)) or 'the zones (none)'}",
             )
     for block in body.blocks["learn"]:
         for name in block["from"]:
-            if name not in {place.name for place in pilots}:
-                wrong(block.lines["from"], f"from names {name!r}, which is no pilot")
-    _agree_on_gossip(body, pilots, wrong)
-    doors: dict[Address, str] = {}
-    doors_wanted: list[tuple[Optional[Address], str, int]] = []
-    for place, block in zip(pilots, body.blocks["pilot"]):
-        doors_wanted += [
-            (place.listen, f"pilot {place.name}", block.line),
-            (place.admin, f"admin of {place.name}", block.line),
+            if name not in {settings.name for settings in pilots}:
+                report(block.lines["from"], f"from names {name!r}, which is not a pilot")
+    _check_gossip_addresses(body, pilots, report)
+    owner_by_address: dict[Address, str] = {}
+    configured_addresses: list[tuple[Optional[Address], str, int]] = []
+    for settings, block in zip(pilots, body.blocks["pilot"]):
+        configured_addresses += [
+            (settings.listen, f"pilot {settings.name}", block.line),
+            (settings.admin, f"admin of {settings.name}", block.line),
         ]
     if store is not None:
-        doors_wanted.append((store.listen, "store", body.blocks["store"][0].line))
-    for door, who, line in doors_wanted:
-        if door is not None and door[1]:
-            if door in doors:
-                wrong(line, f"{door[0]}:{door[1]} is the address of {doors[door]} and of {who}")
-            doors[door] = who
+        configured_addresses.append((store.listen, "store", body.blocks["store"][0].line))
+    for address, owner, line in configured_addresses:
+        if address is not None and address[1]:
+            if address in owner_by_address:
+                report(
+                    line,
+                    f"{address[0]}:{address[1]} is the address of {owner_by_address[address]} and of {owner}",
+                )
+            owner_by_address[address] = owner
 
 
-def _agree_on_gossip(
-    body: Checked, pilots: tuple[PilotPlace, ...], wrong: Callable[[int, str], None]
+def _check_gossip_addresses(
+    body: CheckedBlock, pilots: tuple[PilotSettings, ...], report: Callable[[int, str], None]
 ) -> None:
-    """All pilots have an address for it, or none has; no two the same one. Datagrams and streams share its port."""
-    planned = bool(body.blocks["membership"])
-    seen: dict[Address, str] = {}
-    for place, block in zip(pilots, body.blocks["pilot"]):
-        if planned and place.gossip is None:
-            wrong(
-                block.line, f"pilot {place.name!r} has no gossip address, which the block membership asks for"
+    """Checks that all pilots or none have a gossip address, and that each address is used once.
+
+    Gossip uses datagrams and streams on the same port.
+    """
+    enabled = bool(body.blocks["membership"])
+    name_by_address: dict[Address, str] = {}
+    for settings, block in zip(pilots, body.blocks["pilot"]):
+        if enabled and settings.gossip is None:
+            report(
+                block.line,
+                f"pilot {settings.name!r} has no gossip address, which the block membership requires",
             )
-        if place.gossip is not None and not planned:
-            wrong(block.lines["gossip"], "gossip has no meaning without a block membership")
-        if place.gossip is not None and place.gossip in seen:
-            wrong(block.lines["gossip"], f"gossip of {place.name!r} is that of {seen[place.gossip]!r} too")
-        if place.gossip is not None:
-            seen[place.gossip] = place.name
-            if place.gossip in (place.listen, place.admin):
-                wrong(block.lines["gossip"], f"gossip of {place.name!r} is its listen or admin address")
+        if settings.gossip is not None and not enabled:
+            report(block.lines["gossip"], "gossip has no meaning without a block membership")
+        if settings.gossip is not None and settings.gossip in name_by_address:
+            report(
+                block.lines["gossip"],
+                f"gossip of {settings.name!r} is also that of {name_by_address[settings.gossip]!r}",
+            )
+        if settings.gossip is not None:
+            name_by_address[settings.gossip] = settings.name
+            if settings.gossip in (settings.listen, settings.admin):
+                report(block.lines["gossip"], f"gossip of {settings.name!r} is its listen or admin address")
 
 
-def body_transit(body: Checked) -> int:
-    return _only(body, "channel", CHANNEL)["transit_most"]
+def _max_transit_us(body: CheckedBlock) -> int:
+    return _optional_block(body, "channel", CHANNEL_SCHEMA)["transit_most"]
 
 
-def changes(old: Deployment, new: Deployment) -> tuple[list[str], list[str]]:
-    """What differs: (what a running pilot may take over, what it must refuse), by name."""
-    may = {"intake_per_s", "proxies_most", "listed"}
-    differing = [
+def diff_settings(old: Deployment, new: Deployment) -> tuple[list[str], list[str]]:
+    """Names the settings that differ: (those a running pilot can reload, those that need a restart)."""
+    reloadable = {"intake_per_s", "proxies_most", "listed"}
+    changed = [
         name
         for name in old.__dataclass_fields__
         if name != "file" and getattr(old, name) != getattr(new, name)
     ]
-    return [name for name in differing if name in may], [name for name in differing if name not in may]
+    return [name for name in changed if name in reloadable], [
+        name for name in changed if name not in reloadable
+    ]
 
 
-__all__ = ["Any", "Deployment", "FileRefused", "changes", "load"]
+__all__ = ["Any", "Deployment", "InvalidFile", "diff_settings", "load"]
--- a/cedarshift/deployment/hcl.py
+++ b/cedarshift/deployment/hcl.py
@@ -1,6 +1,6 @@
-"""HCL to checked values. A `Shape` lists the attributes and blocks that may stand in a body; `check` tells all that is wrong.
+"""Parses HCL and validates it against schemas.
 
-Parsed by python-hcl2; its parse tree is read rather than its dicts, since only the tree knows the lines.
+The parse tree of python-hcl2 is read rather than its dicts, because only the tree has line numbers.
 """
 
 from __future__ import annotations
@@ -12,158 +12,168 @@
 import hcl2
 import lark
 
-from cedarshift.deployment.refused import FileRefused, Problem
+from cedarshift.deployment.refused import InvalidFile, Problem
 
-UNITS = {"us": 1, "ms": 1_000, "s": 1_000_000, "m": 60_000_000}
-SPAN = re.compile(r"^(\d+(?:\.\d+)?)(us|ms|s|m)$")
+US_PER_UNIT = {"us": 1, "ms": 1_000, "s": 1_000_000, "m": 60_000_000}
+DURATION_PATTERN = re.compile(r"^(\d+(?:\.\d+)?)(us|ms|s|m)$")
 
 
 class Value(NamedTuple):
+    """The value of an attribute and its line."""
+
     line: int
     value: Any
 
 
 @dataclass
 class Block:
+    """A parsed block with its labels, attributes and inner blocks.
+
+    `duplicates`: a problem for each attribute that is set twice.
+    """
+
     kind: str
     labels: list[str]
     line: int
     attributes: dict[str, Value] = field(default_factory=dict)
     blocks: list[Block] = field(default_factory=list)
-    twice: list[Problem] = field(default_factory=list)
-
+    duplicates: list[Problem] = field(default_factory=list)
 
-# ---- kinds of values: each gives (checked value, "") or (None, what is allowed)
 
+# Returns (checked value, "") for a valid value, else (None, a description of what is allowed).
 Check = Callable[[Any], tuple[Any, str]]
 
 
-def span(least: int = 0, most: int = 3_600_000_000) -> Check:
-    """A time such as "250ms" or "1.5s", as whole us."""
-    allowed = f'a time such as "250ms" or "1.5s", from {least} us to {most} us'
+def duration(minimum: int = 0, maximum: int = 3_600_000_000) -> Check:
+    """Accepts a time such as "250ms" or "1.5s" and converts it to integer microseconds."""
+    allowed = f'a time such as "250ms" or "1.5s", from {minimum} us to {maximum} us'
 
     def check(raw: Any) -> tuple[Any, str]:
-        got = SPAN.match(raw) if isinstance(raw, str) else None
-        us = round(float(got[1]) * UNITS[got[2]]) if got else -1
-        return (us, "") if got and least <= us <= most else (None, allowed)
+        match = DURATION_PATTERN.match(raw) if isinstance(raw, str) else None
+        us = round(float(match[1]) * US_PER_UNIT[match[2]]) if match else -1
+        return (us, "") if match and minimum <= us <= maximum else (None, allowed)
 
     return check
 
 
-def whole(least: int = 0, most: int = 1 << 31) -> Check:
+def integer(minimum: int = 0, maximum: int = 1 << 31) -> Check:
     return lambda raw: (
         (raw, "")
-        if type(raw) is int and least <= raw <= most
-        else (None, f"a whole number from {least} to {most}")
+        if type(raw) is int and minimum <= raw <= maximum
+        else (None, f"an integer from {minimum} to {maximum}")
     )
 
 
-def number(least: float = 0.0, most: float = 1e12) -> Check:
+def number(minimum: float = 0.0, maximum: float = 1e12) -> Check:
     return lambda raw: (
         (float(raw), "")
-        if type(raw) in (int, float) and least <= raw <= most
-        else (None, f"a number from {least:g} to {most:g}")
+        if type(raw) in (int, float) and minimum <= raw <= maximum
+        else (None, f"a number from {minimum:g} to {maximum:g}")
     )
 
 
-def flag(raw: Any) -> tuple[Any, str]:
+def boolean(raw: Any) -> tuple[Any, str]:
     return (raw, "") if type(raw) is bool else (None, "true or false")
 
 
-def text(raw: Any) -> tuple[Any, str]:
-    return (raw, "") if isinstance(raw, str) and raw else (None, "a text that is not empty")
+def string(raw: Any) -> tuple[Any, str]:
+    return (raw, "") if isinstance(raw, str) and raw else (None, "a non-empty string")
 
 
 def choice(*names: str) -> Check:
     return lambda raw: (raw, "") if raw in names else (None, "one of " + ", ".join(f'"{n}"' for n in names))
 
 
-def texts(raw: Any) -> tuple[Any, str]:
-    fits = isinstance(raw, list) and all(isinstance(one, str) and one for one in raw)
-    return (list(raw), "") if fits and len(set(raw)) == len(raw) else (None, "a list of different texts")
+def strings(raw: Any) -> tuple[Any, str]:
+    valid = isinstance(raw, list) and all(isinstance(item, str) and item for item in raw)
+    return (list(raw), "") if valid and len(set(raw)) == len(raw) else (None, "a list of different strings")
 
 
 def address(raw: Any) -> tuple[Any, str]:
-    """ "host:port" as a pair."""
-    got = re.match(r"^([A-Za-z0-9.\-]+):(\d{1,5})$", raw) if isinstance(raw, str) else None
-    fits = got and int(got[2]) <= 65_535
-    return ((got[1], int(got[2])), "") if got and fits else (None, 'an address such as "127.0.0.1:7100"')
+    """Accepts "host:port" and converts it to a pair."""
+    match = re.match(r"^([A-Za-z0-9.\-]+):(\d{1,5})$", raw) if isinstance(raw, str) else None
+    valid = match and int(match[2]) <= 65_535
+    return (
+        ((match[1], int(match[2])), "") if match and valid else (None, 'an address such as "127.0.0.1:7100"')
+    )
 
 
 def addresses(raw: Any) -> tuple[Any, str]:
-    """A list of different "host:port", one at least."""
-    found = [address(one)[0] for one in raw] if isinstance(raw, list) else []
-    fits = found and None not in found and len(set(found)) == len(found)
-    return (found, "") if fits else (None, 'a list of different addresses such as ["127.0.0.1:2181"]')
+    """Accepts a list of at least one "host:port" without repetitions."""
+    pairs = [address(item)[0] for item in raw] if isinstance(raw, list) else []
+    valid = pairs and None not in pairs and len(set(pairs)) == len(pairs)
+    return (pairs, "") if valid else (None, 'a list of different addresses such as ["127.0.0.1:2181"]')
 
 
-MUST = object()  # an attribute without a default
+REQUIRED = object()  # in place of a default: the attribute must be set
 
 
 @dataclass
-class Shape:
-    """What may stand in a body. `attributes`: name -> (check, default); `blocks`: kind -> (shape, labels, least, most)."""
+class Schema:
+    """The attributes and blocks that a body may have.
+
+    `attributes`: name -> (check, default); `blocks`: kind -> (schema, number of labels, minimum, maximum).
+    """
 
     attributes: dict[str, tuple[Check, Any]]
-    blocks: dict[str, tuple[Shape, int, int, int]] = field(default_factory=dict)
+    blocks: dict[str, tuple[Schema, int, int, int]] = field(default_factory=dict)
 
 
 @dataclass
-class Checked:
-    """A body that has been checked: values by name with their lines, blocks by kind."""
+class CheckedBlock:
+    """A validated body: values and their lines by name, inner blocks by kind."""
 
     labels: list[str]
     line: int
     values: dict[str, Any]
     lines: dict[str, int]
-    blocks: dict[str, list[Checked]]
+    blocks: dict[str, list[CheckedBlock]]
 
     def __getitem__(self, name: str) -> Any:
         return self.values[name]
 
 
-# ---- reading
-
-
 def parse(source: str, name: str) -> Block:
-    """The file as a block without labels. Raises FileRefused with the place of a syntax error."""
+    """Parses a file to a block without labels. Raises InvalidFile with the line of a syntax error."""
     try:
         tree = hcl2.parses_to_tree(source if source.endswith("\n") else source + "\n")
     except lark.exceptions.UnexpectedInput as error:
         line = error.line if isinstance(error.line, int) and error.line > 0 else source.count("\n") + 1
         found = getattr(error, "token", None) or getattr(error, "char", "")
-        raise FileRefused([Problem(name, line, f"this is not HCL: found {str(found)!r}")]) from None
+        raise InvalidFile([Problem(name, line, f"this is not HCL: found {str(found)!r}")]) from None
     top = Block("", [], 1)
-    _body(next(c for c in tree.children if c.data == "body"), top, name)
+    _read_body(next(c for c in tree.children if c.data == "body"), top, name)
     return top
 
 
-def _body(body: lark.Tree, into: Block, file: str) -> None:
+def _read_body(body: lark.Tree, into: Block, file: str) -> None:
     for child in body.children:
         if child.data == "attribute":
             name = str(child.children[0].children[0])
             if name in into.attributes:
-                into.twice.append(Problem(file, child.meta.line, f"{name} is set twice"))
-            into.attributes[name] = Value(child.meta.line, _value(child.children[-1], file))
+                into.duplicates.append(Problem(file, child.meta.line, f"{name} is set twice"))
+            into.attributes[name] = Value(child.meta.line, _read_value(child.children[-1], file))
         elif child.data == "block":
-            into.blocks.append(_block(child, file))
+            into.blocks.append(_read_block(child, file))
 
 
-def _block(block: lark.Tree, file: str) -> Block:
+def _read_block(block: lark.Tree, file: str) -> Block:
     names = [
-        _name(c) for c in block.children if isinstance(c, lark.Tree) and c.data in ("identifier", "string")
+        _read_name(c)
+        for c in block.children
+        if isinstance(c, lark.Tree) and c.data in ("identifier", "string")
     ]
-    made = Block(names[0], names[1:], block.meta.line)
-    _body(next(c for c in block.children if isinstance(c, lark.Tree) and c.data == "body"), made, file)
-    return made
+    result = Block(names[0], names[1:], block.meta.line)
+    _read_body(next(c for c in block.children if isinstance(c, lark.Tree) and c.data == "body"), result, file)
+    return result
 
 
-def _name(node: lark.Tree) -> str:
-    return str(node.children[0]) if node.data == "identifier" else _value(node, "")
+def _read_name(node: lark.Tree) -> str:
+    return str(node.children[0]) if node.data == "identifier" else _read_value(node, "")
 
 
-def _value(node: Any, file: str) -> Any:
-    """A literal. Raises FileRefused on expressions: a deployment file states, it does not compute."""
+def _read_value(node: Any, file: str) -> Any:
+    """Converts a literal. Raises InvalidFile for expressions."""
     kind = node.data
     inner: list[Any] = [
         c for c in node.children if isinstance(c, lark.Tree) and c.data != "new_line_or_comment"
@@ -173,13 +183,13 @@
         and len(inner) == 1
         and len(node.children) == len([c for c in node.children if isinstance(c, lark.Tree)])
     ):
-        return _value(inner[0], file)
+        return _read_value(inner[0], file)
     if kind == "int_lit":
         return int(node.children[0])
     if kind == "float_lit":
         return float(node.children[0])
     if kind == "unary_op" and str(node.children[0]) == "-":
-        return -_value(inner[0], file)
+        return -_read_value(inner[0], file)
     if kind == "literal_value":
         return {"true": True, "false": False}.get(str(node.children[0]))
     if kind == "string" and all(
@@ -188,82 +198,94 @@
     ):
         return "".join(str(part.children[0]) for part in inner).replace('\\"', '"').replace("\\\\", "\\")
     if kind == "tuple":
-        return [_value(c, file) for c in inner]
-    raise FileRefused([Problem(file, node.meta.line, f"{kind} is not allowed, only plain values are")])
-
+        return [_read_value(c, file) for c in inner]
+    raise InvalidFile([Problem(file, node.meta.line, f"{kind} is not allowed, only plain values are")])
 
-# ---- checking
 
+def check(block: Block, schema: Schema, file: str, problems: list[Problem], where: str = "") -> CheckedBlock:
+    """Validates a body against a schema.
 
-def check(block: Block, shape: Shape, file: str, problems: list[Problem], where: str = "") -> Checked:
-    """Holds a body against a shape; what is wrong is appended to `problems`, with defaults in its place."""
-    made = Checked(block.labels, block.line, {}, {}, {})
-    problems += block.twice
-    for name, given in block.attributes.items():
-        if name not in shape.attributes:
+    Errors are appended to `problems`; an invalid or missing value is replaced by its default.
+    """
+    checked = CheckedBlock(block.labels, block.line, {}, {}, {})
+    problems += block.duplicates
+    for name, attribute in block.attributes.items():
+        if name not in schema.attributes:
             problems.append(
                 Problem(
                     file,
-                    given.line,
+                    attribute.line,
                     f"{name} is unknown{where}; known: "
-                    f"{', '.join(sorted(shape.attributes)) or 'no attributes'}",
+                    f"{', '.join(sorted(schema.attributes)) or 'no attributes'}",
                 )
             )
-    for name, (test, default) in shape.attributes.items():
+    for name, (check_value, default) in schema.attributes.items():
         raw = block.attributes.get(name)
-        made.lines[name] = raw.line if raw else block.line
-        made.values[name] = None if default is MUST else default
+        checked.lines[name] = raw.line if raw else block.line
+        checked.values[name] = None if default is REQUIRED else default
         if raw is not None:
-            value, allowed = test(raw.value)
+            value, allowed = check_value(raw.value)
             if allowed:
                 problems.append(
-                    Problem(file, raw.line, f"{name} = {_shown(raw.value)}{where}: {allowed} is allowed")
+                    Problem(
+                        file, raw.line, f"{name} = {_format_value(raw.value)}{where}: {allowed} is allowed"
+                    )
                 )
             else:
-                made.values[name] = value
-        elif default is MUST:
+                checked.values[name] = value
+        elif default is REQUIRED:
             problems.append(Problem(file, block.line, f"{name} is missing{where}"))
-    _check_blocks(block, shape, file, problems, where, made)
-    return made
+    _check_blocks(block, schema, file, problems, where, checked)
+    return checked
 
 
 def _check_blocks(
-    block: Block, shape: Shape, file: str, problems: list[Problem], where: str, made: Checked
+    block: Block, schema: Schema, file: str, problems: list[Problem], where: str, checked: CheckedBlock
 ) -> None:
     for inner in block.blocks:
-        if inner.kind not in shape.blocks:
+        if inner.kind not in schema.blocks:
             problems.append(
                 Problem(
                     file,
                     inner.line,
                     f"block {inner.kind} is unknown{where}; known: "
-                    f"{', '.join(sorted(shape.blocks)) or 'no blocks'}",
+                    f"{', '.join(sorted(schema.blocks)) or 'no blocks'}",
                 )
             )
             continue
-        below, labels, _, _ = shape.blocks[inner.kind]
+        inner_schema, labels, _, _ = schema.blocks[inner.kind]
         if len(inner.labels) != labels:
             problems.append(
                 Problem(
-                    file, inner.line, f"block {inner.kind} has {len(inner.labels)} names, {labels} wanted"
+                    file, inner.line, f"block {inner.kind} has {len(inner.labels)} names, {labels} required"
                 )
             )
             continue
-        place = " in " + " ".join([inner.kind] + [f'"{label}"' for label in inner.labels])
-        made.blocks.setdefault(inner.kind, []).append(check(inner, below, file, problems, place))
-    for kind, (_, labels, least, most) in shape.blocks.items():
-        got = made.blocks.setdefault(kind, [])
-        if not least <= len(got) <= most and sum(b.kind == kind for b in block.blocks) == len(got):
+        context = " in " + " ".join([inner.kind] + [f'"{label}"' for label in inner.labels])
+        checked.blocks.setdefault(inner.kind, []).append(check(inner, inner_schema, file, problems, context))
+    for kind, (_, labels, minimum, maximum) in schema.blocks.items():
+        found = checked.blocks.setdefault(kind, [])
+        if not minimum <= len(found) <= maximum and sum(child.kind == kind for child in block.blocks) == len(
+            found
+        ):
             problems.append(
-                Problem(file, block.line, f"{len(got)} blocks {kind}{where}, {least} to {most} wanted")
+                Problem(
+                    file, block.line, f"{len(found)} blocks {kind}{where}, {minimum} to {maximum} required"
+                )
             )
-        names = [tuple(one.labels) for one in got]
-        for one in got:
-            if labels and names.count(tuple(one.labels)) > 1:
-                problems.append(Problem(file, one.line, f"{kind} {one.labels[0]!r} stands twice{where}"))
+        names = [tuple(checked_block.labels) for checked_block in found]
+        for checked_block in found:
+            if labels and names.count(tuple(checked_block.labels)) > 1:
+                problems.append(
+                    Problem(
+                        file,
+                        checked_block.line,
+                        f"{kind} {checked_block.labels[0]!r} is declared twice{where}",
+                    )
+                )
 
 
-def _shown(value: Union[str, Any]) -> str:
+def _format_value(value: Union[str, Any]) -> str:
     shown = (
         f'"{value}"'
         if isinstance(value, str)
@@ -277,12 +299,12 @@
 __all__ = [
     "Block",
     "Check",
-    "Checked",
-    "FileRefused",
-    "MUST",
+    "CheckedBlock",
+    "InvalidFile",
+    "REQUIRED",
     "Optional",
     "Problem",
-    "Shape",
+    "Schema",
     "check",
     "parse",
 ]
--- a/cedarshift/deployment/refused.py
+++ b/cedarshift/deployment/refused.py
@@ -1,4 +1,4 @@
-"""What is wrong with a file, and where: apart from the readers, so that telling of it needs none of their libraries."""
+"""Errors of a configuration file, in a module of their own so that handling them needs no parser library."""
 
 from __future__ import annotations
 
@@ -6,17 +6,19 @@
 
 
 class Problem(NamedTuple):
+    """An error at a line of a file."""
+
     file: str
     line: int
-    what: str
+    message: str
 
     def __str__(self) -> str:
-        return f"{self.file}:{self.line}: {self.what}"
+        return f"{self.file}:{self.line}: {self.message}"
 
 
-class FileRefused(Exception):
-    """A file with problems; `problems` holds all of them."""
+class InvalidFile(Exception):
+    """Raised for a file with errors; `problems` holds all of them."""
 
     def __init__(self, problems: list[Problem]) -> None:
-        super().__init__("\n".join(str(p) for p in problems))
+        super().__init__("\n".join(str(problem) for problem in problems))
         self.problems = problems
--- a/cedarshift/deployment/render.py
+++ b/cedarshift/deployment/render.py
@@ -1,4 +1,4 @@
-"""A deployment as the text of a deployment file: what `load` reads back as the same."""
+"""Renders a deployment as the text of a deployment file, which `load` reads back unchanged."""
 
 from __future__ import annotations
 
@@ -6,71 +6,75 @@
 from typing import Any
 
 from cedarshift.deployment.deployment import (
-    BUDGET,
-    CHANNEL,
-    LIST,
-    OP_TYPE,
-    PILOT,
-    PROXY,
-    RULES,
-    STORE,
+    BUDGET_SCHEMA,
+    CHANNEL_SCHEMA,
+    LIST_SCHEMA,
+    OP_TYPE_SCHEMA,
+    PILOT_SCHEMA,
+    PROXY_SCHEMA,
+    RULES_SCHEMA,
+    STORE_SCHEMA,
     Deployment,
-    LearnTerms,
-    ListSource,
+    LearningSettings,
+    ListSettings,
 )
-from cedarshift.deployment.hcl import Shape
+from cedarshift.deployment.hcl import Schema
 
 
-def render(d: Deployment, secret_file: str = "") -> str:
-    """`secret_file` has to hold the deployment's secret where it has one."""
-    out = [f'deployment "{d.name}" {{']
+def render(deployment: Deployment, secret_file: str = "") -> str:
+    """Renders a deployment. `secret_file`: the file that contains its secret, if it has one."""
+    lines = [f'deployment "{deployment.name}" {{']
     for name in ("slices", "zones", "single_owner", "pick", "levels", "intake_per_s", "proxies_most"):
-        out.append(f"  {name} = {_literal(getattr(d, name))}")
+        lines.append(f"  {name} = {_literal(getattr(deployment, name))}")
     if secret_file:
-        out.append(f"  secret_file = {_literal(secret_file)}")
-    for op in d.op_types:
-        out += _block(f'op_type "{op.name}"', OP_TYPE, op)
-    for place in d.pilots:
-        out += _block(f'pilot "{place.name}"', PILOT, place)
-    if d.store is not None:
-        out += _block("store", STORE, d.store)
-    out += _roster(d.listed) if d.listed.nodes is not None else _block("list", LIST, d.listed)
-    for kind, shape, body in (
-        ("channel", CHANNEL, d.channel),
-        ("proxy", PROXY, d.proxy),
-        ("rules", RULES, d.rules),
+        lines.append(f"  secret_file = {_literal(secret_file)}")
+    for op in deployment.op_types:
+        lines += _render_block(f'op_type "{op.name}"', OP_TYPE_SCHEMA, op)
+    for pilot in deployment.pilots:
+        lines += _render_block(f'pilot "{pilot.name}"', PILOT_SCHEMA, pilot)
+    if deployment.store is not None:
+        lines += _render_block("store", STORE_SCHEMA, deployment.store)
+    lines += (
+        _render_roster(deployment.listed)
+        if deployment.listed.nodes is not None
+        else _render_block("list", LIST_SCHEMA, deployment.listed)
+    )
+    for kind, schema, body in (
+        ("channel", CHANNEL_SCHEMA, deployment.channel),
+        ("proxy", PROXY_SCHEMA, deployment.proxy),
+        ("rules", RULES_SCHEMA, deployment.rules),
     ):
-        out += _block(kind, shape, body)
-    if d.membership is not None:
-        out += ["  membership {", f'    period = "{d.membership.period}us"', "  }"]
-    if d.budgets is not None:
-        b = d.budgets
-        out += [
+        lines += _render_block(kind, schema, body)
+    if deployment.membership is not None:
+        lines += ["  membership {", f'    period = "{deployment.membership.period}us"', "  }"]
+    if deployment.budgets is not None:
+        budgets = deployment.budgets
+        lines += [
             "  budgets {",
-            f'    lease = "{b.lease}us"',
-            f'    proxy_lease = "{b.proxy_lease}us"',
-            f"    clock_drift = {b.clock_drift!r}",
-            f"    claim_cold = {_literal(b.claim_cold)}",
+            f'    lease = "{budgets.lease}us"',
+            f'    proxy_lease = "{budgets.proxy_lease}us"',
+            f"    clock_drift = {budgets.clock_drift!r}",
+            f"    claim_cold = {_literal(budgets.claim_cold)}",
         ]
-        for name, plan in b.named.items():
-            rows = _block(f'budget "{name}"', BUDGET, plan)
-            out += ["  " + row for row in rows if not row.endswith((" = 0", " = 0.0", '"0us"'))]
-        out.append("  }")
-    if d.overload is not None:
-        out += [
+        for name, budget in budgets.named.items():
+            rows = _render_block(f'budget "{name}"', BUDGET_SCHEMA, budget)
+            lines += ["  " + row for row in rows if not row.endswith((" = 0", " = 0.0", '"0us"'))]
+        lines.append("  }")
+    if deployment.overload is not None:
+        lines += [
             "  overload {",
             *(
                 f'    op "{name}" {{\n      cost = {cost!r}\n    }}'
-                for name, cost in d.overload.costs.items()
+                for name, cost in deployment.overload.costs.items()
             ),
             "  }",
         ]
-    if d.learn is not None:
-        out += _learn(d.learn)
-    return "\n".join(out + ["}", ""])
+    if deployment.learn is not None:
+        lines += _render_learning(deployment.learn)
+    return "\n".join(lines + ["}", ""])
 
 
-def _roster(listed: ListSource) -> list[str]:
+def _render_roster(listed: ListSettings) -> list[str]:
     nodes = listed.nodes
     assert nodes is not None
     servers = ", ".join(_literal(address) for address in nodes.servers)
@@ -93,10 +97,10 @@
     return ['  roster "zookeeper" {', *rows, "  }"]
 
 
-def _learn(learn: LearnTerms) -> list[str]:
+def _render_learning(learn: LearningSettings) -> list[str]:
     rows = [
         f"    from = {_literal(learn.sources)}",
-        f'    for = "{learn.span}us"',
+        f'    for = "{learn.duration}us"',
         f"    lend_share = {learn.lend_share!r}",
         f"    compress = {_literal(learn.compress)}",
     ]
@@ -104,12 +108,14 @@
     return ["  learn {", *rows, "  }"]
 
 
-def _block(title: str, shape: Shape, body: Any) -> list[str]:
-    spans = {name for name, (test, _) in shape.attributes.items() if test.__qualname__.startswith("span.")}
+def _render_block(title: str, schema: Schema, body: Any) -> list[str]:
+    duration_names = {
+        name for name, (test, _) in schema.attributes.items() if test.__qualname__.startswith("duration.")
+    }
     rows = []
     for name, value in dataclasses.asdict(body).items():
-        if name in shape.attributes and value not in (None, ""):
-            rows.append(f"    {name} = " + (f'"{value}us"' if name in spans else _literal(value)))
+        if name in schema.attributes and value not in (None, ""):
+            rows.append(f"    {name} = " + (f'"{value}us"' if name in duration_names else _literal(value)))
     return [f"  {title} {{", *rows, "  }"]
 
 
--- a/cedarshift/load/plan.py
+++ b/cedarshift/load/plan.py
@@ -6,58 +6,58 @@
 from typing import Any, NamedTuple
 
 from cedarshift.deployment import hcl
-from cedarshift.deployment.hcl import MUST, Checked, FileRefused, Problem
+from cedarshift.deployment.hcl import REQUIRED, CheckedBlock, InvalidFile, Problem
 from cedarshift.load import trace as traces
 from cedarshift.load.arrivals import KEYS_MOST, LoadPlan, OpMix, Shape
 
-AT = {"at": (hcl.span(), 0), "for": (hcl.span(1_000), MUST)}
+AT = {"at": (hcl.duration(), 0), "for": (hcl.duration(1_000), REQUIRED)}
 SHAPES: dict[str, dict[str, Any]] = {
-    "ramp": {**AT, "from": (hcl.number(0, 1000), 1.0), "to": (hcl.number(0, 1000), MUST)},
-    "wave": {**AT, "depth": (hcl.number(0, 1), MUST), "period": (hcl.span(10_000), MUST)},
-    "burst": {**AT, "times": (hcl.number(0, 1000), MUST)},
-    "hot_key": {**AT, "share": (hcl.number(0, 1), MUST)},
-    "shift": {**AT, "share": (hcl.number(0, 1), MUST), "target": (hcl.whole(0, 10_000), MUST)},
-    "mix": {**AT, "op_types": (hcl.texts, MUST), "shares": (lambda raw: _shares(raw), MUST)},
+    "ramp": {**AT, "from": (hcl.number(0, 1000), 1.0), "to": (hcl.number(0, 1000), REQUIRED)},
+    "wave": {**AT, "depth": (hcl.number(0, 1), REQUIRED), "period": (hcl.duration(10_000), REQUIRED)},
+    "burst": {**AT, "times": (hcl.number(0, 1000), REQUIRED)},
+    "hot_key": {**AT, "share": (hcl.number(0, 1), REQUIRED)},
+    "shift": {**AT, "share": (hcl.number(0, 1), REQUIRED), "target": (hcl.integer(0, 10_000), REQUIRED)},
+    "mix": {**AT, "op_types": (hcl.strings, REQUIRED), "shares": (lambda raw: _shares(raw), REQUIRED)},
 }
-OP = hcl.Shape(
+OP = hcl.Schema(
     {
         "share": (hcl.number(0, 1000), 1.0),
-        "op_timeout": (hcl.span(1_000), 6_000_000),
-        "work": (hcl.span(), 100_000),
+        "op_timeout": (hcl.duration(1_000), 6_000_000),
+        "work": (hcl.duration(), 100_000),
     }
 )
-TRACE = hcl.Shape(
+TRACE = hcl.Schema(
     {
-        "file": (hcl.text, MUST),
+        "file": (hcl.string, REQUIRED),
         "unit": (hcl.choice(*traces.UNITS), "s"),
-        "gap_most": (hcl.span(1_000), 60_000_000),
+        "gap_most": (hcl.duration(1_000), 60_000_000),
         "gaps": (hcl.choice("keep", "close", "refuse"), "keep"),
         "back": (hcl.choice("sort", "drop", "refuse"), "sort"),
         "empty": (hcl.choice("drop", "refuse"), "refuse"),
         "speed": (hcl.number(0.001, 1000), 1.0),
     }
 )
-LOAD = hcl.Shape(
+LOAD = hcl.Schema(
     {
-        "targets": (hcl.addresses, MUST),
+        "targets": (hcl.addresses, REQUIRED),
         "rate": (hcl.number(0.01, 1_000_000), 100.0),
-        "length": (hcl.span(100_000), 10_000_000),
-        "workers": (hcl.whole(1, 64), 1),
-        "seed": (hcl.whole(), 1),
+        "length": (hcl.duration(100_000), 10_000_000),
+        "workers": (hcl.integer(1, 64), 1),
+        "seed": (hcl.integer(), 1),
         "arrivals": (hcl.choice("poisson", "bursty", "heavy", "even"), "poisson"),
         "burst_times": (hcl.number(1, 1000), 4.0),
-        "burst_span": (hcl.span(1_000), 500_000),
-        "calm_span": (hcl.span(1_000), 2_000_000),
+        "burst_span": (hcl.duration(1_000), 500_000),
+        "calm_span": (hcl.duration(1_000), 2_000_000),
         "tail": (hcl.number(1.05, 10), 1.6),
-        "keys": (hcl.whole(1, KEYS_MOST), 2_000),
+        "keys": (hcl.integer(1, KEYS_MOST), 2_000),
         "zipf": (hcl.number(0, 5), 0.8),
-        "clients": (hcl.whole(1, 100_000), 50),
+        "clients": (hcl.integer(1, 100_000), 50),
         "sizes_cv": (hcl.number(0, 10), 0.6),
         "work_cv": (hcl.number(0, 10), 0.5),
     },
-    {"op_type": (OP, 1, 1, 64), "shape": (hcl.Shape({}), 1, 0, 100), "trace": (TRACE, 0, 0, 1)},
+    {"op_type": (OP, 1, 1, 64), "shape": (hcl.Schema({}), 1, 0, 100), "trace": (TRACE, 0, 0, 1)},
 )
-FILE = hcl.Shape({}, {"load": (LOAD, 1, 1, 1)})
+FILE = hcl.Schema({}, {"load": (LOAD, 1, 1, 1)})
 
 
 class LoadFile(NamedTuple):
@@ -82,21 +82,21 @@
 
 
 def load_file(path: str) -> LoadFile:
-    """Raises FileRefused with every problem, TraceRefused for a trace that can't be played, OSError."""
+    """Raises InvalidFile with every problem, TraceRefused for a trace that can't be played, OSError."""
     with open(path, encoding="utf-8") as source:
         top = hcl.parse(source.read(), path)
     problems: list[Problem] = []
     shapes = _read_shapes(top, path, problems)
     found = hcl.check(top, FILE, path, problems)
     if problems or not found.blocks["load"]:
-        raise FileRefused(problems)
+        raise InvalidFile(problems)
     body = found.blocks["load"][0]
     ops = tuple(
         OpMix(one.labels[0], one["share"], one["op_timeout"], one["work"]) for one in body.blocks["op_type"]
     )
     _agree(body, ops, shapes, path, problems)
     if problems:
-        raise FileRefused(problems)
+        raise InvalidFile(problems)
     plan = LoadPlan(
         ops=ops,
         targets=len(body["targets"]),
@@ -118,7 +118,7 @@
                 Problem(path, block.line, f"shape {kind!r} is unknown; known: {', '.join(sorted(SHAPES))}")
             )
         else:
-            got = hcl.check(block, hcl.Shape(SHAPES[kind]), path, problems, f' in shape "{kind}"')
+            got = hcl.check(block, hcl.Schema(SHAPES[kind]), path, problems, f' in shape "{kind}"')
             made.append((kind, got, block.line))
         block.attributes = {}
         block.labels = [f"{kind} {block.line}"]
@@ -142,7 +142,7 @@
 
 
 def _agree(
-    body: Checked, ops: tuple[OpMix, ...], shapes: list[Shape], path: str, problems: list[Problem]
+    body: CheckedBlock, ops: tuple[OpMix, ...], shapes: list[Shape], path: str, problems: list[Problem]
 ) -> None:
     names = {op.name for op in ops}
     if not sum(op.share for op in ops):
@@ -175,7 +175,7 @@
             problems.append(Problem(path, body.line, "shape mix: every share is 0"))
 
 
-def _trace(body: Checked, path: str) -> traces.Trace:
+def _trace(body: CheckedBlock, path: str) -> traces.Trace:
     if not body.blocks["trace"]:
         return traces.Trace()
     values = dict(body.blocks["trace"][0].values)
--- a/cedarshift/pilot/learning.py
+++ b/cedarshift/pilot/learning.py
@@ -10,7 +10,7 @@
 
 from cedarshift.codec import Badge, ProtocolError, Session
 from cedarshift.codec import messages as m
-from cedarshift.deployment.deployment import LearnTerms
+from cedarshift.deployment.deployment import LearningSettings
 from cedarshift.interface import Entry
 from cedarshift.judge.trust import (
     BAD,
@@ -79,7 +79,7 @@
     `incarnation` identifies this run of the pilot; facts that originate from it are refused.
     """
 
-    def __init__(self, service: PilotService, terms: LearnTerms, incarnation: str) -> None:
+    def __init__(self, service: PilotService, terms: LearningSettings, incarnation: str) -> None:
         self.service = service
         self.loop = service.loop
         self.terms = terms
@@ -117,7 +117,7 @@
         ]
         names = [name for name in names if name != self.service.name]
         at = 0
-        while names and self.loop.now() < self.started_at + self.terms.span:
+        while names and self.loop.now() < self.started_at + self.terms.duration:
             name = self._next_lender(names, at)
             try:
                 yield from self._fetch_all(name)
--- a/cedarshift/pilot/service.py
+++ b/cedarshift/pilot/service.py
@@ -20,7 +20,7 @@
 from cedarshift.codec import messages as m
 from cedarshift.codec.frames import encode, encode_order, pack_rows
 from cedarshift.deployment import Deployment
-from cedarshift.deployment.deployment import NodeRoster
+from cedarshift.deployment.deployment import RosterSettings
 from cedarshift.gossip.service import Membership
 from cedarshift.interface import Entry, pulled
 from cedarshift.judge.admission import Gate
@@ -44,7 +44,7 @@
 JOIN_BURSTS_PER_S = 4  # a burst of joins is one second's joins divided by this
 
 
-def ephemeral_terms(nodes: NodeRoster) -> EphemeralTerms:
+def ephemeral_terms(nodes: RosterSettings) -> EphemeralTerms:
     """Converts the deployment's block on ephemeral nodes to the settings of their source."""
     return EphemeralTerms(
         nodes.servers,
@@ -181,12 +181,12 @@
                 ephemeral_terms(listed.nodes),
                 pools,
                 self.rng.random,
-                SavedList(deployment.beside(listed.saved)),
+                SavedList(deployment.resolve_path(listed.saved)),
                 self.on_list,
                 self.report,
             )
         if listed.service is not None:
-            saved = SavedList(deployment.beside(listed.saved))
+            saved = SavedList(deployment.resolve_path(listed.saved))
             return ServiceSource(
                 self.loop,
                 listed.service,
@@ -199,7 +199,7 @@
                 self._may_call,
             )
         return FileSource(
-            self.loop, deployment.beside(listed.file), listed.refresh, self.on_list, self.report
+            self.loop, deployment.resolve_path(listed.file), listed.refresh, self.on_list, self.report
         )
 
     def _may_call(self) -> Coroutine:
--- a/cedarshift/rehearsal/bench_day.py
+++ b/cedarshift/rehearsal/bench_day.py
@@ -11,14 +11,14 @@
 from typing import Any, Callable
 
 from cedarshift.deployment.deployment import (
-    Channel,
+    ChannelSettings,
     Deployment,
-    Guarantees,
-    ListSource,
-    PilotPlace,
-    ProxyTerms,
-    ServedOp,
-    StorePlace,
+    ListSettings,
+    OpTypeSettings,
+    PilotSettings,
+    ProxySettings,
+    RuleSettings,
+    StoreSettings,
 )
 from cedarshift.rehearsal.day import Day, EndpointKind, Fault
 
@@ -142,7 +142,7 @@
     tier = raw["tiers"][0]
     repeats = {"safe": "retryable", "keyed": "deduplicated", "unsafe": "once-only"}
     ops = tuple(
-        ServedOp(
+        OpTypeSettings(
             c["name"],
             c["aim"],
             c["deadline"],
@@ -156,7 +156,7 @@
     )
     zones = tuple(raw["zones"])
     pilots = tuple(
-        PilotPlace(f"p{n}", NOWHERE, NOWHERE, zones[zone % len(zones)])
+        PilotSettings(f"p{n}", NOWHERE, NOWHERE, zones[zone % len(zones)])
         for n, zone in enumerate(fam["controllers"])
     )
     writes = [op.op_timeout for op in ops if op.writes]
@@ -173,7 +173,7 @@
         secret=b"",
         op_types=ops,
         pilots=pilots,
-        store=StorePlace(
+        store=StoreSettings(
             NOWHERE,
             "store.db",
             False,
@@ -181,13 +181,13 @@
             500_000,
             max(2_000_000, fam["rehome"]),
         ),
-        listed=ListSource(
+        listed=ListSettings(
             NOWHERE, "", "", 250_000, False, not any(t["kind"] == "wrong_list" for t in raw["troubles"])
         ),
-        channel=Channel(
+        channel=ChannelSettings(
             fam["rate"], fam["backlog"], fam["head"], fam["messages_most"], 10_000_000, 2 * int(fam["late"])
         ),
-        proxy=ProxyTerms(
+        proxy=ProxySettings(
             max(200_000, fam["lease"]),
             max([fam["settle"], *writes]) + 50_000,
             fam["hold"],
@@ -198,7 +198,7 @@
             fam["usual_how"],
             max(4_000_000, 5 * fam["lease"]),
         ),
-        rules=Guarantees(
+        rules=RuleSettings(
             fam["bare"],
             raw["drain_grace"],
             10_000_000,
--- a/cedarshift/rehearsal/day.py
+++ b/cedarshift/rehearsal/day.py
@@ -7,8 +7,8 @@
 from dataclasses import dataclass, replace
 from typing import Any, Optional
 
-from cedarshift.deployment import Deployment, FileRefused, Problem, hcl, load
-from cedarshift.deployment.hcl import MUST, Shape
+from cedarshift.deployment import Deployment, InvalidFile, Problem, hcl, load
+from cedarshift.deployment.hcl import REQUIRED, Schema
 from cedarshift.rehearsal.evidence import AnswerBounds
 
 DAYS = os.path.join(os.path.dirname(__file__), "days")
@@ -68,26 +68,26 @@
     let_in: tuple[float, ...] = ()  # of proxies of the kind "fixed", by op type
 
 
-KIND = Shape(
+KIND = Schema(
     {
         "share": (hcl.number(0, 1000), 1.0),
-        "cores": (hcl.whole(1, 256), 4),
+        "cores": (hcl.integer(1, 256), 4),
         "speed": (hcl.number(0.01, 100), 1.0),
-        "queue": (hcl.whole(1, 100_000), 40),
+        "queue": (hcl.integer(1, 100_000), 40),
     }
 )
-AT = {"at": (hcl.span(), MUST)}
-FOR = {"for": (hcl.span(1_000), MUST)}
-WHICH = {"which": (hcl.whole(), 0)}
-COUNT = {"count": (hcl.whole(1), 1)}
-SHARE = {"share": (hcl.number(0, 1), MUST)}
+AT = {"at": (hcl.duration(), REQUIRED)}
+FOR = {"for": (hcl.duration(1_000), REQUIRED)}
+WHICH = {"which": (hcl.integer(), 0)}
+COUNT = {"count": (hcl.integer(1), 1)}
+SHARE = {"share": (hcl.number(0, 1), REQUIRED)}
 
 # kind -> (what it does, its attributes)
 FAULTS: dict[str, tuple[str, dict[str, Any]]] = {
     "kill_pilot": ("a pilot is killed (kill -9) and started again", {**AT, **FOR, **WHICH}),
     "kill_pilot_in_order": (
         "a pilot is killed when its order has reached `after` proxies",
-        {**AT, **FOR, **WHICH, "after": (hcl.whole(), 1)},
+        {**AT, **FOR, **WHICH, "after": (hcl.integer(), 1)},
     ),
     "pause_pilot": ("a pilot is stopped (SIGSTOP) and goes on", {**AT, **FOR, **WHICH}),
     "reload_pilot": ("SIGHUP", {**AT, **WHICH}),
@@ -98,41 +98,49 @@
     "kill_endpoint": ("an endpoint is killed; it comes back cold", {**AT, **FOR, **WHICH}),
     "hang": ("an endpoint holds everything and answers nothing", {**AT, **FOR, **WHICH}),
     "fast_errors": ("an endpoint fails a share of its ops at once", {**AT, **FOR, **WHICH, **SHARE}),
-    "class_fail": ("an endpoint fails one op type", {**AT, **FOR, **WHICH, "op_type": (hcl.text, MUST)}),
+    "class_fail": (
+        "an endpoint fails one op type",
+        {**AT, **FOR, **WHICH, "op_type": (hcl.string, REQUIRED)},
+    ),
     "cut_replies": (
         "an endpoint dies in the middle of a share of its replies",
         {**AT, **FOR, **WHICH, **SHARE},
     ),
     "slow_endpoint": (
         "an endpoint takes longer for each op",
-        {**AT, **FOR, **WHICH, "times": (hcl.number(1, 100), MUST)},
+        {**AT, **FOR, **WHICH, "times": (hcl.number(1, 100), REQUIRED)},
     ),
     "slow_many": (
         "endpoints take longer for each op",
-        {**AT, **FOR, **COUNT, "times": (hcl.number(1, 100), MUST)},
+        {**AT, **FOR, **COUNT, "times": (hcl.number(1, 100), REQUIRED)},
     ),
     "outage": ("every endpoint holds everything and answers nothing", {**AT, **FOR}),
     "flap": (
         "endpoints fail everything and are well again, in turn",
-        {**AT, **FOR, **COUNT, "every": (hcl.span(100_000), 2_000_000)},
+        {**AT, **FOR, **COUNT, "every": (hcl.duration(100_000), 2_000_000)},
     ),
     "herd": ("the store and half of the pilots are killed at once, and all come back at once", {**AT, **FOR}),
     "deaf_pilot": ("a pilot hears no other, while the others hear it", {**AT, **FOR, **WHICH}),
     "half_blind": (
         "a pilot hears only proxies of one zone",
-        {**AT, **FOR, **WHICH, "zone": (hcl.text, MUST)},
+        {**AT, **FOR, **WHICH, "zone": (hcl.string, REQUIRED)},
     ),
     "deploy": (
         "endpoints are drained, stopped, and replaced by new ones that come in cold",
-        {**AT, **COUNT, "every": (hcl.span(1_000), 4_000_000), "drain": (hcl.span(100_000), 8_000_000)},
+        {
+            **AT,
+            **COUNT,
+            "every": (hcl.duration(1_000), 4_000_000),
+            "drain": (hcl.duration(100_000), 8_000_000),
+        },
     ),
     "shrink": (
         "endpoints are drained and stopped for good",
-        {**AT, **COUNT, "drain": (hcl.span(100_000), 8_000_000)},
+        {**AT, **COUNT, "drain": (hcl.duration(100_000), 8_000_000)},
     ),
-    "burst": ("arrivals are multiplied", {**AT, **FOR, "times": (hcl.number(0.01, 100), MUST)}),
+    "burst": ("arrivals are multiplied", {**AT, **FOR, "times": (hcl.number(0.01, 100), REQUIRED)}),
     "hot_key": ("one key draws a share of all traffic", {**AT, **FOR, **SHARE}),
-    "shift": ("traffic turns to the proxies of one zone", {**AT, **FOR, "zone": (hcl.text, MUST)}),
+    "shift": ("traffic turns to the proxies of one zone", {**AT, **FOR, "zone": (hcl.string, REQUIRED)}),
     "reconnect": ("a share of the streams between proxies and pilots break at once", {**AT, **SHARE}),
     "cut_proxies": (
         "proxies reach no pilot; `how`: dropped in silence or refused",
@@ -144,16 +152,16 @@
     ),
     "slow_channel": (
         "what pilots send takes longer to arrive",
-        {**AT, **FOR, "delay": (hcl.span(1_000, 2_000_000), MUST)},
+        {**AT, **FOR, "delay": (hcl.duration(1_000, 2_000_000), REQUIRED)},
     ),
     "slow_link": (
         "ops between a zone's proxies and another zone's endpoints take longer",
         {
             **AT,
             **FOR,
-            "from": (hcl.text, MUST),
-            "to": (hcl.text, MUST),
-            "delay": (hcl.span(1_000, 5_000_000), MUST),
+            "from": (hcl.string, REQUIRED),
+            "to": (hcl.string, REQUIRED),
+            "delay": (hcl.duration(1_000, 5_000_000), REQUIRED),
         },
     ),
     "list_unreachable": ("the list service does not answer", {**AT, **FOR}),
@@ -170,12 +178,12 @@
     ),
     "lag_server": (
         "a server of the ensemble is late by `delay`",
-        {**AT, **FOR, **WHICH, "delay": (hcl.span(1_000), MUST)},
+        {**AT, **FOR, **WHICH, "delay": (hcl.duration(1_000), REQUIRED)},
     ),
     "list_wrong": ("the list calls `count` running endpoints gone", {**AT, **FOR, **COUNT}),
     "bad_proxy": (
         "a proxy of a broken kind takes the place of a plain one; for seeing the checkers fire",
-        {**AT, **WHICH, "how": (hcl.choice("deaf", "forgetful", "pushy"), MUST)},
+        {**AT, **WHICH, "how": (hcl.choice("deaf", "forgetful", "pushy"), REQUIRED)},
     ),
     "loose_pilots": (
         "pilots are told a channel without limits, while the rules keep to the day's; for the checkers",
@@ -187,50 +195,50 @@
 LISTED = ("list_unreachable", "list_wrong")
 SERVERS = 3  # of the stand-in ensemble
 LIKE_MOST = 8  # days that build on each other
-ANSWER = Shape(
+ANSWER = Schema(
     {
-        "cause_at": (hcl.span(), MUST),
-        "calm_at": (hcl.span(), MUST),
-        "back_within": (hcl.span(), None),
+        "cause_at": (hcl.duration(), REQUIRED),
+        "calm_at": (hcl.duration(), REQUIRED),
+        "back_within": (hcl.duration(), None),
         "repeats_most": (hcl.number(), None),
-        "top": (hcl.text, ""),
+        "top": (hcl.string, ""),
         "top_least": (hcl.number(0, 1), None),
         "earned_least": (hcl.number(0, 1), None),
-        "lapses_most": (hcl.whole(), None),
+        "lapses_most": (hcl.integer(), None),
     }
 )
-DAY = Shape(
+DAY = Schema(
     {
-        "deployment": (hcl.text, MUST),
-        "length": (hcl.span(1_000_000), MUST),
-        "seed": (hcl.whole(), 1),
-        "endpoints": (hcl.whole(1, 200), MUST),
-        "proxies": (hcl.whole(1, 200), MUST),
-        "clients": (hcl.whole(1, 16), 2),
-        "rate": (hcl.number(0.1, 5_000), MUST),
-        "work": (hcl.span(1_000), 300_000),
-        "keys": (hcl.whole(1), 2_000),
+        "deployment": (hcl.string, REQUIRED),
+        "length": (hcl.duration(1_000_000), REQUIRED),
+        "seed": (hcl.integer(), 1),
+        "endpoints": (hcl.integer(1, 200), REQUIRED),
+        "proxies": (hcl.integer(1, 200), REQUIRED),
+        "clients": (hcl.integer(1, 16), 2),
+        "rate": (hcl.number(0.1, 5_000), REQUIRED),
+        "work": (hcl.duration(1_000), 300_000),
+        "keys": (hcl.integer(1), 2_000),
         "zipf": (hcl.number(0, 3), 0.7),
-        "retries": (hcl.whole(0, 5), 2),
-        "notice": (hcl.span(), 2_000_000),
-        "add_notice": (hcl.span(), 1_500_000),
-        "broken": (hcl.texts, []),
-        "list_ages": (hcl.flag, True),
-        "learn": (hcl.flag, False),
+        "retries": (hcl.integer(0, 5), 2),
+        "notice": (hcl.duration(), 2_000_000),
+        "add_notice": (hcl.duration(), 1_500_000),
+        "broken": (hcl.strings, []),
+        "list_ages": (hcl.boolean, True),
+        "learn": (hcl.boolean, False),
         "roster": (hcl.choice("service", "file", "zookeeper"), "service"),
-        "session_timeout": (hcl.span(400_000), 4_000_000),
-        "window_from": (hcl.span(), 0),
-        "window_to": (hcl.span(), 0),
-        "mix": (hcl.texts, []),
+        "session_timeout": (hcl.duration(400_000), 4_000_000),
+        "window_from": (hcl.duration(), 0),
+        "window_to": (hcl.duration(), 0),
+        "mix": (hcl.strings, []),
     },
     {
         "endpoint_kind": (KIND, 1, 0, 16),
         "answer": (ANSWER, 0, 0, 1),
-        "op_share": (Shape({"share": (hcl.number(0, 1000), MUST)}), 1, 0, 64),
-        "fault": (Shape({}), 1, 0, 200),
+        "op_share": (Schema({"share": (hcl.number(0, 1000), REQUIRED)}), 1, 0, 64),
+        "fault": (Schema({}), 1, 0, 200),
     },
 )
-FILE = Shape({}, {"rehearsal": (DAY, 1, 1, 1)})
+FILE = Schema({}, {"rehearsal": (DAY, 1, 1, 1)})
 
 
 def find(name: str) -> str:
@@ -242,14 +250,14 @@
         known = sorted(
             f[:-4] for f in os.listdir(DAYS) if f.endswith(".hcl") and not f.startswith("deployment-")
         )
-        raise FileRefused(
+        raise InvalidFile(
             [Problem(name, 0, f"there is no such file and no such day; days: {', '.join(known)}")]
         )
     return path
 
 
 def load_day(name: str) -> Day:
-    """Raises FileRefused with every problem of the day's file or its deployment's."""
+    """Raises InvalidFile with every problem of the day's file or its deployment's."""
     path = find(name)
     with open(path, encoding="utf-8") as source:
         top = hcl.parse(source.read(), path)
@@ -258,7 +266,7 @@
     faults = _faults(top, path, problems)
     found = hcl.check(top, FILE, path, problems)
     if problems or not found.blocks["rehearsal"]:
-        raise FileRefused(problems)
+        raise InvalidFile(problems)
     body = found.blocks["rehearsal"][0]
     deployment = load(os.path.join(os.path.dirname(path), body["deployment"]))
     kinds = tuple(EndpointKind(name=k.labels[0], **k.values) for k in body.blocks["endpoint_kind"]) or (
@@ -286,7 +294,7 @@
     )
     _agree(day, problems)
     if problems:
-        raise FileRefused(problems)
+        raise InvalidFile(problems)
     return day
 
 
@@ -299,7 +307,7 @@
             continue
         base = os.path.join(os.path.dirname(path), f"{like.value}.hcl")
         if depth >= LIKE_MOST or not os.path.exists(base):
-            raise FileRefused(
+            raise InvalidFile(
                 [
                     Problem(
                         path,
@@ -327,7 +335,7 @@
                 Problem(path, block.line, f"fault {kind!r} is unknown; known: {', '.join(sorted(FAULTS))}")
             )
         else:
-            got = hcl.check(block, Shape(FAULTS[kind][1]), path, problems, f' in fault "{kind}"')
+            got = hcl.check(block, Schema(FAULTS[kind][1]), path, problems, f' in fault "{kind}"')
             faults.append(Fault(kind, got["at"] or 0, got.values, block.line))
         block.attributes = {}
         block.labels = [f"{kind} {len(faults)} {block.line}"]
--- a/cedarshift/rehearsal/stage.py
+++ b/cedarshift/rehearsal/stage.py
@@ -10,7 +10,7 @@
 import msgspec
 
 from cedarshift.deployment import Deployment
-from cedarshift.deployment.deployment import LearnTerms, ListSource, NodeRoster
+from cedarshift.deployment.deployment import LearningSettings, ListSettings, RosterSettings
 from cedarshift.loop import Loop
 from cedarshift.loop.core import Coroutine
 from cedarshift.rehearsal.day import SERVERS, Day, EndpointKind, Fault
@@ -24,7 +24,7 @@
 from cedarshift.standins.record import Recorder
 from cedarshift.standins.relay import RelayPlan
 
-LEARNT = LearnTerms((), 20_000_000, 2_000_000, 2_000_000, 2_000_000, 0.05, True)
+LEARNT = LearningSettings((), 20_000_000, 2_000_000, 2_000_000, 2_000_000, 0.05, True)
 PATH = "/rehearsal/members"
 HOLD = 1_000_000  # us that a vanished node may stay untold
 ROOMY = 1e9  # a channel without limits, for the day that breaks rules on purpose
@@ -74,14 +74,14 @@
         for _ in range(day.spare_ports):  # known to the proxies from the start, as their zones are
             self._reserve()
 
-    def _listed(self, listed: ListSource) -> ListSource:
+    def _listed(self, listed: ListSettings) -> ListSettings:
         """The list's source as the pilots are told of it, before the relays stand between."""
         made = dataclasses.replace(listed, service=None, file="", saved="", nodes=None)
         if self.day.roster == "file":
             return dataclasses.replace(made, file="endpoints.json", refresh=250_000, asks=False)
         if self.day.roster == "service":
             return dataclasses.replace(made, service=self.list_address)
-        nodes = listed.nodes or NodeRoster(
+        nodes = listed.nodes or RosterSettings(
             (), PATH, self.day.session_timeout, "serverset", "", "recursive", True, HOLD, "", ()
         )
         return dataclasses.replace(
--- a/cedarshift/sim/stage.py
+++ b/cedarshift/sim/stage.py
@@ -9,14 +9,14 @@
 
 from cedarshift.codec import Badge
 from cedarshift.deployment.deployment import (
-    Channel,
+    ChannelSettings,
     Deployment,
-    Guarantees,
-    ListSource,
-    PilotPlace,
-    ProxyTerms,
-    ServedOp,
-    StorePlace,
+    ListSettings,
+    OpTypeSettings,
+    PilotSettings,
+    ProxySettings,
+    RuleSettings,
+    StoreSettings,
 )
 from cedarshift.judge.charge import Charge
 from cedarshift.loop import listen
@@ -52,10 +52,12 @@
 
 def deployment_of(scenario: Scenario) -> Deployment:
     ops = tuple(
-        ServedOp(name, 200_000, timeout, 1.0, 0.0, "once-only" if writes else "retryable", writes, False)
+        OpTypeSettings(
+            name, 200_000, timeout, 1.0, 0.0, "once-only" if writes else "retryable", writes, False
+        )
         for name, writes, timeout in OP_TYPES
     )
-    pilots = tuple(PilotPlace(f"p{n}", ("10.0.1.%d" % n, 1), None, "") for n in range(scenario.pilots))
+    pilots = tuple(PilotSettings(f"p{n}", ("10.0.1.%d" % n, 1), None, "") for n in range(scenario.pilots))
     return Deployment(
         "sim",
         "",
@@ -69,11 +71,11 @@
         b"",
         ops,
         pilots,
-        StorePlace(STORE, "store", False, SESSION, TAKEOVER, BACK_AFTER),
-        ListSource(LIST, "", "", 250_000, False, True),
-        Channel(3_000.0, LINES_WAITING, 16.0, 0, 10 * SECOND, 100_000),
-        ProxyTerms(LEASE, IN_FLIGHT, 100_000, 100_000, 500_000, 20, 0, 0, 2 * SECOND),
-        Guarantees(EMPTY_FOR, GRACE, 10 * SECOND, WARM, 0.3, 3.0, 500_000),
+        StoreSettings(STORE, "store", False, SESSION, TAKEOVER, BACK_AFTER),
+        ListSettings(LIST, "", "", 250_000, False, True),
+        ChannelSettings(3_000.0, LINES_WAITING, 16.0, 0, 10 * SECOND, 100_000),
+        ProxySettings(LEASE, IN_FLIGHT, 100_000, 100_000, 500_000, 20, 0, 0, 2 * SECOND),
+        RuleSettings(EMPTY_FOR, GRACE, 10 * SECOND, WARM, 0.3, 3.0, 500_000),
     )
 
 
--- a/tests/test_deployment.py
+++ b/tests/test_deployment.py
@@ -2,8 +2,8 @@
 from click.testing import CliRunner
 
 from cedarshift.cli.main import main
-from cedarshift.deployment import FileRefused, load
-from cedarshift.deployment.deployment import changes
+from cedarshift.deployment import InvalidFile, load
+from cedarshift.deployment.deployment import diff_settings
 from cedarshift.deployment.render import render
 from cedarshift.rehearsal.day import load_day
 
@@ -13,7 +13,7 @@
 def refused(tmp_path, text):
     path = tmp_path / "f.hcl"
     path.write_text(text)
-    with pytest.raises(FileRefused) as found:
+    with pytest.raises(InvalidFile) as found:
         load(str(path))
     return [str(p).split("f.hcl", 1)[1] for p in found.value.problems]
 
@@ -65,14 +65,14 @@
     before = load(path)
     out = tmp_path / "out.hcl"
     out.write_text(render(before))
-    may, must_not = changes(before, load(str(out)))
+    may, must_not = diff_settings(before, load(str(out)))
     assert (may, must_not) == ([], [])
 
 
 def test_a_reload_tells_what_may_change_from_what_may_not(tmp_path):
     path = tmp_path / "f.hcl"
     path.write_text(GOOD.replace("slices       = 32", "slices = 33\n  intake_per_s = 9"))
-    assert changes(load("examples/lone.hcl"), load(str(path))) == (["intake_per_s"], ["slices"])
+    assert diff_settings(load("examples/lone.hcl"), load(str(path))) == (["intake_per_s"], ["slices"])
 
 
 @pytest.mark.parametrize(
@@ -123,7 +123,7 @@
         open("cedarshift/rehearsal/days/deployment-tiles.hcl").read()
     )
     (tmp_path / "day.hcl").write_text(day)
-    with pytest.raises(FileRefused, match=said):
+    with pytest.raises(InvalidFile, match=said):
         load_day(str(tmp_path / "day.hcl"))
 
 
@@ -173,13 +173,13 @@
         and nodes.hold == 1_000_000
     )
     (tmp_path / "out.hcl").write_text(render(before))
-    assert changes(before, load(str(tmp_path / "out.hcl"))) == ([], [])
+    assert diff_settings(before, load(str(tmp_path / "out.hcl"))) == ([], [])
 
 
 @pytest.mark.parametrize("like, said", [("nowhere", "no such day beside this one"), ("a", "ring")])
 def test_a_day_that_builds_on_nothing_or_on_itself_is_refused(tmp_path, like, said):
     (tmp_path / "a.hcl").write_text(f'rehearsal "a" {{\n  like = "{like}"\n}}\n')
-    with pytest.raises(FileRefused, match=said):
+    with pytest.raises(InvalidFile, match=said):
         load_day(str(tmp_path / "a.hcl"))
 
 
@@ -222,7 +222,7 @@
         ('use  = "probes"\n', "", "nobody could spend it"),
         ("  budgets {", '  budgets {\n    proxy_lease = "700ms"', "proxy_lease is under 800000 us"),
         ("rate = 20", "rate = 20\n      of_fresh = 0.5", "retries only"),
-        ('budget "trials"', 'budget "again"', "stands twice"),
+        ('budget "trials"', 'budget "again"', "is declared twice"),
         ("rate = 60", 'rate = 60\n      use = "list_calls"\n    ', "others draw on it"),
         ("rate = 20", "", "either a rate or a number held"),
         ("rate = 20", "rate = 20\n      held = 3", "either a rate or a number held"),
@@ -231,7 +231,7 @@
         (
             'use  = "probes"\n      rate = 20',
             'use  = "handovers"\n      held = 4\n      floor = 0.5',
-            "whole ones",
+            "whole units",
         ),
         (
             'use  = "probes"\n      rate = 20',
@@ -241,7 +241,7 @@
         (
             "  budgets {",
             '  budgets {\n    claim_cold = true\n    lease = "2s"',
-            "stands for another 1.47 s, less than the store's session_lease of 2 s",
+            "is valid for another 1.47 s, less than the store's session_lease of 2 s",
         ),
         ('use  = "probes"', 'use = "all"', 'one of "retries"'),
     ],
@@ -259,11 +259,11 @@
     (tmp_path / "a.hcl").write_text(with_budgets().replace("  budgets {", rights))
     before = load(str(tmp_path / "a.hcl"))
     (tmp_path / "b.hcl").write_text(render(before))
-    assert changes(before, load(str(tmp_path / "b.hcl"))) == ([], [])
+    assert diff_settings(before, load(str(tmp_path / "b.hcl"))) == ([], [])
     (tmp_path / "c.hcl").write_text(
         with_budgets().replace("  budgets {", rights).replace("rate = 20", "rate = 21")
     )
-    assert changes(before, load(str(tmp_path / "c.hcl"))) == ([], ["budgets"])
+    assert diff_settings(before, load(str(tmp_path / "c.hcl"))) == ([], ["budgets"])
 
 
 @pytest.mark.parametrize(
@@ -291,7 +291,7 @@
     "old, new, said",
     [
         ('op "tile-order" {', 'op "tile-send" {', "op 'tile-send' is none of tile-fetch, tile-order"),
-        ('op "tile-order" {', 'op "tile-fetch" {', "op 'tile-fetch' stands twice"),
+        ('op "tile-order" {', 'op "tile-fetch" {', "op 'tile-fetch' is declared twice"),
         ('op "tile-order" { cost = 1 }', 'op "tile-order" { cost = 0 }', "cost = 0"),
         ('  membership {\n    period = "500ms"\n  }\n', "", "there is no block membership"),
         ("earnings       = 2", "earnings       = 0", "'tile-order' earns nothing"),
@@ -314,9 +314,9 @@
     before = load(str(tmp_path / "a.hcl"))
     assert before.overload.costs == {"tile-fetch": 1.0, "tile-order": 2.5}
     (tmp_path / "b.hcl").write_text(render(before))
-    assert changes(before, load(str(tmp_path / "b.hcl"))) == ([], [])
+    assert diff_settings(before, load(str(tmp_path / "b.hcl"))) == ([], [])
     (tmp_path / "c.hcl").write_text(text)
-    assert changes(before, load(str(tmp_path / "c.hcl"))) == ([], ["overload"])
+    assert diff_settings(before, load(str(tmp_path / "c.hcl"))) == ([], ["overload"])
 
 
 @pytest.mark.parametrize(
@@ -334,5 +334,5 @@
     (tmp_path / "day.hcl").write_text(
         open("cedarshift/rehearsal/days/surge-quiet.hcl").read().rstrip().rstrip("}") + answer + "\n}\n"
     )
-    with pytest.raises(FileRefused, match=said):
+    with pytest.raises(InvalidFile, match=said):
         load_day(str(tmp_path / "day.hcl"))
--- a/tests/test_gossip.py
+++ b/tests/test_gossip.py
@@ -8,7 +8,7 @@
 
 from cedarshift.codec import gossip as g
 from cedarshift.codec.gossip import Body, NotOurs, Seal, WordOf
-from cedarshift.deployment import FileRefused, load
+from cedarshift.deployment import InvalidFile, load
 from cedarshift.deployment.render import render
 from cedarshift.gossip.member import Member, Window
 from cedarshift.gossip.service import Membership, MembershipTerms
@@ -471,6 +471,6 @@
 def test_a_block_membership_is_checked(tmp_path, old, new, said):
     path = tmp_path / "f.hcl"
     path.write_text(LONE.replace(old, new, 1))
-    with pytest.raises(FileRefused, match="f.hcl:[0-9]+: ") as found:
+    with pytest.raises(InvalidFile, match="f.hcl:[0-9]+: ") as found:
         load(str(path))
     assert said in str(found.value)
--- a/tests/test_load.py
+++ b/tests/test_load.py
@@ -15,7 +15,7 @@
 from program import SECOND
 
 from cedarshift.cli.main import main
-from cedarshift.deployment import FileRefused
+from cedarshift.deployment import InvalidFile
 from cedarshift.load import trace as tr
 from cedarshift.load.arrivals import LoadPlan, OpMix, Shape, arrivals, times
 from cedarshift.load.certify import WorkerFigures, faults
@@ -355,7 +355,7 @@
 def test_every_error_of_a_load_file_has_its_reason(tmp_path, old, new, said):
     assert old in EXAMPLE
     (tmp_path / "l.hcl").write_text(EXAMPLE.replace(old, new, 1))
-    with pytest.raises(FileRefused) as found:
+    with pytest.raises(InvalidFile) as found:
         load_file(str(tmp_path / "l.hcl"))
     assert any(said in str(problem) for problem in found.value.problems), found.value.problems
 
