--- a/cedarshift/cli/budgets.py
+++ b/cedarshift/cli/budgets.py
@@ -50,7 +50,7 @@
     return f"{count} at a time" if held else f"{count / PARTS:g}/s"
 
 
-def _held(deployment: Deployment) -> set[str]:
+def _held_budgets(deployment: Deployment) -> set[str]:
     """Returns the names of budgets that limit how many units are held at a time."""
     return (
         {name for name, budget in deployment.budgets.named.items() if budget.held}
@@ -70,7 +70,7 @@
             if budget["quiet_us"]
             else ""
         )
-        is_held = budget["budget"] in _held(deployment)
+        is_held = budget["budget"] in _held_budgets(deployment)
         lines.append(
             f"{budget['budget']}: whole {_tokens(budget['whole'], is_held)}{within}, "
             f"set aside {_tokens(budget['floors'], is_held)}, given {_tokens(budget['given'], is_held)}"
@@ -144,7 +144,7 @@
         except ValueError:
             raise ValueError(f"--demand {text!r}: {tokens!r} is no number") from None
         if pilot in demands[leaf]:
-            units = int(requested) if leaf in _held(deployment) else parts(requested)
+            units = int(requested) if leaf in _held_budgets(deployment) else parts(requested)
             demands[leaf][pilot] = max(0, units - plan.budgets[leaf].floor)
     targets = plan.targets(demands, {root: plan.leased(root) for root in plan.roots})
     lines = [
@@ -152,7 +152,7 @@
         + (f", without {', '.join(down)}" if down else "")
     ]
     for leaf, shares in targets.items():
-        floor, is_held = plan.budgets[leaf].floor, leaf in _held(deployment)
+        floor, is_held = plan.budgets[leaf].floor, leaf in _held_budgets(deployment)
         total = sum(shares.values()) + floor * len(live_pilots)
         lines.append(
             f"{leaf}: {_tokens(total, is_held)} of {_tokens(plan.budgets[leaf].whole, is_held)} in use"
