--- a/cedarshift/standins/__init__.py
+++ b/cedarshift/standins/__init__.py
@@ -1,1 +1,1 @@
-"""Small stand-ins for what a pilot serves: endpoints, proxies, clients, a list service, and relays that break links."""
+"""Stand-ins for rehearsals and tests: endpoints, proxies, clients, lists and fault-injecting relays."""
--- a/cedarshift/standins/__main__.py
+++ b/cedarshift/standins/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m cedarshift.standins KIND PLAN RECORD`: one stand-in as a process."""
+"""Runs one stand-in as a process: `python -m cedarshift.standins KIND PLAN RECORD`."""
 
 from __future__ import annotations
 
@@ -13,8 +13,8 @@
 KINDS = ("endpoint", "proxy", "client", "lists", "relay", "ensemble", "spender")
 
 
-def _not_alone(loop: Loop, parent: int) -> Coroutine:
-    """A stand-in does not outlive the rehearsal that started it."""
+def _stop_with_parent(loop: Loop, parent: int) -> Coroutine:
+    """Stops the loop once the process that started this one has exited."""
     while os.getppid() == parent:
         yield from loop.sleep(1_000_000)
     loop.stop()
@@ -29,7 +29,7 @@
     with open(plan, "rb") as source:
         raw = source.read()
     importlib.import_module(f"cedarshift.standins.{kind}").run(loop, raw, record)
-    loop.spawn(_not_alone(loop, os.getppid()), "not alone")
+    loop.spawn(_stop_with_parent(loop, os.getppid()), "parent watch")
     loop.run()
     return 0
 
--- a/cedarshift/standins/client.py
+++ b/cedarshift/standins/client.py
@@ -1,4 +1,7 @@
-"""Stand-in clients: open-loop arrivals, so that a stall shows as late ops and not as fewer; retries as each op type allows."""
+"""Stand-in clients: an open-loop load generator that retries as each op type allows.
+
+Arrivals do not wait for answers, so a stall appears as late ops rather than as fewer ops.
+"""
 
 from __future__ import annotations
 
@@ -16,11 +19,13 @@
 from cedarshift.web import Pool
 from cedarshift.web.client import NotSentError, Reply
 
-BACKOFF = 100_000  # us before a repeat where the answer names no time
-LEAST_LEFT = 50_000  # us that must be left of the op timeout for a repeat to make sense
+RETRY_DELAY_US = 100_000  # used if the answer names no delay
+MIN_RETRY_TIME_US = 50_000  # a retry needs this much of the op timeout
 
 
 class ClientOp(msgspec.Struct):
+    """An op type: share of the ops, time limits, whether it may be retried (`repeats`), mean work."""
+
     name: str
     share: float
     target_us: int
@@ -30,7 +35,11 @@
 
 
 class Burst(msgspec.Struct):
-    """From `at_us` for `for_us` the rate is multiplied; or `hot` of the traffic goes to one key; or to some proxies."""
+    """A change of the load from `at_us` on, for `for_us`.
+
+    `times` multiplies the rate, `hot` is the share of ops for `key`, and most ops go to the proxies in
+    `toward`.
+    """
 
     at_us: int
     for_us: int
@@ -41,22 +50,26 @@
 
 
 class ClientPlan(msgspec.Struct):
+    """Settings of a client process, passed as JSON."""
+
     name: str
     proxies: dict[str, tuple[str, int]]
-    rate: float  # ops a second of this process
+    rate: float  # ops per second of this process
     begin_us: int
     length_us: int
     op_types: list[ClientOp]
     keys: int = 2_000
     zipf: float = 0.8
     retries: int = 2
-    sizes_cv: float = 0.6  # how unequal the proxies' traffic is
+    sizes_cv: float = 0.6  # spread of the proxies' traffic: sigma of a log-normal distribution
     bursts: list[Burst] = []
     seed: int = 0
     count_most: int = 200_000
 
 
 class Arrival(NamedTuple):
+    """One op and the time at which it is due (`at`, in us); `work` in us."""
+
     at: int
     name: str
     op: ClientOp
@@ -66,64 +79,71 @@
 
 
 class Clients:
+    """Generates the ops of a plan and sends them to the proxies."""
+
     def __init__(self, loop: Loop, plan: ClientPlan, recorder: Recorder) -> None:
         self.loop = loop
         self.plan = plan
         self.recorder = recorder
-        self.chance = random.Random(plan.seed)
+        self.rng = random.Random(plan.seed)
         self.pool = Pool(loop, 500_000)
         self.names = sorted(plan.proxies)
-        sizes = [math.exp(self.chance.gauss(0, plan.sizes_cv)) for _ in self.names]
-        self.proxy_steps = list(accumulate(sizes))
-        self.key_steps = list(accumulate(1 / (n + 1) ** plan.zipf for n in range(plan.keys)))
-        self.open = 0
-        loop.spawn(self._arrivals(), "arrivals")
+        sizes = [math.exp(self.rng.gauss(0, plan.sizes_cv)) for _ in self.names]
+        self.cumulative_proxy_weights = list(accumulate(sizes))
+        self.cumulative_key_weights = list(accumulate(1 / (n + 1) ** plan.zipf for n in range(plan.keys)))
+        self.open_ops = 0
+        loop.spawn(self._generate_arrivals(), "arrivals")
 
-    def _drawn(self, steps: list[float]) -> int:
-        return min(len(steps) - 1, bisect(steps, self.chance.random() * steps[-1]))
+    def _weighted_index(self, cumulative: list[float]) -> int:
+        return min(len(cumulative) - 1, bisect(cumulative, self.rng.random() * cumulative[-1]))
 
-    def _bursts(self, at: int) -> list[Burst]:
+    def _active_bursts(self, at: int) -> list[Burst]:
         return [b for b in self.plan.bursts if b.at_us <= at < b.at_us + b.for_us]
 
-    def _arrivals(self) -> Coroutine:
-        """A Poisson process whose rate follows the bursts; each op has its intended time, kept or missed."""
+    def _generate_arrivals(self) -> Coroutine:
+        """Starts ops by a Poisson process whose rate follows the bursts.
+
+        An op that starts late keeps its intended time.
+        """
         plan, at, count = self.plan, 0, 0
         while count < plan.count_most:
-            rate = plan.rate * math.prod(b.times for b in self._bursts(at))
-            at += int(self.chance.expovariate(rate) * 1e6) + 1
+            rate = plan.rate * math.prod(b.times for b in self._active_bursts(at))
+            at += int(self.rng.expovariate(rate) * 1e6) + 1
             if at >= plan.length_us:
                 break
             count += 1
-            arrival = self._draw(at, f"{plan.name}-{count}")
+            arrival = self._make_arrival(at, f"{plan.name}-{count}")
             wait = plan.begin_us + at - self.loop.now()
             if wait > 0:
                 yield from self.loop.sleep(wait)
-            self.open += 1
-            self.loop.spawn(self._op(arrival), "op")
-        while self.open:
+            self.open_ops += 1
+            self.loop.spawn(self._run_op(arrival), "op")
+        while self.open_ops:
             yield from self.loop.sleep(50_000)
         self.recorder.note("over", count)
         self.loop.stop()
 
-    def _draw(self, at: int, name: str) -> Arrival:
-        bursts = self._bursts(at)
-        op = self.plan.op_types[self._drawn(list(accumulate(o.share for o in self.plan.op_types)))]
-        proxy = self.names[self._drawn(self.proxy_steps)]
-        key = f"k{self._drawn(self.key_steps)}"
+    def _make_arrival(self, at: int, name: str) -> Arrival:
+        bursts = self._active_bursts(at)
+        op = self.plan.op_types[self._weighted_index(list(accumulate(o.share for o in self.plan.op_types)))]
+        proxy = self.names[self._weighted_index(self.cumulative_proxy_weights)]
+        key = f"k{self._weighted_index(self.cumulative_key_weights)}"
         for burst in bursts:
-            if burst.hot and self.chance.random() < burst.hot:
+            if burst.hot and self.rng.random() < burst.hot:
                 key = burst.key
-            if burst.toward and self.chance.random() < 0.6:
-                proxy = self.chance.choice(burst.toward)
-        work = int(op.work_us * self.chance.lognormvariate(-0.125, 0.5))
+            if burst.toward and self.rng.random() < 0.6:
+                proxy = self.rng.choice(burst.toward)
+        work = int(op.work_us * self.rng.lognormvariate(-0.125, 0.5))
         return Arrival(self.plan.begin_us + at, name, op, key, proxy, work)
 
-    def _op(self, a: Arrival) -> Coroutine:
-        until, tries, outcome = a.at + a.op.timeout_us, 0, "aborted"
-        self.recorder.note("op", a.name, a.op.name, a.key, a.at, self.loop.now() - a.at)
+    def _run_op(self, arrival: Arrival) -> Coroutine:
+        deadline, tries, outcome = arrival.at + arrival.op.timeout_us, 0, "aborted"
+        self.recorder.note(
+            "op", arrival.name, arrival.op.name, arrival.key, arrival.at, self.loop.now() - arrival.at
+        )
         try:
             while True:
-                reply = yield from self._try(a, tries, until)
+                reply = yield from self._send_try(arrival, tries, deadline)
                 tries += 1
                 if reply is not None and reply.status == 200:
                     outcome = "acked"
@@ -131,31 +151,35 @@
                 never_ran = reply is not None and reply.headers.get("x-never-ran") == "1"
                 outcome = "rejected" if never_ran else "aborted"
                 wait = int(reply.headers.get("x-retry-after-ms", "0")) * 1000 if reply is not None else 0
-                wait = int((wait or BACKOFF) * (0.5 + self.chance.random()))
-                again = reply.headers.get("x-again", "") if reply is not None else ""
-                may = (never_ran or a.op.repeats == "retryable") and again != "no"
-                if again == "elsewhere":  # this proxy can't, another one may
-                    a = a._replace(proxy=self.chance.choice(self.names))
-                if not may or tries > self.plan.retries or self.loop.now() + wait + LEAST_LEFT > until:
+                wait = int((wait or RETRY_DELAY_US) * (0.5 + self.rng.random()))
+                retry_hint = reply.headers.get("x-again", "") if reply is not None else ""
+                may_retry = (never_ran or arrival.op.repeats == "retryable") and retry_hint != "no"
+                if retry_hint == "elsewhere":  # another proxy may accept the op
+                    arrival = arrival._replace(proxy=self.rng.choice(self.names))
+                if (
+                    not may_retry
+                    or tries > self.plan.retries
+                    or self.loop.now() + wait + MIN_RETRY_TIME_US > deadline
+                ):
                     break
                 yield from self.loop.sleep(wait)
         finally:
-            self.open -= 1
-            self.recorder.note("done", a.name, outcome, self.loop.now() - a.at, tries)
+            self.open_ops -= 1
+            self.recorder.note("done", arrival.name, outcome, self.loop.now() - arrival.at, tries)
 
-    def _try(self, a: Arrival, tries: int, until: int) -> Coroutine:
+    def _send_try(self, arrival: Arrival, tries: int, deadline: int) -> Coroutine:
         headers = [
-            ("x-op", a.name),
-            ("x-key", a.key),
-            ("x-type", a.op.name),
+            ("x-op", arrival.name),
+            ("x-key", arrival.key),
+            ("x-type", arrival.op.name),
             ("x-try", str(tries)),
-            ("x-work-us", str(a.work)),
-            ("x-left-us", str(max(1, until - self.loop.now()))),
+            ("x-work-us", str(arrival.work)),
+            ("x-left-us", str(max(1, deadline - self.loop.now()))),
         ]
-        address = self.plan.proxies[a.proxy]
+        address = self.plan.proxies[arrival.proxy]
         try:
-            return (yield from self.pool.request(address, "POST", "/op", headers, b"", until + 100_000))
-        except NotSentError:  # the proxy is down: nothing has left this client
+            return (yield from self.pool.request(address, "POST", "/op", headers, b"", deadline + 100_000))
+        except NotSentError:  # the proxy is down and has received nothing
             return Reply(503, {"x-never-ran": "1"}, b"")
         except (StreamBroken, TimedOut):
             return None
--- a/cedarshift/standins/endpoint.py
+++ b/cedarshift/standins/endpoint.py
@@ -1,4 +1,6 @@
-"""A stand-in endpoint: cores that work, a waiting room, a cold start, and ways to fail. It knows nothing of slices' owners.
+"""A stand-in endpoint with cores, a queue, a cold start and injected failures.
+
+It does not check who owns a slice.
 
 POST /op       headers x-op, x-slice, x-type, x-try, x-proxy, x-writes, x-work-us, x-left-us
 POST /control  {"drain": bool, "hang_s": s, "fail": share, "slow": factor, "cut": share, "fail_type": name}
@@ -21,7 +23,7 @@
 
 
 class OwnNode(msgspec.Struct):
-    """Where an endpoint keeps its own ephemeral node, and what that says."""
+    """The ephemeral node by which an endpoint registers itself, and its contents."""
 
     servers: list[tuple[str, int]]
     path: str
@@ -33,7 +35,12 @@
 
 
 class EndpointPlan(msgspec.Struct):
-    """`speed` 1 does work as asked; `tip_multiple` times the present capacity for `tip_after_us` makes it fall over."""
+    """Settings of an endpoint, passed as JSON.
+
+    An op takes its work divided by `speed`. Above `knee` ops in hand, each further one slows work down by
+    `thrash`. A cold endpoint that is offered more than `tip_multiple` times its present capacity over
+    `tip_after_us` stops.
+    """
 
     name: str
     address: tuple[str, int]
@@ -54,35 +61,37 @@
 
 
 class Op:
-    """One op in hand."""
+    """An op that is queued or running; `work` and `overdue_at` in us."""
 
-    def __init__(self, name: str, work: int, overdue_at: int, waker: Waker, asked: HttpRequest) -> None:
+    def __init__(self, name: str, work: int, overdue_at: int, waker: Waker, request: HttpRequest) -> None:
         self.name = name
         self.work = work
         self.overdue_at = overdue_at
         self.waker = waker
-        self.asked = asked
+        self.request = request
 
 
 class Endpoint:
+    """Serves ops over HTTP and records each one."""
+
     def __init__(self, loop: Loop, plan: EndpointPlan, recorder: Recorder) -> None:
         self.loop = loop
         self.plan = plan
         self.recorder = recorder
         self.started = loop.now() - (plan.warm_within_us if plan.warm else 0)
-        self.chance = random.Random(plan.seed)
-        self.busy = 0
-        self.waiting: deque[Op] = deque()
-        self.came: deque[tuple[int, int]] = deque()  # (when, work) of the last `tip_after_us`
-        self.hangs_until = 0
+        self.rng = random.Random(plan.seed)
+        self.busy_cores = 0
+        self.queued_ops: deque[Op] = deque()
+        self.arrivals: deque[tuple[int, int]] = deque()  # (time, work) within the last `tip_after_us`
+        self.hung_until = 0
         self.fail = 0.0
         self.fail_type = ""
         self.cut = 0.0
         self.slow = 1.0
-        self.drains = False
+        self.draining = False
         recorder.note("start", plan.name, plan.zone, plan.cores, plan.speed, plan.warm)
         listener = listen(loop, plan.address, plan.connections_most)
-        loop.spawn(serve_http(loop, listener, self._answer), "http")
+        loop.spawn(serve_http(loop, listener, self._handle_request), "http")
         self.registration = self._register(plan.node) if plan.node is not None else None
 
     def _register(self, node: OwnNode) -> Registration:
@@ -95,114 +104,118 @@
             (("digest", f"{node.user}:{node.user}".encode()),),
         )
         member = Member(self.plan.name, "on", node.size, self.plan.zone, node.start)
-        return Registration(self.loop, terms, member, self.chance.random, self.loop.report)
+        return Registration(self.loop, terms, member, self.rng.random, self.loop.report)
 
-    # ---- what is asked
+    # ---- requests
 
-    def _answer(self, asked: HttpRequest) -> Coroutine:
-        if asked.target == "/control":
-            self._control(msgspec.json.decode(asked.body))
+    def _handle_request(self, request: HttpRequest) -> Coroutine:
+        if request.target == "/control":
+            self._control(msgspec.json.decode(request.body))
             yield from self.loop.breathe()
             return HttpReply(200, b"{}")
-        if asked.target == "/health":
+        if request.target == "/health":
             yield from self.loop.breathe()
             return HttpReply(200, b"ok")
-        return (yield from self._serve(asked))
+        return (yield from self._serve(request))
 
-    def _control(self, order: dict[str, Any]) -> None:
-        self.recorder.note("control", order)
-        self.drains = order.get("drain", self.drains)
-        if self.drains and self.registration is not None:
+    def _control(self, command: dict[str, Any]) -> None:
+        self.recorder.note("control", command)
+        self.draining = command.get("drain", self.draining)
+        if self.draining and self.registration is not None:
             self.registration.drain()
-        self.fail = order.get("fail", self.fail)
-        self.fail_type = order.get("fail_type", self.fail_type)
-        self.cut = order.get("cut", self.cut)
-        self.slow = order.get("slow", self.slow)
-        if "hang_s" in order:
-            self.hangs_until = self.loop.now() + int(order["hang_s"] * 1e6)
-            self.loop.at(self.hangs_until, self._start_more)
-
-    def _serve(self, asked: HttpRequest) -> Coroutine:
-        head, now = asked.headers, self.loop.now()
-        name, op_type = head.get("x-op", ""), head.get("x-type", "")
-        if len(self.waiting) >= self.plan.queue:
+        self.fail = command.get("fail", self.fail)
+        self.fail_type = command.get("fail_type", self.fail_type)
+        self.cut = command.get("cut", self.cut)
+        self.slow = command.get("slow", self.slow)
+        if "hang_s" in command:
+            self.hung_until = self.loop.now() + int(command["hang_s"] * 1e6)
+            self.loop.at(self.hung_until, self._start_queued)
+
+    def _serve(self, request: HttpRequest) -> Coroutine:
+        headers, now = request.headers, self.loop.now()
+        name, op_type = headers.get("x-op", ""), headers.get("x-type", "")
+        if len(self.queued_ops) >= self.plan.queue:
             self.recorder.note("reject", name)
             yield from self.loop.breathe()
             return HttpReply(503, b"full", (("x-never-ran", "1"), ("x-retry-after-ms", "200")))
-        work = int(head.get("x-work-us", "100000"))
-        overdue_at = now + int(head.get("x-left-us", "6000000"))
+        work = int(headers.get("x-work-us", "100000"))
+        overdue_at = now + int(headers.get("x-left-us", "6000000"))
         self.recorder.note(
             "accept",
             name,
-            int(head.get("x-slice", "-1")),
+            int(headers.get("x-slice", "-1")),
             op_type,
-            int(head.get("x-try", "0")),
-            head.get("x-proxy", ""),
-            head.get("x-writes") == "1",
+            int(headers.get("x-try", "0")),
+            headers.get("x-proxy", ""),
+            headers.get("x-writes") == "1",
             work,
             overdue_at,
         )
-        self._weigh(now, work)
-        fails = self.chance.random() < self.fail or (self.fail_type and op_type == self.fail_type)
-        if fails and now >= self.hangs_until:
+        self._check_overload(now, work)
+        fails = self.rng.random() < self.fail or (self.fail_type and op_type == self.fail_type)
+        if fails and now >= self.hung_until:
             self.recorder.note("end", name, "failed")
             yield from self.loop.breathe()
             return HttpReply(500, b"fault")
-        op = Op(name, work, overdue_at, self.loop.waker(), asked)
-        self.waiting.append(op)
-        self._start_more()
+        op = Op(name, work, overdue_at, self.loop.waker(), request)
+        self.queued_ops.append(op)
+        self._start_queued()
         outcome = yield
         self.recorder.note("end", name, outcome)
         if outcome != "acked":
             return HttpReply(504, None)
-        if self.chance.random() < self.cut:
+        if self.rng.random() < self.cut:
             return HttpReply(200, b"done " + name.encode(), cut=3)
         return HttpReply(200, b"done " + name.encode())
 
-    # ---- the work
+    # ---- work
 
     def capacity(self, now: int) -> float:
-        """Share of the usual capacity that there is now."""
+        """Returns the present share of the full capacity, which grows linearly during the warm-up."""
         plan = self.plan
         if not plan.warm_within_us or now - self.started >= plan.warm_within_us:
             return 1.0
         return plan.cold_share + (1 - plan.cold_share) * (now - self.started) / plan.warm_within_us
 
-    def _weigh(self, now: int, work: int) -> None:
-        """Falls over when cold and brought too much within the window."""
-        self.came.append((now, work))
-        while self.came[0][0] < now - self.plan.tip_after_us:
-            self.came.popleft()
-        usual = self.plan.cores * self.plan.speed * self.plan.tip_after_us
+    def _check_overload(self, now: int, work: int) -> None:
+        """Stops the endpoint if it is cold and was offered too much work within `tip_after_us`."""
+        self.arrivals.append((now, work))
+        while self.arrivals[0][0] < now - self.plan.tip_after_us:
+            self.arrivals.popleft()
+        full_work = self.plan.cores * self.plan.speed * self.plan.tip_after_us
         share = self.capacity(now)
-        brought = sum(w for _, w in self.came)
-        if self.plan.tip_multiple and share < 1.0 and brought > self.plan.tip_multiple * share * usual:
-            self.recorder.note("tipped", brought, share, [n.name for n in self.waiting][:20])
+        offered_work = sum(w for _, w in self.arrivals)
+        if (
+            self.plan.tip_multiple
+            and share < 1.0
+            and offered_work > self.plan.tip_multiple * share * full_work
+        ):
+            self.recorder.note("tipped", offered_work, share, [n.name for n in self.queued_ops][:20])
             self.loop.stop()
 
-    def _start_more(self) -> None:
+    def _start_queued(self) -> None:
         now = self.loop.now()
-        if now < self.hangs_until:
+        if now < self.hung_until:
             return
-        while self.waiting and self.busy < self.plan.cores:
-            op = self.waiting.popleft()
-            if now >= op.overdue_at or op.asked.hung_up():  # overdue, or nobody waits for it: it never runs
+        while self.queued_ops and self.busy_cores < self.plan.cores:
+            op = self.queued_ops.popleft()
+            if now >= op.overdue_at or op.request.hung_up():  # overdue, or the client has gone
                 op.waker.wake("expired")
                 continue
-            self.busy += 1
-            held = self.busy + len(self.waiting)
-            slower = 1 + self.plan.thrash * max(0, held - self.plan.knee)
+            self.busy_cores += 1
+            in_hand = self.busy_cores + len(self.queued_ops)
+            slower = 1 + self.plan.thrash * max(0, in_hand - self.plan.knee)
             span = int(op.work * slower * self.slow / self.plan.speed / self.capacity(now))
-            self.loop.at(min(now + span, op.overdue_at), self._finish, op)  # overdue work stops
+            self.loop.at(min(now + span, op.overdue_at), self._finish, op)  # work stops at the op timeout
 
     def _finish(self, op: Op) -> None:
         now = self.loop.now()
-        if now < self.hangs_until:  # hung with the op in hand
-            self.loop.at(self.hangs_until, self._finish, op)
+        if now < self.hung_until:  # the endpoint hangs: ends later
+            self.loop.at(self.hung_until, self._finish, op)
             return
-        self.busy -= 1
+        self.busy_cores -= 1
         op.waker.wake("acked" if now < op.overdue_at else "expired")
-        self._start_more()
+        self._start_queued()
 
 
 def run(loop: Loop, raw: bytes, record: str) -> Optional[Endpoint]:
--- a/cedarshift/standins/ensemble.py
+++ b/cedarshift/standins/ensemble.py
@@ -1,13 +1,14 @@
-"""A stand-in ensemble of ZooKeeper servers: one tree by a leader's log, followers that apply it late, sessions by its clock.
+"""A stand-in ensemble of ZooKeeper servers: a leader's log, servers that apply it with a lag, and sessions.
 
-Written from the public specification, for rehearsals and tests: no disk, no election, and one process for all its servers.
+Written from the public specification, for rehearsals and tests. It has no disk and no election, and all
+servers run in one process.
 
     GET  /control/state      sessions, zxid, members
-    POST /control {"expire": ["id", ...] | "all", "cut": [n], "heal": [n], "lag_ms": {"n": ms}, "drop": [n], "delete": path,
-                   "reset": bool, "delay_ms": ms}
+    POST /control {"expire": ["id", ...] | "all", "cut": [n], "heal": [n], "lag_ms": {"n": ms}, "drop": [n],
+                   "delete": path, "reset": bool, "delay_ms": ms}
 
-A cut server has lost its ensemble: it serves only clients that allow reading only. `reset` is an ensemble that comes back from
-an old backup: an empty tree whose zxids begin anew.
+A cut server is partitioned from the ensemble and serves read-only clients only. `reset` models an ensemble
+that is restored from an old backup: an empty tree, with zxids from 0.
 """
 
 from __future__ import annotations
@@ -30,16 +31,20 @@
 from cedarshift.standins.record import Recorder
 from cedarshift.web import HttpReply, HttpRequest, serve_http
 
-HANDSHAKE = 3_000_000  # us for a ConnectRequest
-TICK = 20_000  # us between two looks at what has expired
-TIMEOUT_LEAST, TIMEOUT_MOST = 400, 60_000  # ms that a session's time-out may have
-DATA_MOST = 1 << 20  # bytes of a node
+HANDSHAKE_TIMEOUT_US = 3_000_000  # for the ConnectRequest
+TICK_US = 20_000  # interval of the checks for expired sessions
+MIN_TIMEOUT_MS, MAX_TIMEOUT_MS = 400, 60_000  # of a session timeout
+MAX_DATA_BYTES = 1 << 20  # of a node
 VERSION = "3.6.0-stand-in"
 ANYONE = r.Id("world", "anyone")
 
 
 class EnsemblePlan(msgspec.Struct):
-    """`read_path`: what a session is told of the children of this path is recorded, by the user that it shows itself as."""
+    """Settings of an ensemble, passed as JSON.
+
+    What each session reads about the children of `read_path` is recorded by the user of the session.
+    `form` is the format of these nodes.
+    """
 
     addresses: list[tuple[str, int]]
     control: Optional[tuple[str, int]] = None
@@ -49,7 +54,7 @@
 
 
 class ZNode:
-    """`acl` is shared between nodes and never changed in place."""
+    """A node of the tree. `acl` is shared between nodes and never changed in place."""
 
     __slots__ = (
         "data",
@@ -96,41 +101,41 @@
 
 
 class Tree:
-    """One server's tree. `apply` carries out one transaction that the leader has found sound."""
+    """The tree of one server. `apply` executes a transaction that the leader has validated."""
 
     def __init__(self) -> None:
         self.nodes: dict[str, ZNode] = {"/": ZNode(b"", [r.Acl(r.MAY_ALL, ANYONE)], 0, 0, 0)}
-        self.of_session: dict[int, set[str]] = {}
+        self.paths_by_session: dict[int, set[str]] = {}
         self.zxid = 0
 
     def apply(self, zxid: int, at: int, changes: list[tuple]) -> list[tuple[int, str]]:
-        """Watch events as (kind, path), in order."""
+        """Returns the watch events as (kind, path), in order."""
         self.zxid = zxid
         events: list[tuple[int, str]] = []
-        for what, path, *more in changes:
-            getattr(self, "_" + what)(zxid, at, path, events, *more)
+        for operation, path, *more in changes:
+            getattr(self, "_" + operation)(zxid, at, path, events, *more)
         return events
 
     def _create(
         self, zxid: int, at: int, path: str, events: list, data: bytes, acl: list[r.Acl], owner: int
     ) -> None:
         self.nodes[path] = ZNode(data, acl, zxid, at, owner)
-        above = self.nodes[parent_of(path)]
-        above.children[path.rpartition("/")[2]] = None
-        above.cversion += 1
-        above.pzxid = zxid
+        parent = self.nodes[parent_of(path)]
+        parent.children[path.rpartition("/")[2]] = None
+        parent.cversion += 1
+        parent.pzxid = zxid
         if owner:
-            self.of_session.setdefault(owner, set()).add(path)
+            self.paths_by_session.setdefault(owner, set()).add(path)
         events += [(r.CREATED, path), (r.CHILDREN, parent_of(path))]
 
     def _delete(self, zxid: int, at: int, path: str, events: list) -> None:
         node = self.nodes.pop(path)
-        above = self.nodes[parent_of(path)]
-        del above.children[path.rpartition("/")[2]]
-        above.cversion += 1
-        above.pzxid = zxid
+        parent = self.nodes[parent_of(path)]
+        del parent.children[path.rpartition("/")[2]]
+        parent.cversion += 1
+        parent.pzxid = zxid
         if node.owner:
-            self.of_session[node.owner].discard(path)
+            self.paths_by_session[node.owner].discard(path)
         events += [(r.DELETED, path), (r.CHILDREN, parent_of(path))]
 
     def _set(self, zxid: int, at: int, path: str, events: list, data: bytes) -> None:
@@ -145,20 +150,20 @@
         node.aversion += 1
 
 
-class LiveSession:
-    """A session, known to the whole ensemble."""
+class Session:
+    """A client session, known to all servers; `timeout` in us."""
 
     def __init__(self, number: int, password: bytes, timeout: int, now: int) -> None:
         self.number = number
         self.password = password
-        self.timeout = timeout  # us
-        self.heard_at = now
+        self.timeout = timeout
+        self.last_heard_at = now
         self.user = ""
         self.connection: Optional[Connection] = None
 
 
-class Watching:
-    """The watches of one connection at its server."""
+class WatchSet:
+    """The watches that a connection has set, as paths."""
 
     def __init__(self) -> None:
         self.data: set[str] = set()
@@ -167,63 +172,64 @@
         self.persistent: set[str] = set()
         self.recursive: set[str] = set()
 
-    def fires(self, kind: int, path: str) -> bool:
-        """Whether the event is to be told; one-shot watches that it meets are spent."""
+    def trigger(self, kind: int, path: str) -> bool:
+        """Whether the event is to be sent. Removes the one-shot watches that it triggers."""
         if path in self.persistent:
-            told = True
+            matched = True
         else:
-            told = kind != r.CHILDREN and any(
-                path == top or path.startswith(top.rstrip("/") + "/") for top in self.recursive
+            matched = kind != r.CHILDREN and any(
+                path == root or path.startswith(root.rstrip("/") + "/") for root in self.recursive
             )
-        spent = {
+        one_shot = {
             r.CREATED: (self.exists, self.data),
             r.CHANGED: (self.data, self.exists),
             r.DELETED: (self.data, self.exists, self.children),
             r.CHILDREN: (self.children,),
         }[kind]
-        for paths in spent:
+        for paths in one_shot:
             if path in paths:
                 paths.discard(path)
-                told = True
-        return told
+                matched = True
+        return matched
 
 
 class Connection:
+    """A client's connection to a server."""
+
     def __init__(self, server: Server, stream: Stream) -> None:
         self.server = server
         self.stream = stream
         self.codec = ServerSession()
-        self.live: Optional[LiveSession] = None
-        self.watching = Watching()
+        self.session: Optional[Session] = None
+        self.watches = WatchSet()
         self.ids: set[r.Id] = {ANYONE}
-        self.wait: Optional[tuple[int, bytes]] = (
-            None  # an answer that waits until this server has applied a zxid
-        )
-        self.behind: deque[Request] = deque()  # requests that came after it: they see what it wrote
+        # (zxid, frame): sent once this server has applied the zxid; later requests wait for it.
+        self.delayed_reply: Optional[tuple[int, bytes]] = None
+        self.queued_requests: deque[Request] = deque()
 
-    def say(self, zxid: int, frame: bytes) -> None:
+    def send_reply(self, zxid: int, frame: bytes) -> None:
         if zxid > self.server.tree.zxid:
-            self.wait = (zxid, frame)
+            self.delayed_reply = (zxid, frame)
         else:
             self._write(frame)
 
-    def hear(self, request: Request) -> None:
-        if self.wait is not None:
-            self.behind.append(request)
+    def receive(self, request: Request) -> None:
+        if self.delayed_reply is not None:
+            self.queued_requests.append(request)
         else:
             self.server.serve(self, request)
 
-    def caught_up(self) -> None:
-        if self.wait is not None and self.wait[0] <= self.server.tree.zxid:
-            frame, self.wait = self.wait[1], None
+    def on_caught_up(self) -> None:
+        if self.delayed_reply is not None and self.delayed_reply[0] <= self.server.tree.zxid:
+            frame, self.delayed_reply = self.delayed_reply[1], None
             self._write(frame)
-            while self.behind and self.wait is None:
-                self.server.serve(self, self.behind.popleft())
+            while self.queued_requests and self.delayed_reply is None:
+                self.server.serve(self, self.queued_requests.popleft())
 
     def _write(self, frame: bytes) -> None:
-        delay = self.server.ensemble.delay
-        if delay:
-            self.server.ensemble.loop.at(self.server.ensemble.loop.now() + delay, self._write_now, frame)
+        delay_us = self.server.ensemble.delay_us
+        if delay_us:
+            self.server.ensemble.loop.at(self.server.ensemble.loop.now() + delay_us, self._write_now, frame)
         else:
             self._write_now(frame)
 
@@ -234,22 +240,22 @@
         except StreamBroken:
             pass
 
-    def fire(self, events: list[tuple[int, str]]) -> None:
+    def send_events(self, events: list[tuple[int, str]]) -> None:
         for kind, path in events:
-            if self.watching.fires(kind, path):
+            if self.watches.trigger(kind, path):
                 self.server.ensemble.note_event(self, kind, path)
                 self._write(self.codec.event(r.WatchEvent(kind, r.CONNECTED, path)))
 
 
 class Server:
-    """One server: its replica of the tree, and its clients."""
+    """One server: its replica of the tree and its client connections."""
 
     def __init__(self, ensemble: Ensemble, number: int, address: tuple[str, int]) -> None:
         self.ensemble = ensemble
         self.number = number
         self.tree = Tree()
-        self.applied = 0  # of the leader's log
-        self.lag = 0  # us
+        self.applied = 0  # entries of the leader's log
+        self.lag = 0  # us behind the leader
         self.cut = False
         self.connections: set[Connection] = set()
         self.listener = listen(ensemble.loop, address)
@@ -258,70 +264,80 @@
     def _accept(self) -> Coroutine:
         while True:
             stream = yield from self.listener.accept()
-            self.ensemble.loop.spawn(self._talk(Connection(self, stream)), "zookeeper client")
+            self.ensemble.loop.spawn(self._handle_connection(Connection(self, stream)), "zookeeper client")
 
-    def _talk(self, connection: Connection) -> Coroutine:
+    def _handle_connection(self, connection: Connection) -> Coroutine:
         stream, loop = connection.stream, self.ensemble.loop
         try:
-            until = loop.now() + HANDSHAKE
+            until = loop.now() + HANDSHAKE_TIMEOUT_US
             data = yield from stream.read(until)
             if data in (b"ruok", b"isro", b"srvr"):
-                stream.write(self._letters(data))
+                stream.write(self._answer_four_letter_command(data))
                 stream.finish(100_000)
                 return
-            got: list[Any] = []
-            while data and not (got := connection.codec.feed(data)):
+            requests: list[Any] = []
+            while data and not (requests := connection.codec.feed(data)):
                 data = yield from stream.read(until)
-            if not got or not self._admit(connection, got[0]):
+            if not requests or not self._admit(connection, requests[0]):
                 return
             self.connections.add(connection)
             while data := (yield from stream.read()):
                 for request in connection.codec.feed(data):
-                    if connection.live is None:
+                    if connection.session is None:
                         return
-                    connection.live.heard_at = loop.now()
-                    connection.hear(request)
+                    connection.session.last_heard_at = loop.now()
+                    connection.receive(request)
         except (StreamBroken, TimedOut, Broken):
             pass
         finally:
             self.connections.discard(connection)
-            if connection.live is not None and connection.live.connection is connection:
-                connection.live.connection = None
+            if connection.session is not None and connection.session.connection is connection:
+                connection.session.connection = None
             stream.finish(200_000)
 
-    def _letters(self, asked: bytes) -> bytes:
-        """The four-letter words that clients ask before they connect."""
-        if asked == b"ruok":
+    def _answer_four_letter_command(self, command: bytes) -> bytes:
+        """Answers a four-letter command."""
+        if command == b"ruok":
             return b"imok"
-        if asked == b"isro":
+        if command == b"isro":
             return b"ro" if self.cut else b"rw"
         mode = "READ_ONLY" if self.cut else "leader" if self.number == 0 else "follower"
-        return f"Zookeeper version: {VERSION}, built for rehearsals\nZxid: {self.tree.zxid:#x}\nMode: {mode}\n".encode()
+        return (
+            f"Zookeeper version: {VERSION}, built for rehearsals\nZxid: {self.tree.zxid:#x}\nMode: {mode}\n"
+        ).encode()
 
-    def _admit(self, connection: Connection, asked: r.ConnectRequest) -> bool:
+    def _admit(self, connection: Connection, request: r.ConnectRequest) -> bool:
         ensemble, codec = self.ensemble, connection.codec
-        if asked.last_zxid > self.tree.zxid:  # it has seen more than this server has
+        if request.last_zxid > self.tree.zxid:  # the client has seen a newer state
             return False
         if self.cut:
             if not codec.read_only:
                 return False
-            connection.live = LiveSession(
-                asked.session or -1 - self.number, asked.password or b"", asked.timeout * 1000, 0
+            connection.session = Session(
+                request.session or -1 - self.number, request.password or b"", request.timeout * 1000, 0
             )
             connection.stream.write(
-                codec.welcome(asked.timeout, connection.live.number, connection.live.password, True)
+                codec.welcome(request.timeout, connection.session.number, connection.session.password, True)
             )
             return True
-        timeout = max(TIMEOUT_LEAST, min(TIMEOUT_MOST, asked.timeout))
-        live = ensemble.sessions.get(asked.session) if asked.session else ensemble.new_session(timeout * 1000)
-        if live is None or (asked.session and live.password != asked.password):
+        timeout = max(MIN_TIMEOUT_MS, min(MAX_TIMEOUT_MS, request.timeout))
+        session = (
+            ensemble.sessions.get(request.session)
+            if request.session
+            else ensemble.new_session(timeout * 1000)
+        )
+        if session is None or (request.session and session.password != request.password):
             connection.stream.write(codec.welcome(0, 0, b"\0" * 16))
             return False
-        if live.connection is not None:  # the session moves: what it had elsewhere is closed
-            live.connection.stream.close()
-        live.connection, live.heard_at, live.timeout = connection, ensemble.loop.now(), timeout * 1000
-        connection.live = live
-        connection.stream.write(codec.welcome(timeout, live.number, live.password))
+        if session.connection is not None:  # the session moves here from another connection
+            session.connection.stream.close()
+        session.connection, session.last_heard_at, session.timeout = (
+            connection,
+            ensemble.loop.now(),
+            timeout * 1000,
+        )
+        connection.session = session
+        connection.stream.write(codec.welcome(timeout, session.number, session.password))
         return True
 
     # ---- requests
@@ -331,18 +347,18 @@
         try:
             if request.problem:
                 raise ZooError(request.problem)
-            if request.op in WRITES:
+            if request.op in WRITE_OPS:
                 if self.cut:
                     raise ZooError(Code.NOT_READ_ONLY)
                 zxid, body = self.ensemble.write(connection, request.op, request.body)
             else:
                 body = self._read(connection, request)
-            connection.say(zxid, codec.reply(request.xid, zxid, 0, body))
+            connection.send_reply(zxid, codec.reply(request.xid, zxid, 0, body))
             if request.op == r.CLOSE:
-                self.ensemble.end_session(connection.live)
+                self.ensemble.end_session(connection.session)
         except ZooError as error:
-            failed = max(zxid, self.ensemble.zxid if request.op in WRITES and not self.cut else 0)
-            connection.say(failed, codec.reply(request.xid, failed, error.code))
+            failed = max(zxid, self.ensemble.zxid if request.op in WRITE_OPS and not self.cut else 0)
+            connection.send_reply(failed, codec.reply(request.xid, failed, error.code))
             if error.code == Code.AUTH_FAILED:
                 connection.stream.finish(100_000)
 
@@ -356,33 +372,33 @@
             return self._set_watches(connection, body)
         if op == r.SYNC:
             return body
-        watching, node = connection.watching, self.tree.nodes.get(body.path)
+        watches, node = connection.watches, self.tree.nodes.get(body.path)
         if op == r.ADD_WATCH:
             if body.mode not in (r.WATCH_PERSISTENT, r.WATCH_RECURSIVE):
                 raise ZooError(Code.BAD_ARGUMENTS)
-            (watching.recursive if body.mode == r.WATCH_RECURSIVE else watching.persistent).add(body.path)
+            (watches.recursive if body.mode == r.WATCH_RECURSIVE else watches.persistent).add(body.path)
             return r.ErrorReply(0)
         if op == r.REMOVE_WATCHES:
             return self._remove_watches(connection, body)
         if node is None:
             if op == r.EXISTS and body.watch:
-                watching.exists.add(body.path)
+                watches.exists.add(body.path)
             self.ensemble.note_missing(connection, body.path)
             raise ZooError(Code.NO_NODE)
         if op == r.EXISTS:
             if body.watch:
-                watching.data.add(body.path)
+                watches.data.add(body.path)
             return r.StatReply(node.stat())
         if op == r.GET_ACL:
             return r.AclReply(node.acl, node.stat())
-        self.ensemble.allow(connection.ids, node, r.MAY_READ)
+        self.ensemble.check_permission(connection.ids, node, r.MAY_READ)
         if op == r.GET_DATA:
             if body.watch:
-                watching.data.add(body.path)
+                watches.data.add(body.path)
             self.ensemble.note_read(connection, body.path, node.data)
             return r.DataReply(node.data, node.stat())
         if body.watch:
-            watching.children.add(body.path)
+            watches.children.add(body.path)
         names = list(node.children)
         self.ensemble.note_children(connection, body.path, names)
         return r.ChildrenReply(names) if op == r.GET_CHILDREN else r.Children2Reply(names, node.stat())
@@ -393,12 +409,12 @@
         user = body.auth.split(b":", 1)[0].decode(errors="replace")
         digest = b64encode(hashlib.sha1(body.auth).digest()).decode()
         connection.ids.add(r.Id("digest", f"{user}:{digest}"))
-        if connection.live is not None:
-            connection.live.user = user
+        if connection.session is not None:
+            connection.session.user = user
 
     def _set_watches(self, connection: Connection, body: Any) -> None:
-        """What happened since the client's zxid is told at once; the rest is watched."""
-        watching, missed = connection.watching, []
+        """Sends events for changes since the client's zxid, and watches the other paths."""
+        watches, missed = connection.watches, []
         nodes = self.tree.nodes
         for path in body.data:
             node = nodes.get(path)
@@ -407,12 +423,12 @@
             elif node.mzxid > body.zxid:
                 missed.append((r.CHANGED, path))
             else:
-                watching.data.add(path)
+                watches.data.add(path)
         for path in body.exists:
             if path in nodes:
                 missed.append((r.CREATED, path))
             else:
-                watching.exists.add(path)
+                watches.exists.add(path)
         for path in body.children:
             node = nodes.get(path)
             if node is None:
@@ -420,19 +436,19 @@
             elif node.pzxid > body.zxid:
                 missed.append((r.CHILDREN, path))
             else:
-                watching.children.add(path)
+                watches.children.add(path)
         if isinstance(body, r.SetWatches2):
-            watching.persistent.update(body.persistent)
-            watching.recursive.update(body.recursive)
+            watches.persistent.update(body.persistent)
+            watches.recursive.update(body.recursive)
         for kind, path in missed:
             self.ensemble.note_event(connection, kind, path)
             connection._write(connection.codec.event(r.WatchEvent(kind, r.CONNECTED, path)))
 
     def _remove_watches(self, connection: Connection, body: r.RemoveWatches) -> None:
-        watching = connection.watching
-        kinds = {1: (watching.children,), 2: (watching.data, watching.exists)}.get(
+        watches = connection.watches
+        kinds = {1: (watches.children,), 2: (watches.data, watches.exists)}.get(
             body.kind,
-            (watching.children, watching.data, watching.exists, watching.persistent, watching.recursive),
+            (watches.children, watches.data, watches.exists, watches.persistent, watches.recursive),
         )
         if not any(body.path in paths for paths in kinds):
             raise ZooError(Code.NO_WATCHER)
@@ -442,7 +458,7 @@
     # ---- the log
 
     def catch_up(self) -> None:
-        """Applies what is due of the leader's log."""
+        """Applies the entries of the leader's log that are due."""
         ensemble, now = self.ensemble, self.ensemble.loop.now()
         while (
             not self.cut
@@ -453,15 +469,15 @@
             self.applied += 1
             events = self.tree.apply(zxid, at // 1000, changes)
             for connection in list(self.connections):
-                connection.fire(events)
-                connection.caught_up()
+                connection.send_events(events)
+                connection.on_caught_up()
 
     def drop(self) -> None:
         for connection in list(self.connections):
             connection.stream.close()
 
 
-WRITES = (
+WRITE_OPS = (
     r.CREATE,
     r.CREATE2,
     r.DELETE,
@@ -475,54 +491,55 @@
 
 
 class Ensemble:
-    """The leader: the log, the sessions, and what may be written."""
+    """The leader: the log, the sessions, and the validation of writes."""
 
     def __init__(self, loop: Loop, plan: EnsemblePlan, recorder: Optional[Recorder] = None) -> None:
         self.loop = loop
         self.plan = plan
         self.recorder = recorder
-        self.chance = random.Random(plan.seed)
+        self.rng = random.Random(plan.seed)
         self.tree = Tree()
         self.zxid = 0
         self.log: list[tuple[int, int, list[tuple]]] = []
-        self.sessions: dict[int, LiveSession] = {}
+        self.sessions: dict[int, Session] = {}
         self.next_session = (plan.seed & 0xFFFF) << 32
-        self.delay = 0
-        self.believed: dict[tuple[str, str], str] = {}  # (user, node) -> endpoint that the user was told of
+        self.delay_us = 0
+        # (user, node) -> endpoint that the user has read
+        self.known_endpoints: dict[tuple[str, str], str] = {}
         self.servers = [Server(self, n, (address[0], address[1])) for n, address in enumerate(plan.addresses)]
         if plan.control is not None:
-            loop.spawn(serve_http(loop, listen(loop, plan.control), self._answer), "control")
+            loop.spawn(serve_http(loop, listen(loop, plan.control), self._handle_request), "control")
         loop.spawn(self._tick(), "sessions")
 
     def _tick(self) -> Coroutine:
         while True:
-            yield from self.loop.sleep(TICK)
+            yield from self.loop.sleep(TICK_US)
             now = self.loop.now()
-            for live in [s for s in self.sessions.values() if now - s.heard_at > s.timeout]:
-                self.expire(live)
+            for session in [s for s in self.sessions.values() if now - s.last_heard_at > s.timeout]:
+                self.expire(session)
             for server in self.servers:
                 server.catch_up()
 
     # ---- sessions
 
-    def new_session(self, timeout: int) -> LiveSession:
+    def new_session(self, timeout: int) -> Session:
         self.next_session += 1
-        live = LiveSession(self.next_session, self.chance.randbytes(16), timeout, self.loop.now())
-        self.sessions[live.number] = live
-        return live
+        session = Session(self.next_session, self.rng.randbytes(16), timeout, self.loop.now())
+        self.sessions[session.number] = session
+        return session
 
-    def expire(self, live: LiveSession) -> None:
-        """Its ephemeral nodes leave in one transaction; its client hears of it when it next connects."""
+    def expire(self, session: Session) -> None:
+        """Ends a session: its ephemeral nodes are deleted in one transaction and its connection is closed."""
         if self.recorder is not None:
-            self.recorder.note("expired", f"{live.number:#x}", live.user)
-        self.end_session(live)
-        if live.connection is not None:
-            live.connection.stream.close()
+            self.recorder.note("expired", f"{session.number:#x}", session.user)
+        self.end_session(session)
+        if session.connection is not None:
+            session.connection.stream.close()
 
-    def end_session(self, live: Optional[LiveSession]) -> None:
-        if live is None or self.sessions.pop(live.number, None) is None:
+    def end_session(self, session: Optional[Session]) -> None:
+        if session is None or self.sessions.pop(session.number, None) is None:
             return
-        paths = sorted(self.tree.of_session.get(live.number, ()))
+        paths = sorted(self.tree.paths_by_session.get(session.number, ()))
         if paths:
             self.commit([("delete", path) for path in paths])
 
@@ -538,15 +555,15 @@
 
     # ---- writes
 
-    def allow(self, ids: set[r.Id], node: ZNode, wanted: int) -> None:
-        if not any(one.perms & wanted and one.who in ids for one in node.acl):
+    def check_permission(self, ids: set[r.Id], node: ZNode, permission: int) -> None:
+        if not any(entry.perms & permission and entry.who in ids for entry in node.acl):
             raise ZooError(Code.NO_AUTH)
 
     def write(self, connection: Connection, op: int, body: Any) -> tuple[int, Any]:
-        """(zxid, answer). Raises ZooError."""
+        """Returns (zxid, answer). Raises ZooError."""
         if op == r.MULTI:
             return self._multi(connection, body)
-        change, answer = self._sound(connection, op, body, self.tree)
+        change, answer = self._validate(connection, op, body, self.tree)
         zxid = self.commit([change] if change else [])
         return zxid, self._answer_of(op, answer)
 
@@ -558,13 +575,17 @@
         return r.StatReply(self.tree.nodes[path].stat()) if op in (r.SET_DATA, r.SET_ACL) else None
 
     def _multi(self, connection: Connection, body: r.Multi) -> tuple[int, Any]:
-        """All or none: each is held against the tree as those before it leave it."""
-        trial, changes, paths = _copied(self.tree, [getattr(one, "path", "") for _, one in body.ops]), [], []
-        for n, (op, one) in enumerate(body.ops):
+        """Executes all operations or none; each is validated on a copy with the ones before it applied."""
+        scratch_tree, changes, paths = (
+            _copy_for_validation(self.tree, [getattr(operation, "path", "") for _, operation in body.ops]),
+            [],
+            [],
+        )
+        for n, (op, operation) in enumerate(body.ops):
             try:
-                change, path = self._sound(connection, op, one, trial)
+                change, path = self._validate(connection, op, operation, scratch_tree)
                 if change:
-                    trial.apply(self.zxid + 1, self.loop.now() // 1000, [change])
+                    scratch_tree.apply(self.zxid + 1, self.loop.now() // 1000, [change])
                     changes.append(change)
                 paths.append(path)
             except ZooError as error:
@@ -577,163 +598,174 @@
             [(op, self._answer_of(op, path), 0) for (op, _), path in zip(body.ops, paths)]
         )
 
-    def _sound(self, connection: Connection, op: int, body: Any, tree: Tree) -> tuple[Optional[tuple], str]:
-        """(the change, its path) of one operation that may be done."""
+    def _validate(
+        self, connection: Connection, op: int, body: Any, tree: Tree
+    ) -> tuple[Optional[tuple], str]:
+        """Returns (change, path) of an operation. Raises ZooError if it is not allowed."""
         if op in (r.CREATE_CONTAINER, r.CREATE_TTL) or (
             op in (r.CREATE, r.CREATE2) and body.flags not in range(4)
         ):
             raise ZooError(Code.UNIMPLEMENTED)
         if op in (r.CREATE, r.CREATE2):
-            return self._sound_create(connection, body, tree)
+            return self._validate_create(connection, body, tree)
         node = tree.nodes.get(body.path)
         if node is None:
             raise ZooError(Code.NO_NODE)
-        have = node.aversion if op == r.SET_ACL else node.version
-        if body.version not in (-1, have):
+        current = node.aversion if op == r.SET_ACL else node.version
+        if body.version not in (-1, current):
             raise ZooError(Code.BAD_VERSION)
         if op == r.CHECK:
-            self.allow(connection.ids, node, r.MAY_READ)
+            self.check_permission(connection.ids, node, r.MAY_READ)
             return None, body.path
         if op == r.DELETE:
             if body.path == "/":
                 raise ZooError(Code.BAD_ARGUMENTS)
-            self.allow(connection.ids, tree.nodes[parent_of(body.path)], r.MAY_DELETE)
+            self.check_permission(connection.ids, tree.nodes[parent_of(body.path)], r.MAY_DELETE)
             if node.children:
                 raise ZooError(Code.NOT_EMPTY)
             return ("delete", body.path), body.path
         if op == r.SET_ACL:
-            self.allow(connection.ids, node, r.MAY_ADMIN)
-            return ("acl", body.path, self._sound_acl(connection, body.acl)), body.path
-        self.allow(connection.ids, node, r.MAY_WRITE)
-        if len(body.data or b"") > DATA_MOST:
+            self.check_permission(connection.ids, node, r.MAY_ADMIN)
+            return ("acl", body.path, self._resolve_acl(connection, body.acl)), body.path
+        self.check_permission(connection.ids, node, r.MAY_WRITE)
+        if len(body.data or b"") > MAX_DATA_BYTES:
             raise ZooError(Code.BAD_ARGUMENTS)
         return ("set", body.path, body.data), body.path
 
-    def _sound_create(self, connection: Connection, body: r.Create, tree: Tree) -> tuple[tuple, str]:
+    def _validate_create(self, connection: Connection, body: r.Create, tree: Tree) -> tuple[tuple, str]:
         path = body.path
         sequential = body.flags in (r.SEQUENTIAL, r.EPHEMERAL_SEQUENTIAL)
-        if check_path(path + ("0" if sequential else "")) or path == "/" or len(body.data or b"") > DATA_MOST:
+        if (
+            check_path(path + ("0" if sequential else ""))
+            or path == "/"
+            or len(body.data or b"") > MAX_DATA_BYTES
+        ):
             raise ZooError(Code.BAD_ARGUMENTS)
-        above = tree.nodes.get(parent_of(path))
-        if above is None:
+        parent = tree.nodes.get(parent_of(path))
+        if parent is None:
             raise ZooError(Code.NO_NODE)
-        self.allow(connection.ids, above, r.MAY_CREATE)
-        if above.owner:
+        self.check_permission(connection.ids, parent, r.MAY_CREATE)
+        if parent.owner:
             raise ZooError(Code.NO_CHILDREN_FOR_EPHEMERALS)
-        if sequential:  # counted by the parent's changes, as the specification has it
-            path += f"{above.cversion:010d}"
+        if sequential:  # the suffix is the parent's cversion, as specified
+            path += f"{parent.cversion:010d}"
         if path in tree.nodes:
             raise ZooError(Code.NODE_EXISTS)
-        assert connection.live is not None
-        owner = connection.live.number if body.flags in (r.EPHEMERAL, r.EPHEMERAL_SEQUENTIAL) else 0
-        return ("create", path, body.data, self._sound_acl(connection, body.acl), owner), path
+        assert connection.session is not None
+        owner = connection.session.number if body.flags in (r.EPHEMERAL, r.EPHEMERAL_SEQUENTIAL) else 0
+        return ("create", path, body.data, self._resolve_acl(connection, body.acl), owner), path
 
     @staticmethod
-    def _sound_acl(connection: Connection, acl: list[r.Acl]) -> list[r.Acl]:
-        """The scheme "auth" stands for whoever the session has shown itself as."""
-        made: list[r.Acl] = []
-        for one in acl:
-            if one.who.scheme == "auth":
-                mine = [who for who in connection.ids if who != ANYONE]
-                if not mine:
+    def _resolve_acl(connection: Connection, acl: list[r.Acl]) -> list[r.Acl]:
+        """Replaces the scheme "auth" by the identities that the session has authenticated."""
+        resolved: list[r.Acl] = []
+        for entry in acl:
+            if entry.who.scheme == "auth":
+                own = [identity for identity in connection.ids if identity != ANYONE]
+                if not own:
                     raise ZooError(Code.INVALID_ACL)
-                made += [r.Acl(one.perms, who) for who in sorted(mine)]
-            elif one.who.scheme in ("world", "digest"):
-                made.append(one)
+                resolved += [r.Acl(entry.perms, identity) for identity in sorted(own)]
+            elif entry.who.scheme in ("world", "digest"):
+                resolved.append(entry)
             else:
                 raise ZooError(Code.INVALID_ACL)
-        if not made:
+        if not resolved:
             raise ZooError(Code.INVALID_ACL)
-        return made
+        return resolved
 
-    # ---- the record: what each reader was told of the members, so that the rules can be held against it
+    # ---- recording of what each session reads about the members, for the rule checkers
 
-    def _member(self, path: str) -> str:
-        top = self.plan.read_path.rstrip("/") + "/"
-        name = path[len(top) :] if self.plan.read_path and path.startswith(top) else ""
+    def _member_name(self, path: str) -> str:
+        root = self.plan.read_path.rstrip("/") + "/"
+        name = path[len(root) :] if self.plan.read_path and path.startswith(root) else ""
         return "" if "/" in name else name
 
-    def _told(self, connection: Connection, rows: list[list[str]]) -> None:
-        if self.recorder is not None and rows and connection.live is not None:
-            self.recorder.note("told", connection.live.user, self.zxid, rows)
+    def _record_update(self, connection: Connection, rows: list[list[str]]) -> None:
+        if self.recorder is not None and rows and connection.session is not None:
+            self.recorder.note("told", connection.session.user, self.zxid, rows)
 
     def note_read(self, connection: Connection, path: str, data: Optional[bytes]) -> None:
-        name = self._member(path)
-        if not name or connection.live is None:
+        name = self._member_name(path)
+        if not name or connection.session is None:
             return
         try:
             member = read_member(data, self.plan.form)
         except NodeRefused:
             return
-        self.believed[connection.live.user, name] = member.endpoint
-        self._told(connection, [[member.endpoint, member.phase, member.start]])
+        self.known_endpoints[connection.session.user, name] = member.endpoint
+        self._record_update(connection, [[member.endpoint, member.phase, member.start]])
 
-    def _vanished(self, connection: Connection, names: list[str]) -> None:
-        assert connection.live is not None
-        user, rows = connection.live.user, []
+    def _record_removals(self, connection: Connection, names: list[str]) -> None:
+        assert connection.session is not None
+        user, rows = connection.session.user, []
         for name in names:
-            endpoint = self.believed.pop((user, name), "")
-            if endpoint and endpoint not in [e for (u, _), e in self.believed.items() if u == user]:
+            endpoint = self.known_endpoints.pop((user, name), "")
+            if endpoint and endpoint not in [e for (u, _), e in self.known_endpoints.items() if u == user]:
                 rows.append([endpoint, "off", ""])
-        self._told(connection, rows)
+        self._record_update(connection, rows)
 
     def note_event(self, connection: Connection, kind: int, path: str) -> None:
-        if kind == r.DELETED and self._member(path) and connection.live is not None:
-            self._vanished(connection, [self._member(path)])
+        if kind == r.DELETED and self._member_name(path) and connection.session is not None:
+            self._record_removals(connection, [self._member_name(path)])
 
     def note_missing(self, connection: Connection, path: str) -> None:
-        if self._member(path) and connection.live is not None:
-            self._vanished(connection, [self._member(path)])
+        if self._member_name(path) and connection.session is not None:
+            self._record_removals(connection, [self._member_name(path)])
 
     def note_children(self, connection: Connection, path: str, names: list[str]) -> None:
-        if path == self.plan.read_path and connection.live is not None:
-            user, there = connection.live.user, set(names)
-            self._vanished(
-                connection, [name for u, name in list(self.believed) if u == user and name not in there]
+        if path == self.plan.read_path and connection.session is not None:
+            user, present = connection.session.user, set(names)
+            self._record_removals(
+                connection,
+                [name for u, name in list(self.known_endpoints) if u == user and name not in present],
             )
 
     # ---- control
 
-    def _answer(self, asked: HttpRequest) -> Coroutine:
+    def _handle_request(self, request: HttpRequest) -> Coroutine:
         yield from self.loop.breathe()
-        if asked.target == "/control":
-            self.control(msgspec.json.decode(asked.body))
-        held = {
+        if request.target == "/control":
+            self.control(msgspec.json.decode(request.body))
+        state = {
             "zxid": self.zxid,
             "sessions": {f"{n:#x}": s.user for n, s in self.sessions.items()},
             "members": sorted(self._children()),
             "applied": [server.tree.zxid for server in self.servers],
         }
-        return HttpReply(200, msgspec.json.encode(held))
+        return HttpReply(200, msgspec.json.encode(state))
 
     def _children(self) -> list[str]:
         node = self.tree.nodes.get(self.plan.read_path)
         return list(node.children) if node is not None else []
 
-    def control(self, order: dict[str, Any]) -> None:
+    def control(self, command: dict[str, Any]) -> None:
         if self.recorder is not None:
-            self.recorder.note("control", order)
-        wanted = order.get("expire", [])
-        for live in list(self.sessions.values()):
-            if wanted == "all" or f"{live.number:#x}" in wanted or (live.user and live.user in wanted):
-                self.expire(live)
-        for n in order.get("cut", []):
+            self.recorder.note("control", command)
+        to_expire = command.get("expire", [])
+        for session in list(self.sessions.values()):
+            if (
+                to_expire == "all"
+                or f"{session.number:#x}" in to_expire
+                or (session.user and session.user in to_expire)
+            ):
+                self.expire(session)
+        for n in command.get("cut", []):
             self.servers[n].cut = True
             self.servers[n].drop()
-        for n in order.get("heal", []):
+        for n in command.get("heal", []):
             self.servers[n].cut = False
             self.servers[n].catch_up()
             self.servers[n].drop()
-        for n, lag in order.get("lag_ms", {}).items():
+        for n, lag in command.get("lag_ms", {}).items():
             self.servers[int(n)].lag = int(lag * 1000)
             self.servers[int(n)].catch_up()
-        for n in order.get("drop", []):
+        for n in command.get("drop", []):
             self.servers[n].drop()
-        if order.get("delete"):
-            self.commit([("delete", order["delete"])])
-        if order.get("reset"):
+        if command.get("delete"):
+            self.commit([("delete", command["delete"])])
+        if command.get("reset"):
             self._reset()
-        self.delay = int(order.get("delay_ms", self.delay / 1000) * 1000)
+        self.delay_us = int(command.get("delay_ms", self.delay_us / 1000) * 1000)
 
     def _reset(self) -> None:
         self.sessions.clear()
@@ -744,20 +776,20 @@
             server.drop()
 
 
-def _copied(tree: Tree, paths: list[str]) -> Tree:
-    """A tree to try changes on: only the nodes that the paths touch are copied."""
-    trial = Tree()
-    trial.nodes = dict(tree.nodes)
-    trial.of_session = {owner: set(held) for owner, held in tree.of_session.items()}
+def _copy_for_validation(tree: Tree, paths: list[str]) -> Tree:
+    """Returns a tree to validate changes on, with copies of the nodes at `paths` and their parents."""
+    scratch_tree = Tree()
+    scratch_tree.nodes = dict(tree.nodes)
+    scratch_tree.paths_by_session = {owner: set(held) for owner, held in tree.paths_by_session.items()}
     for path in {p for one in paths if one for p in (one, parent_of(one))}:
         node = tree.nodes.get(path)
         if node is not None:
-            made = ZNode(node.data, node.acl, node.czxid, node.ctime, node.owner)
+            copied = ZNode(node.data, node.acl, node.czxid, node.ctime, node.owner)
             for name in ("mzxid", "pzxid", "mtime", "version", "cversion", "aversion"):
-                setattr(made, name, getattr(node, name))
-            made.children = dict(node.children)
-            trial.nodes[path] = made
-    return trial
+                setattr(copied, name, getattr(node, name))
+            copied.children = dict(node.children)
+            scratch_tree.nodes[path] = copied
+    return scratch_tree
 
 
 def run(loop: Loop, raw: bytes, record: str) -> Ensemble:
--- a/cedarshift/standins/proxy.py
+++ b/cedarshift/standins/proxy.py
@@ -1,4 +1,4 @@
-"""A stand-in proxy: the agent, and a listening side over HTTP/1.1. Broken kinds exist to see the rule checkers fire.
+"""A stand-in proxy: the agent behind an HTTP/1.1 listener. Faulty kinds test the rule checkers.
 
 POST /op       headers x-op, x-key, x-type, x-try, x-work-us, x-left-us
 POST /control  {"slow_zone": zone, "slow_ms": ms}
@@ -25,13 +25,17 @@
 from cedarshift.web import HttpReply, HttpRequest, Pool, serve_http
 from cedarshift.web.client import NotSentError
 
-AGAIN_AFTER = 100_000  # us before a repeat, jittered by half
+RETRY_DELAY_US = 100_000  # jittered by half
 NEVER_RAN = (("x-never-ran", "1"), ("x-retry-after-ms", "200"))
 
 
 class ProxyPlan(msgspec.Struct):
-    """`kind`: "plain"; "deaf" acks orders and keeps its old lines; "forgetful" drops its tables `at_us` after the start;
-    "pushy" sends all that is no write to `favourite`; "throttle" and "fixed" are other ways of shedding, to measure against."""
+    """Settings of a proxy, passed as JSON.
+
+    `kind`: "plain"; "deaf" acks orders but keeps its first lines; "forgetful" drops its tables `at_us` after
+    the start; "pushy" sends all reads to `favourite`; "throttle" and "fixed" shed load in other ways, for
+    comparison.
+    """
 
     name: str
     address: tuple[str, int]
@@ -52,60 +56,66 @@
     kind: str = "plain"
     favourite: str = ""
     at_us: int = 0
-    let_in: list[float] = []  # "fixed": the part of each op type
+    let_in: list[float] = []  # "fixed": the share of each op type that is admitted
     seed: int = 0
 
 
-def _again(again: str, wait: int) -> tuple[tuple[str, str], ...]:
-    return (("x-never-ran", "1"), ("x-again", again), ("x-retry-after-ms", str(max(1, wait // 1000))))
+def _retry_headers(retry_hint: str, wait_us: int) -> tuple[tuple[str, str], ...]:
+    return (("x-never-ran", "1"), ("x-again", retry_hint), ("x-retry-after-ms", str(max(1, wait_us // 1000))))
 
 
 def slice_of(key: str, slices: int) -> int:
-    """Key to slice; the same for every proxy of a deployment."""
+    """Maps a key to its slice, the same way at every proxy of a deployment."""
     return int.from_bytes(blake2b(key.encode(), digest_size=8).digest(), "big") % max(1, slices)
 
 
-class Throttle:
-    """Adaptive throttling by each proxy alone (Beyer and others, Site Reliability Engineering, 2016, chapter 21): what comes beyond twice
-    what is acked is rejected here."""
+class AdaptiveThrottle:
+    """Adaptive throttling at each proxy: rejects ops beyond twice the number of acked ones.
+
+    See Beyer et al., Site Reliability Engineering (2016), chapter 21.
+    """
 
     def __init__(self) -> None:
-        self.seconds: deque[list[int]] = deque([[0, 0, 0]], maxlen=10)  # second, came, acked
+        self.buckets: deque[list[int]] = deque([[0, 0, 0]], maxlen=10)  # second, received, acked
 
-    def _now(self, now: int) -> list[int]:
-        if self.seconds[-1][0] != now // 1_000_000:
-            self.seconds.append([now // 1_000_000, 0, 0])
-        return self.seconds[-1]
+    def _current_bucket(self, now: int) -> list[int]:
+        if self.buckets[-1][0] != now // 1_000_000:
+            self.buckets.append([now // 1_000_000, 0, 0])
+        return self.buckets[-1]
 
-    def lets_in(self, now: int, chance: float) -> bool:
-        self._now(now)[1] += 1
-        came, acked = sum(row[1] for row in self.seconds), sum(row[2] for row in self.seconds)
-        return chance >= max(0.0, (came - 2 * acked) / (came + 1))
+    def admits(self, now: int, random_value: float) -> bool:
+        self._current_bucket(now)[1] += 1
+        received, acked = sum(row[1] for row in self.buckets), sum(row[2] for row in self.buckets)
+        return random_value >= max(0.0, (received - 2 * acked) / (received + 1))
 
     def acked(self, now: int) -> None:
-        self._now(now)[2] += 1
+        self._current_bucket(now)[2] += 1
 
 
-class DeafTables(Tables):
-    """Acks all, keeps the first owner of each slice."""
+class StaleTables(Tables):
+    """Tables that keep the first owner of each slice and ignore levels."""
 
     def _set_owner(self, pilot: str, line: m.Line) -> None:
         if line.weight > 0 and not self.held[line.table].owner:
             super()._set_owner(pilot, line)
 
-    def _level(self, levels: list[m.Level], table: int, op_type: int) -> None:
+    def _check_level(self, levels: list[m.Level], table: int, op_type: int) -> None:
         return None
 
 
 class Proxy:
+    """Forwards ops to the endpoints that its agent picks, and records what it was told and what it sent."""
+
     def __init__(self, loop: Loop, plan: ProxyPlan, recorder: Recorder) -> None:
         self.loop = loop
         self.plan = plan
         self.recorder = recorder
-        self.types = {name: (n, writes, timeout) for n, (name, writes, timeout) in enumerate(plan.op_types)}
-        self.chance = random.Random(plan.seed)
-        kind = DeafTables if plan.kind == "deaf" else Tables
-        self.tables = kind(
+        self.op_type_settings = {
+            name: (n, writes, timeout) for n, (name, writes, timeout) in enumerate(plan.op_types)
+        }
+        self.rng = random.Random(plan.seed)
+        tables_class = StaleTables if plan.kind == "deaf" else Tables
+        self.tables = tables_class(
             plan.slices,
             [OpKind(name, writes) for name, writes, _ in plan.op_types],
             plan.single_owner,
@@ -114,9 +124,9 @@
             plan.outlier_after,
         )
         self.pool = Pool(loop, plan.connect_us)
-        self.throttle = Throttle() if plan.kind == "throttle" else None
-        self.slow: dict[str, int] = {}
-        self.shown: dict[int, tuple[str, bool, str]] = {}
+        self.throttle = AdaptiveThrottle() if plan.kind == "throttle" else None
+        self.zone_delays: dict[str, int] = {}
+        self.recorded_slices: dict[int, tuple[str, bool, str]] = {}
         self.bare: list[int] = []
         badge = Badge(plan.deployment, "proxy", plan.name, plan.zone, plan.secret.encode())
         self.agent = Agent(
@@ -125,16 +135,16 @@
             plan.pilots,
             plan.store,
             self.tables,
-            self.chance.random,
+            self.rng.random,
             self._observe,
             lambda: fresh_bytes(16),
         )
-        loop.spawn(serve_http(loop, listen(loop, plan.address), self._answer), "http")
+        loop.spawn(serve_http(loop, listen(loop, plan.address), self._handle_request), "http")
         recorder.note("start", plan.name, plan.zone, plan.kind)
         if plan.kind == "forgetful":
-            loop.at(loop.now() + plan.at_us, self._forget)
+            loop.at(loop.now() + plan.at_us, self._drop_tables)
 
-    # ---- the record
+    # ---- recording
 
     def _observe(self, event: str, **fields: Any) -> None:
         if event == "order":
@@ -158,135 +168,153 @@
             self._note_tables()
 
     def _note_tables(self) -> None:
-        """Only what changed: a slice's owner, whether its writes are closed, and who is in charge."""
-        for number, holding in self.tables.held.items():
+        """Records the slices whose owner, open or closed writes, or pilot have changed."""
+        for slice_id, holding in self.tables.held.items():
             closed = any(lv.share <= 0 and lv.table != ALL_TABLES for lv in holding.levels)
             now = (holding.owner, closed, holding.pilot)
-            if self.shown.get(number) != now:
-                self.shown[number] = now
-                self.recorder.note("slice", number, *now)
+            if self.recorded_slices.get(slice_id) != now:
+                self.recorded_slices[slice_id] = now
+                self.recorder.note("slice", slice_id, *now)
 
-    def _forget(self) -> None:
+    def _drop_tables(self) -> None:
         for holding in self.tables.held.values():
             holding.owner = ""
         self._note_tables()
 
     # ---- ops
 
-    def _answer(self, asked: HttpRequest) -> Coroutine:
-        if asked.target == "/control":
-            order = msgspec.json.decode(asked.body)
-            self.slow = {order["slow_zone"]: int(order["slow_ms"] * 1000)} if order.get("slow_ms") else {}
+    def _handle_request(self, request: HttpRequest) -> Coroutine:
+        if request.target == "/control":
+            command = msgspec.json.decode(request.body)
+            self.zone_delays = (
+                {command["slow_zone"]: int(command["slow_ms"] * 1000)} if command.get("slow_ms") else {}
+            )
             yield from self.loop.breathe()
             return HttpReply(200, b"{}")
-        if asked.target == "/health":
+        if request.target == "/health":
             yield from self.loop.breathe()
             return HttpReply(200 if any(v.joined for v in self.tables.views.values()) else 503)
-        head = asked.headers
-        if head.get("x-type", "") not in self.types:
-            return HttpReply(400, b"x-type is none of " + ", ".join(self.types).encode())
-        return (yield from self._forward(head, self.loop.now()))
-
-    def _forward(self, head: dict[str, str], came: int) -> Coroutine:
-        kind, writes, timeout = self.types[head["x-type"]]
-        number = slice_of(head.get("x-key", ""), self.plan.slices) if self.plan.slices else -1
-        until = came + min(timeout, int(head.get("x-left-us", timeout)))
-        fresh = head.get("x-try", "0") == "0"
-        self.agent.on_op_received(number, kind, fresh)
-        if not self._lets_in(kind, came):
-            return self._turned(head, number, Rejection("kind", "later", 2 * AGAIN_AFTER))
-        pick = yield from self.agent.pick_within(number, kind, self.plan.buffer_us)
+        headers = request.headers
+        if headers.get("x-type", "") not in self.op_type_settings:
+            return HttpReply(400, b"x-type is none of " + ", ".join(self.op_type_settings).encode())
+        return (yield from self._forward(headers, self.loop.now()))
+
+    def _forward(self, headers: dict[str, str], received_at: int) -> Coroutine:
+        op_type, writes, timeout = self.op_type_settings[headers["x-type"]]
+        slice_id = slice_of(headers.get("x-key", ""), self.plan.slices) if self.plan.slices else -1
+        deadline = received_at + min(timeout, int(headers.get("x-left-us", timeout)))
+        first_try = headers.get("x-try", "0") == "0"
+        self.agent.on_op_received(slice_id, op_type, first_try)
+        if not self._admits(op_type, received_at):
+            return self._reject(headers, slice_id, Rejection("kind", "later", 2 * RETRY_DELAY_US))
+        pick = yield from self.agent.pick_within(slice_id, op_type, self.plan.buffer_us)
         if isinstance(pick, NoPick):
-            again = "elsewhere" if pick.reason == "lease" else "later"
-            return self._turned(head, number, Rejection(pick.reason, again, self._wait()))
-        turned = self.agent.admit(pick, kind, until - self.loop.now(), fresh)
-        if turned is not None:
-            return self._turned(head, number, turned)
+            retry_hint = "elsewhere" if pick.reason == "lease" else "later"
+            return self._reject(headers, slice_id, Rejection(pick.reason, retry_hint, self._retry_delay_us()))
+        rejection = self.agent.admit(pick, op_type, deadline - self.loop.now(), first_try)
+        if rejection is not None:
+            return self._reject(headers, slice_id, rejection)
         if self.plan.kind == "pushy" and not writes and self.plan.favourite:
             pick = Pick(self.plan.favourite, pick.pilot, pick.epoch)
-        answer = yield from self._send(head, pick, number, writes, until)
-        retries = self.tables.retries(number, kind) if not self.plan.slices else 0
+        answer = yield from self._send(headers, pick, slice_id, writes, deadline)
+        retries = self.tables.retries(slice_id, op_type) if not self.plan.slices else 0
         if (
             self.plan.slices
             and answer.status != 200
             and answer.headers == NEVER_RAN
             and "retries" in self.agent.shares.budget_by_use
         ):
-            return (yield from self._once_more(head, number, kind, writes, until, answer))
+            return (yield from self._retry(headers, slice_id, op_type, writes, deadline, answer))
         if (
             answer.status != 200
             and retries
             and (retries > 1 or answer.headers == NEVER_RAN)
-            and self.loop.now() < until
+            and self.loop.now() < deadline
             and self.agent.may_retry()
         ):
-            again = yield from self.agent.pick(number, kind)
-            if isinstance(again, Pick) and again.endpoint != pick.endpoint:
-                answer = yield from self._send(head, again, number, writes, until)
+            retry_pick = yield from self.agent.pick(slice_id, op_type)
+            if isinstance(retry_pick, Pick) and retry_pick.endpoint != pick.endpoint:
+                answer = yield from self._send(headers, retry_pick, slice_id, writes, deadline)
         if answer.status not in (200, 503):
-            self.agent.on_op_unanswered(number, kind)
+            self.agent.on_op_unanswered(slice_id, op_type)
         elif answer.status == 200 and self.throttle is not None:
             self.throttle.acked(self.loop.now())
         if answer.headers == NEVER_RAN and self.agent.gate.counting_since:
-            wait = self.agent.gate.retry_delay(self.agent.gate.active_policy(self.loop.now(), pick.pilot))
-            return answer._replace(headers=_again("later", wait))
+            wait_us = self.agent.gate.retry_delay(self.agent.gate.active_policy(self.loop.now(), pick.pilot))
+            return answer._replace(headers=_retry_headers("later", wait_us))
         return answer
 
-    def _lets_in(self, kind: int, now: int) -> bool:
-        """Of the ways of shedding to measure against."""
+    def _admits(self, op_type: int, now: int) -> bool:
+        """Applies the shedding of the kinds "throttle" and "fixed"."""
         if self.throttle is not None:
-            return self.throttle.lets_in(now, self.chance.random())
-        return kind >= len(self.plan.let_in) or self.chance.random() < self.plan.let_in[kind]
+            return self.throttle.admits(now, self.rng.random())
+        return op_type >= len(self.plan.let_in) or self.rng.random() < self.plan.let_in[op_type]
 
-    def _wait(self) -> int:
-        return self.agent.gate.retry_delay() if self.agent.gate.counting_since else 2 * AGAIN_AFTER
+    def _retry_delay_us(self) -> int:
+        return self.agent.gate.retry_delay() if self.agent.gate.counting_since else 2 * RETRY_DELAY_US
 
-    def _turned(self, head: dict[str, str], number: int, turned: Rejection) -> HttpReply:
-        """Rejected here; the client is told whether, when and where to come again."""
-        self.recorder.note("turned", head.get("x-op", ""), number, turned.reason)
+    def _reject(self, headers: dict[str, str], slice_id: int, rejection: Rejection) -> HttpReply:
+        """Rejects an op; the answer says whether, when and where the client may retry."""
+        self.recorder.note("turned", headers.get("x-op", ""), slice_id, rejection.reason)
         if not self.agent.gate.counting_since:
-            return HttpReply(503, turned.reason.encode(), NEVER_RAN)
-        return HttpReply(503, turned.reason.encode(), _again(turned.again, turned.wait))
-
-    def _once_more(
-        self, head: dict[str, str], number: int, kind: int, writes: bool, until: int, answer: HttpReply
+            return HttpReply(503, rejection.reason.encode(), NEVER_RAN)
+        return HttpReply(503, rejection.reason.encode(), _retry_headers(rejection.again, rejection.wait))
+
+    def _retry(
+        self,
+        headers: dict[str, str],
+        slice_id: int,
+        op_type: int,
+        writes: bool,
+        deadline: int,
+        answer: HttpReply,
     ) -> Coroutine:
-        """An op that is proved not to have run is sent again, within the fleet's budget for that, to whoever owns its slice by then."""
-        yield from self.loop.sleep(int(AGAIN_AFTER * (0.5 + self.chance.random())))
-        if self.loop.now() + AGAIN_AFTER >= until or not self.agent.may_retry():
+        """Retries an op that surely has not run, within the retry budget, at the slice's present owner."""
+        yield from self.loop.sleep(int(RETRY_DELAY_US * (0.5 + self.rng.random())))
+        if self.loop.now() + RETRY_DELAY_US >= deadline or not self.agent.may_retry():
             return answer
         self.recorder.note("spend", "retries")
-        pick = yield from self.agent.pick_within(number, kind, self.plan.buffer_us)
+        pick = yield from self.agent.pick_within(slice_id, op_type, self.plan.buffer_us)
         if isinstance(pick, Pick):
-            answer = yield from self._send(head, pick, number, writes, until)
+            answer = yield from self._send(headers, pick, slice_id, writes, deadline)
         if answer.status not in (200, 503):
-            self.agent.on_op_unanswered(number, kind)
+            self.agent.on_op_unanswered(slice_id, op_type)
         return answer
 
-    def _send(self, head: dict[str, str], pick: Pick, number: int, writes: bool, until: int) -> Coroutine:
-        begun = self.loop.now()
+    def _send(
+        self, headers: dict[str, str], pick: Pick, slice_id: int, writes: bool, deadline: int
+    ) -> Coroutine:
+        started_at = self.loop.now()
         self.agent.on_try_started(pick)
         self.recorder.note(
-            "send", head.get("x-op", ""), number, head["x-type"], pick.endpoint, pick.pilot, pick.epoch
+            "send",
+            headers.get("x-op", ""),
+            slice_id,
+            headers["x-type"],
+            pick.endpoint,
+            pick.pilot,
+            pick.epoch,
         )
         host, port = pick.endpoint.rsplit(":", 1)
-        slow = self.slow.get(self.plan.zones.get(pick.endpoint, ""), 0)
+        delay = self.zone_delays.get(self.plan.zones.get(pick.endpoint, ""), 0)
         answer = HttpReply(502, b"aborted")
         try:
-            if slow:
-                yield from self.loop.sleep(slow)
-            headers: list[tuple[str, str]] = [
-                (name, head[name]) for name in ("x-op", "x-type", "x-try", "x-work-us") if name in head
+            if delay:
+                yield from self.loop.sleep(delay)
+            forwarded_headers: list[tuple[str, str]] = [
+                (name, headers[name]) for name in ("x-op", "x-type", "x-try", "x-work-us") if name in headers
             ]
-            headers += [
-                ("x-slice", str(number)),
+            forwarded_headers += [
+                ("x-slice", str(slice_id)),
                 ("x-proxy", self.plan.name),
                 ("x-writes", str(int(writes))),
-                ("x-left-us", str(max(0, until - self.loop.now()))),
+                ("x-left-us", str(max(0, deadline - self.loop.now()))),
             ]
-            reply = yield from self.pool.request((host, int(port)), "POST", "/op", headers, b"", until)
-            if slow:
-                yield from self.loop.sleep(slow)
+            reply = yield from self.pool.request(
+                (host, int(port)), "POST", "/op", forwarded_headers, b"", deadline
+            )
+            if delay:
+                yield from self.loop.sleep(delay)
             rejected = reply.headers.get("x-never-ran") == "1"
             answer = HttpReply(reply.status, reply.body, NEVER_RAN if rejected else ())
         except NotSentError:
@@ -297,7 +325,11 @@
             pass
         full = answer.status == 503 and answer.headers == NEVER_RAN
         self.agent.on_try_finished(
-            pick, answer.status != 200, self.loop.now() - begun, self.types[head["x-type"]][0], full
+            pick,
+            answer.status != 200,
+            self.loop.now() - started_at,
+            self.op_type_settings[headers["x-type"]][0],
+            full,
         )
         return answer
 
--- a/cedarshift/standins/proxy_fleet.py
+++ b/cedarshift/standins/proxy_fleet.py
@@ -1,8 +1,9 @@
-"""A model of many proxies behind a relay that is the store too: streams that break, acknowledgements that are lost, and two oracles
-over what each proxy holds. It has no I/O: a host passes the time in, carries orders to it, and hears its news.
+"""A model of many proxies behind a relay that is also the store, with broken streams and lost acks.
 
-Oracle of rule one: how long a joined proxy had no line for a slice. Oracle of rule two: no proxy may write to an owner of a slice
-while another may write to a different one, or less than the bound on writes in hand after it could. Times are in 0.1 ms.
+The model does no I/O: its host passes the time and the orders in and receives its events. Two oracles check
+it: how long a joined proxy had no line for a slice, and that no proxy may write to an owner of a slice while
+another may write to a different owner, or while such a write may still be in flight. Times are in ticks of
+0.1 ms.
 """
 
 from __future__ import annotations
@@ -13,21 +14,21 @@
 from dataclasses import dataclass, field
 from typing import Any, Callable, NamedTuple, Optional
 
-SECOND = 10_000  # 0.1 ms
-MESSAGE_HEAD = 16  # lines that a message counts beside its own
-TRANSIT = (1_500, 6_600)  # 0.1 ms; from leaving the channel to the proxy
-READS_WITHIN = (1_000, 5_000)  # 0.1 ms; from joining to the store's tables; the page says within a second
-NEVER = 10**12  # 0.1 ms; after any time
-DEAF_FROM = 2 * SECOND  # when the streams of deaf proxies break
-LONG_GAP = 10 * SECOND  # 0.1 ms without a line from which each case is kept
-READ_AGAIN = 200  # 0.1 ms; how often a message that waits for the store's tables is looked at
+TICKS_PER_SECOND = 10_000
+HEADER_LINES = 16  # each message costs as much as this many lines, on top of its own
+TRANSIT_TICKS = (1_500, 6_600)  # least and most, from the channel to the proxy
+READ_DELAY_TICKS = (1_000, 5_000)  # least and most, from joining to holding the store's tables
+NEVER_TICKS = 10**12  # later than any time
+DEAF_FROM_TICKS = 2 * TICKS_PER_SECOND
+LONG_GAP_TICKS = 10 * TICKS_PER_SECOND  # shorter gaps without a line are not recorded
+READ_POLL_TICKS = 200  # poll interval of messages that wait for the store's tables
 
-Tell = Callable[..., None]
+EventCallback = Callable[..., None]
 Order = tuple[Any, ...]
 
 
 class Gap(NamedTuple):
-    """A time in which a joined proxy had no line for a slice, in s."""
+    """A time, in seconds, in which a joined proxy had no line for a slice."""
 
     proxy: int
     slice_id: int
@@ -36,7 +37,7 @@
 
 
 class Conflict(NamedTuple):
-    """A proxy could write to an owner while writes to others were possible or in hand."""
+    """A proxy could write to an owner while writes to others were possible or in flight; `at` in seconds."""
 
     at: float
     slice_id: int
@@ -46,9 +47,16 @@
 
 @dataclass
 class Faults:
-    """`breaks`: streams lost a second, each back after `away` s. `flapping`: (proxies, s up, s away), over and over. `mute`: proxies
-    that acknowledge nothing. `deaf`: proxies whose stream breaks at second 2 and nobody notices, so that their leases run out.
-    `lost`: share of acknowledgements that are lost. `lost_once`: (proxy, barrier's number). `slow`: (from s, to s, times slower) of the channel."""
+    """Faults of the fleet; times in seconds.
+
+    `breaks`: streams lost per second, each of which returns after `away` (least, most).
+    `flapping`: (number of proxies, time up, time away), repeated.
+    `mute`: proxies that never acknowledge.
+    `deaf`: proxies whose stream fails unnoticed at `DEAF_FROM_TICKS`, so that their leases run out.
+    `lost`: share of acknowledgements that are lost.
+    `lost_once`: (proxy, number of the barrier) of one lost acknowledgement.
+    `slow`: (begin, end, factor) of a slow channel.
+    """
 
     breaks: float = 0.0
     away: tuple[float, float] = (1.0, 3.0)
@@ -61,8 +69,8 @@
 
 
 @dataclass
-class Row:
-    """A slice's table: its line, whether writes are let in, and how new that is."""
+class TableRow:
+    """The table of a slice: its owner, whether writes are closed, and its version."""
 
     owner: str = ""
     closed: bool = False
@@ -71,141 +79,151 @@
 
 @dataclass
 class ModelProxy:
-    """A proxy's stream, its leave to write, and the tables that it holds."""
+    """A proxy: the state of its stream and lease, and the tables that it holds."""
 
-    rows: dict[int, Row] = field(default_factory=dict)
+    rows: dict[int, TableRow] = field(default_factory=dict)
     joined: bool = True
     session: int = 0
-    writes: bool = True  # its lease runs, or it has read the store since
-    has_read: bool = True  # the store, in this stream
+    writes: bool = True  # it may write: its lease is valid
+    has_read: bool = True  # has read the store since it joined
     joined_at: int = 0
 
 
 class ProxyFleet:
-    """`tell(event, proxy, *more)` hears "join", "leave" and "ack" (barrier, latency), in order."""
+    """Simulates the proxies and their store.
+
+    `on_event(event, proxy, *more)` is called for "join", "leave" and "ack" (mark, latency), in order.
+    """
 
     def __init__(
         self,
         seed: int,
         faults: Faults,
         owners: dict[int, str],
-        tell: Tell,
+        on_event: EventCallback,
         proxies: int = 150,
         lease: int = 8_000,
-        in_hand: int = 30_200,
+        in_flight: int = 30_200,
         lines_per_s: float = 6_300,
     ) -> None:
-        self.chance, self.faults, self.tell = random.Random(seed), faults, tell
-        self.lease, self.in_hand, self.lines_per_s = lease, in_hand, lines_per_s
-        self.store = {number: Row(owner) for number, owner in owners.items()}
+        self.rng, self.faults, self.on_event = random.Random(seed), faults, on_event
+        self.lease, self.in_flight, self.lines_per_s = lease, in_flight, lines_per_s
+        self.store = {slice_id: TableRow(owner) for slice_id, owner in owners.items()}
         self.proxies = {
-            number: ModelProxy(rows={n: Row(one.owner) for n, one in self.store.items()})
-            for number in range(proxies)
+            proxy_id: ModelProxy(rows={n: TableRow(stored.owner) for n, stored in self.store.items()})
+            for proxy_id in range(proxies)
         }
-        self.now, self.sequence, self.free, self.barriers = 0, 0, 0.0, 0
-        self.agenda: list[tuple[Any, ...]] = []  # (when, sequence, call, arguments)
+        self.now, self.sequence, self.channel_free_at, self.barriers = 0, 0, 0.0, 0
+        self.event_heap: list[tuple[Any, ...]] = []  # a heap of (time, sequence, callback, arguments)
         self.writers: dict[int, Counter[str]] = {
-            number: Counter({row.owner: proxies}) for number, row in self.store.items()
+            slice_id: Counter({row.owner: proxies}) for slice_id, row in self.store.items()
         }
-        self.ended: dict[tuple[int, str], int] = {}  # (slice, owner) -> when the last proxy could write there
-        self.without: dict[tuple[int, int], int] = {}  # (proxy, slice) -> since when it has no line
-        self.longest, self.longest_of = 0, (0, 0, 0.0)  # (proxy, slice, since)
-        self.gaps: list[Gap] = []  # those of LONG_GAP and more
-        self.closed_since: dict[int, int] = {}
-        self.closed_spans: list[int] = []
+        # (slice, owner) -> when a proxy last could write there
+        self.last_writable_at: dict[tuple[int, str], int] = {}
+        self.gap_started_at: dict[tuple[int, int], int] = {}  # (proxy, slice) -> begin of the open gap
+        self.longest_gap, self.longest_gap_of = 0, (0, 0, 0.0)  # (proxy, slice, since)
+        self.gaps: list[Gap] = []  # those of at least LONG_GAP_TICKS
+        self.closed_started_at: dict[int, int] = {}
+        self.closed_durations: list[int] = []
         self.conflicts: list[Conflict] = []
         for proxy in faults.deaf:
-            self._at(DEAF_FROM + lease, self._lease_over, proxy, 0, True)
+            self._schedule(DEAF_FROM_TICKS + lease, self._expire_lease, proxy, 0, True)
         for proxy in range(faults.flapping[0]):
-            self._at(
-                int(SECOND * (1 + self.chance.random() * faults.flapping[1])),
-                self._break,
+            self._schedule(
+                int(TICKS_PER_SECOND * (1 + self.rng.random() * faults.flapping[1])),
+                self._break_stream,
                 proxy,
                 0,
                 faults.flapping[2],
                 True,
             )
         if faults.breaks:
-            self._at(SECOND, self._break_one)
+            self._schedule(TICKS_PER_SECOND, self._break_random_stream)
 
-    # ---- the host's side
+    # ---- interface of the host
 
     def advance(self, now: int) -> None:
-        """Plays all that is due."""
-        while self.agenda and self.agenda[0][0] <= now:
-            self.now, _, call, *arguments = heapq.heappop(self.agenda)
+        """Runs all events that are due by `now`."""
+        while self.event_heap and self.event_heap[0][0] <= now:
+            self.now, _, call, *arguments = heapq.heappop(self.event_heap)
             call(*arguments)
         self.now = max(self.now, now)
 
-    def carry_out(self, now: int, orders: list[Order]) -> None:
-        """Orders of one call: ("line", slice, owner, weight), ("level", slice, share), ("mark", number)."""
+    def apply_batch(self, now: int, orders: list[Order]) -> None:
+        """Applies and sends one batch of orders.
+
+        An order is ("line", slice, owner, weight), ("level", slice, share) or ("mark", number).
+        """
         self.advance(now)
-        rows: dict[int, Row] = {}
+        rows: dict[int, TableRow] = {}
         mark: Optional[int] = None
-        for verb, number, *more in orders:
+        for verb, slice_id, *more in orders:
             if verb == "mark":
-                mark = number
-            elif number in self.store:
-                rows[number] = self.store[number] = self._row(self.store[number], verb, more)
-                self._note_closed(number, rows[number])
+                mark = slice_id
+            elif slice_id in self.store:
+                rows[slice_id] = self.store[slice_id] = self._updated_row(self.store[slice_id], verb, more)
+                self._track_closed(slice_id, rows[slice_id])
         if mark is not None:
             self.barriers += 1
         self._send(rows, mark, len(orders))
 
     def finish(self) -> float:
-        """Counts what is still open; returns the longest time without a line, in s."""
-        for proxy, number in list(self.without):
-            self._fill(proxy, number)
-        self.closed_spans += [self.now - since for since in self.closed_since.values()]
-        return self.longest / SECOND
+        """Closes the open gaps; returns the longest time without a line, in seconds."""
+        for proxy, slice_id in list(self.gap_started_at):
+            self._close_gap(proxy, slice_id)
+        self.closed_durations += [self.now - since for since in self.closed_started_at.values()]
+        return self.longest_gap / TICKS_PER_SECOND
 
     def lose_pilot(self) -> None:
-        """All streams to the pilot are gone; the proxies' leases run out."""
-        for number, proxy in self.proxies.items():
+        """Breaks all streams to the pilot; the proxies' leases run out."""
+        for proxy_id, proxy in self.proxies.items():
             proxy.session += 1
             proxy.joined = False
-            self._at(
-                self.now + self.lease, self._lease_over, number, proxy.session
-            )  # of one that is away it ends no later
-        for key in list(self.without):
-            self._fill(*key)
-
-    def give_anew(self) -> dict[int, Row]:
-        """The slices are given, with all levels open, and the proxies join and read the store; returns the rows."""
-        for number, row in self.store.items():
-            self.store[number] = Row(row.owner, False, row.version + 1)
-            self._note_closed(number, self.store[number])
-        for number, proxy in self.proxies.items():
+            # No proxy's lease ends later.
+            self._schedule(self.now + self.lease, self._expire_lease, proxy_id, proxy.session)
+        for key in list(self.gap_started_at):
+            self._close_gap(*key)
+
+    def reassign_slices(self) -> dict[int, TableRow]:
+        """Assigns the slices with all levels open; the proxies join and read the store. Returns the rows."""
+        for slice_id, row in self.store.items():
+            self.store[slice_id] = TableRow(row.owner, False, row.version + 1)
+            self._track_closed(slice_id, self.store[slice_id])
+        for proxy_id, proxy in self.proxies.items():
             proxy.session += 1
-            self._return(number, proxy.session, number < self.faults.flapping[0])
+            self._rejoin(proxy_id, proxy.session, proxy_id < self.faults.flapping[0])
         return self.store
 
     # ---- the store and the channel
 
     @staticmethod
-    def _row(row: Row, verb: str, more: list[Any]) -> Row:
+    def _updated_row(row: TableRow, verb: str, more: list[Any]) -> TableRow:
         if verb == "level":
-            return Row(row.owner, more[0] == 0, row.version + 1)
+            return TableRow(row.owner, more[0] == 0, row.version + 1)
         owner, weight = more
-        return Row(owner if weight else "" if owner == row.owner else row.owner, row.closed, row.version + 1)
+        return TableRow(
+            owner if weight else "" if owner == row.owner else row.owner, row.closed, row.version + 1
+        )
 
-    def _note_closed(self, number: int, row: Row) -> None:
+    def _track_closed(self, slice_id: int, row: TableRow) -> None:
         if row.closed or not row.owner:
-            self.closed_since.setdefault(number, self.now)
-        elif number in self.closed_since:
-            self.closed_spans.append(self.now - self.closed_since.pop(number))
+            self.closed_started_at.setdefault(slice_id, self.now)
+        elif slice_id in self.closed_started_at:
+            self.closed_durations.append(self.now - self.closed_started_at.pop(slice_id))
 
-    def _send(self, rows: dict[int, Row], mark: Optional[int], lines: int) -> None:
+    def _send(self, rows: dict[int, TableRow], mark: Optional[int], lines: int) -> None:
         begin, end, factor = self.faults.slow
-        slower = factor if begin * SECOND <= self.now < end * SECOND else 1.0
-        self.free = max(self.free, self.now)
-        for number, proxy in self.proxies.items():
+        slower = factor if begin * TICKS_PER_SECOND <= self.now < end * TICKS_PER_SECOND else 1.0
+        self.channel_free_at = max(self.channel_free_at, self.now)
+        for proxy_id, proxy in self.proxies.items():
             if proxy.joined and (rows or mark is not None):
-                self.free += slower * (lines + MESSAGE_HEAD - 1) * SECOND / self.lines_per_s
-                self._at(
-                    int(self.free) + self.chance.randint(*TRANSIT),
-                    self._arrive,
-                    number,
+                self.channel_free_at += (
+                    slower * (lines + HEADER_LINES - 1) * TICKS_PER_SECOND / self.lines_per_s
+                )
+                self._schedule(
+                    int(self.channel_free_at) + self.rng.randint(*TRANSIT_TICKS),
+                    self._deliver,
+                    proxy_id,
                     proxy.session,
                     rows,
                     mark,
@@ -213,120 +231,150 @@
                     self.barriers,
                 )
 
-    def _arrive(
-        self, number: int, session: int, rows: dict[int, Row], mark: Optional[int], sent: int, barrier: int
+    def _deliver(
+        self,
+        proxy_id: int,
+        session: int,
+        rows: dict[int, TableRow],
+        mark: Optional[int],
+        sent: int,
+        barrier: int,
     ) -> None:
-        proxy = self.proxies[number]
-        if proxy.session != session or not proxy.joined or self._deaf(number):
+        proxy = self.proxies[proxy_id]
+        if proxy.session != session or not proxy.joined or self._is_deaf(proxy_id):
             return
-        if not proxy.has_read:  # messages wait until the store has been read
-            self._at(self.now + READ_AGAIN, self._arrive, number, session, rows, mark, sent, barrier)
+        if not proxy.has_read:  # messages wait until the proxy has read the store
+            self._schedule(
+                self.now + READ_POLL_TICKS, self._deliver, proxy_id, session, rows, mark, sent, barrier
+            )
             return
-        for at, row in rows.items():
-            self._hold(number, at, row)
-        heard = number not in self.faults.mute and self.faults.lost_once != (number, barrier)
-        if mark is not None and heard and self.chance.random() >= self.faults.lost:
-            self.tell("ack", number, mark, self.now - sent)
-
-    def _deaf(self, number: int) -> bool:
-        return number in self.faults.deaf and self.proxies[number].session == 0 and self.now > DEAF_FROM
+        for slice_id, row in rows.items():
+            self._install_row(proxy_id, slice_id, row)
+        acknowledges = proxy_id not in self.faults.mute and self.faults.lost_once != (proxy_id, barrier)
+        if mark is not None and acknowledges and self.rng.random() >= self.faults.lost:
+            self.on_event("ack", proxy_id, mark, self.now - sent)
+
+    def _is_deaf(self, proxy_id: int) -> bool:
+        return (
+            proxy_id in self.faults.deaf
+            and self.proxies[proxy_id].session == 0
+            and self.now > DEAF_FROM_TICKS
+        )
 
     # ---- streams
 
-    def _break_one(self) -> None:
-        joined = [number for number, proxy in self.proxies.items() if proxy.joined]
+    def _break_random_stream(self) -> None:
+        joined = [proxy_id for proxy_id, proxy in self.proxies.items() if proxy.joined]
         if joined:
-            number = self.chance.choice(joined)
-            self._break(number, self.proxies[number].session, self.chance.uniform(*self.faults.away), False)
-        self._at(self.now + int(SECOND * self.chance.expovariate(self.faults.breaks)), self._break_one)
-
-    def _break(self, number: int, session: int, away: float, again: bool) -> None:
-        proxy = self.proxies[number]
-        if proxy.joined and (not again or proxy.session == session):
+            proxy_id = self.rng.choice(joined)
+            self._break_stream(
+                proxy_id, self.proxies[proxy_id].session, self.rng.uniform(*self.faults.away), False
+            )
+        self._schedule(
+            self.now + int(TICKS_PER_SECOND * self.rng.expovariate(self.faults.breaks)),
+            self._break_random_stream,
+        )
+
+    def _break_stream(self, proxy_id: int, session: int, away: float, flapping: bool) -> None:
+        proxy = self.proxies[proxy_id]
+        if proxy.joined and (not flapping or proxy.session == session):
             proxy.joined = False
             proxy.session += 1
-            for at in [at for one, at in self.without if one == number]:
-                self._fill(number, at)
-            self._at(self.now + self.lease, self._lease_over, number, proxy.session)
-            self.tell("leave", number)
-            self._at(self.now + int(SECOND * away), self._return, number, proxy.session, again)
-
-    def _lease_over(self, number: int, session: int, unnoticed: bool = False) -> None:
-        proxy = self.proxies[number]
+            for slice_id in [slice_id for other, slice_id in self.gap_started_at if other == proxy_id]:
+                self._close_gap(proxy_id, slice_id)
+            self._schedule(self.now + self.lease, self._expire_lease, proxy_id, proxy.session)
+            self.on_event("leave", proxy_id)
+            self._schedule(
+                self.now + int(TICKS_PER_SECOND * away), self._rejoin, proxy_id, proxy.session, flapping
+            )
+
+    def _expire_lease(self, proxy_id: int, session: int, unnoticed: bool = False) -> None:
+        proxy = self.proxies[proxy_id]
         if proxy.session == session and (unnoticed or not proxy.joined):
-            self._allow(number, False)
+            self._set_may_write(proxy_id, False)
 
-    def _return(self, number: int, session: int, again: bool) -> None:
-        proxy = self.proxies[number]
+    def _rejoin(self, proxy_id: int, session: int, flapping: bool) -> None:
+        proxy = self.proxies[proxy_id]
         if proxy.session != session:
             return
         proxy.joined, proxy.has_read, proxy.joined_at = True, False, self.now
-        for at, row in proxy.rows.items():
+        for slice_id, row in proxy.rows.items():
             if not row.owner:
-                self.without[number, at] = self.now
-        self._at(self.now + self.chance.randint(*READS_WITHIN), self._read, number, session)
-        self.tell("join", number)
-        if again:
+                self.gap_started_at[proxy_id, slice_id] = self.now
+        self._schedule(self.now + self.rng.randint(*READ_DELAY_TICKS), self._read_store, proxy_id, session)
+        self.on_event("join", proxy_id)
+        if flapping:
             _, up, away = self.faults.flapping
-            self._at(self.now + int(SECOND * up), self._break, number, session, away, True)
+            self._schedule(
+                self.now + int(TICKS_PER_SECOND * up), self._break_stream, proxy_id, session, away, True
+            )
 
-    def _read(self, number: int, session: int) -> None:
-        proxy = self.proxies[number]
+    def _read_store(self, proxy_id: int, session: int) -> None:
+        proxy = self.proxies[proxy_id]
         if proxy.session != session or not proxy.joined:
             return
         proxy.has_read = True
-        for at, row in self.store.items():
-            self._hold(number, at, row)
-        self._allow(number, True)
+        for slice_id, row in self.store.items():
+            self._install_row(proxy_id, slice_id, row)
+        self._set_may_write(proxy_id, True)
 
-    # ---- what proxies hold, and the oracles
+    # ---- the proxies' tables, and the oracles
 
-    def _hold(self, number: int, at: int, row: Row) -> None:
-        proxy = self.proxies[number]
-        old = proxy.rows[at]
+    def _install_row(self, proxy_id: int, slice_id: int, row: TableRow) -> None:
+        proxy = self.proxies[proxy_id]
+        old = proxy.rows[slice_id]
         if row.version <= old.version:
             return
-        proxy.rows[at] = row
+        proxy.rows[slice_id] = row
         if proxy.writes:
-            self._writable(at, "" if old.closed else old.owner, "" if row.closed else row.owner)
+            self._change_writable_owner(
+                slice_id, "" if old.closed else old.owner, "" if row.closed else row.owner
+            )
         if row.owner:
-            self._fill(number, at)
+            self._close_gap(proxy_id, slice_id)
         elif proxy.joined:
-            self.without.setdefault((number, at), self.now)
+            self.gap_started_at.setdefault((proxy_id, slice_id), self.now)
 
-    def _allow(self, number: int, writes: bool) -> None:
-        proxy = self.proxies[number]
+    def _set_may_write(self, proxy_id: int, writes: bool) -> None:
+        proxy = self.proxies[proxy_id]
         if proxy.writes != writes:
             proxy.writes = writes
-            for at, row in proxy.rows.items():
+            for slice_id, row in proxy.rows.items():
                 owner = "" if row.closed else row.owner
-                self._writable(at, "" if writes else owner, owner if writes else "")
+                self._change_writable_owner(slice_id, "" if writes else owner, owner if writes else "")
 
-    def _writable(self, at: int, before: str, after: str) -> None:
-        """One proxy that could write to an owner of a slice may now write to another; "": to none."""
+    def _change_writable_owner(self, slice_id: int, before: str, after: str) -> None:
+        """Records that the owner to which a proxy may write has changed; "" for none."""
         if before == after:
             return
-        writers = self.writers[at]
+        writers = self.writers[slice_id]
         if before:
             writers[before] -= 1
-            self.ended[at, before] = self.now
+            self.last_writable_at[slice_id, before] = self.now
         if after:
             writers[after] += 1
             others = [
-                one
-                for one, count in writers.items()
-                if one != after and (count > 0 or self.now < self.ended.get((at, one), -NEVER) + self.in_hand)
+                owner
+                for owner, count in writers.items()
+                if owner != after
+                and (
+                    count > 0
+                    or self.now < self.last_writable_at.get((slice_id, owner), -NEVER_TICKS) + self.in_flight
+                )
             ]
             if others:
-                self.conflicts.append(Conflict(self.now / SECOND, at, after, others))
-
-    def _fill(self, number: int, at: int) -> None:
-        since = self.without.pop((number, at), None)
-        if since is not None and self.now - since >= LONG_GAP:
-            self.gaps.append(Gap(number, at, since / SECOND, self.now / SECOND))
-        if since is not None and self.now - since > self.longest:
-            self.longest, self.longest_of = self.now - since, (number, at, since / SECOND)
+                self.conflicts.append(Conflict(self.now / TICKS_PER_SECOND, slice_id, after, others))
+
+    def _close_gap(self, proxy_id: int, slice_id: int) -> None:
+        since = self.gap_started_at.pop((proxy_id, slice_id), None)
+        if since is not None and self.now - since >= LONG_GAP_TICKS:
+            self.gaps.append(Gap(proxy_id, slice_id, since / TICKS_PER_SECOND, self.now / TICKS_PER_SECOND))
+        if since is not None and self.now - since > self.longest_gap:
+            self.longest_gap, self.longest_gap_of = (
+                self.now - since,
+                (proxy_id, slice_id, since / TICKS_PER_SECOND),
+            )
 
-    def _at(self, when: int, call: Callable[..., None], *arguments: Any) -> None:
+    def _schedule(self, when: int, call: Callable[..., None], *arguments: Any) -> None:
         self.sequence += 1
-        heapq.heappush(self.agenda, (when, self.sequence, call, *arguments))
+        heapq.heappush(self.event_heap, (when, self.sequence, call, *arguments))
--- a/cedarshift/standins/record.py
+++ b/cedarshift/standins/record.py
@@ -1,4 +1,4 @@
-"""What passed on a process's sockets, a JSON array a line, written through at once so that a kill loses no line."""
+"""Event records of the stand-ins: one JSON array per line, unbuffered, so that a kill loses no line."""
 
 from __future__ import annotations
 
@@ -13,17 +13,17 @@
 
 
 class Recorder:
-    """Rows are [time in us on the machine's monotonic clock, what happened, ...]."""
+    """Appends rows to a file: [monotonic time in us, event, details...]."""
 
     def __init__(self, loop: Loop, path: str) -> None:
         self.loop = loop
-        self.out = os.open(path, os.O_WRONLY | os.O_CREAT | os.O_APPEND, 0o644)
+        self.fd = os.open(path, os.O_WRONLY | os.O_CREAT | os.O_APPEND, 0o644)
 
-    def note(self, what: str, *details: Any) -> None:
-        if self.out >= 0:
-            os.write(self.out, ENCODER.encode([self.loop.now(), what, *details]) + b"\n")
+    def note(self, event: str, *details: Any) -> None:
+        if self.fd >= 0:
+            os.write(self.fd, ENCODER.encode([self.loop.now(), event, *details]) + b"\n")
 
     def close(self) -> None:
-        """For runs with many lives in one process; what is noted after it is of a life that is over, and lost."""
-        os.close(self.out)
-        self.out = -1
+        """Closes the file; later events are dropped. Used where one process runs many stand-ins in turn."""
+        os.close(self.fd)
+        self.fd = -1
--- a/cedarshift/standins/spender.py
+++ b/cedarshift/standins/spender.py
@@ -1,8 +1,8 @@
-"""A stand-in that is nothing but a proxy's agent which wishes to spend: so many a second of each use, as it was told last.
+"""A stand-in that runs a proxy's agent and spends budget tokens at given rates.
 
-    POST /control  {"retries": wishes a second, ...}
+    POST /control  {"retries": spends per second, ...}
 
-Its record has a line for each spend, written through after the check: one that was stopped in between is at most one spend late.
+Its record has a line for each spend, written after the budget has allowed it.
 """
 
 from __future__ import annotations
@@ -20,10 +20,12 @@
 from cedarshift.standins.record import Recorder
 from cedarshift.web import HttpReply, HttpRequest, serve_http
 
-STEP = 20_000  # us between two looks at what is wished
+STEP_US = 20_000
 
 
 class SpenderPlan(msgspec.Struct):
+    """Settings of a spender, passed as JSON. `wishes`: spends per second, by use."""
+
     name: str
     address: tuple[str, int]
     deployment: str
@@ -33,11 +35,13 @@
 
 
 class Spender:
+    """Spends from each budget at its target rate, as far as the budget allows."""
+
     def __init__(self, loop: Loop, plan: SpenderPlan, recorder: Recorder) -> None:
         self.loop = loop
-        self.wishes = dict(plan.wishes)
+        self.target_rates = dict(plan.wishes)
         self.recorder = recorder
-        chance = random.Random(fresh_bytes(8))
+        rng = random.Random(fresh_bytes(8))
         badge = Badge(plan.deployment, "proxy", plan.name, "", plan.secret.encode())
         self.agent = Agent(
             loop,
@@ -45,32 +49,32 @@
             plan.pilots,
             None,
             Tables(0, [], False, 800_000, True),
-            chance.random,
+            rng.random,
             self._observe,
             lambda: fresh_bytes(16),
         )
-        loop.spawn(serve_http(loop, listen(loop, plan.address), self._answer), "http")
+        loop.spawn(serve_http(loop, listen(loop, plan.address), self._handle_request), "http")
         loop.spawn(self._spend(), "spend")
 
     def _observe(self, event: str, **fields: Any) -> None:
         if event in ("joined", "lost"):
             self.recorder.note(event, fields["pilot"])
 
-    def _answer(self, asked: HttpRequest) -> Coroutine:
+    def _handle_request(self, request: HttpRequest) -> Coroutine:
         yield from self.loop.breathe()
-        self.wishes = msgspec.json.decode(asked.body, type=dict[str, float])
+        self.target_rates = msgspec.json.decode(request.body, type=dict[str, float])
         return HttpReply(200, b"{}")
 
     def _spend(self) -> Coroutine:
-        owed = dict.fromkeys(self.wishes, 0.0)
+        credit = dict.fromkeys(self.target_rates, 0.0)
         while True:
-            yield from self.loop.sleep(STEP)
-            for use, rate in self.wishes.items():
+            yield from self.loop.sleep(STEP_US)
+            for use, rate in self.target_rates.items():
                 if use not in self.agent.shares.budget_by_use:
-                    continue  # nobody has told of budgets yet
-                owed[use] = min(2.0, owed.get(use, 0.0)) + rate * STEP / 1e6
-                while owed[use] >= 1:
-                    owed[use] -= 1
+                    continue  # budgets not received yet
+                credit[use] = min(2.0, credit.get(use, 0.0)) + rate * STEP_US / 1e6
+                while credit[use] >= 1:
+                    credit[use] -= 1
                     if self.agent.shares.spend(self.loop.now(), use):
                         self.recorder.note("spend", use)
 
--- a/tests/fleet_process.py
+++ b/tests/fleet_process.py
@@ -102,7 +102,7 @@
 
     def _give_back(self):
         self.lost_at = None
-        for number, row in self.fleet.give_anew().items():
+        for number, row in self.fleet.reassign_slices().items():
             self.send_event("lease", f"shard={number}&set=1")
             if row.owner:
                 self.send_event("line", f"shard={number}&endpoint={row.owner}&w=1.0")
@@ -147,7 +147,7 @@
                 self.script = [outcome]
                 break
         if self.script != ["lost"] and self.lost_at is None:
-            self.fleet.carry_out(self.now(), [one for one in map(_order, orders) if one is not None])
+            self.fleet.apply_batch(self.now(), [one for one in map(_order, orders) if one is not None])
         super()._answer(stream, conn, number, orders)
 
 
--- a/tests/test_ensemble_outside.py
+++ b/tests/test_ensemble_outside.py
@@ -1,4 +1,4 @@
-"""The stand-in ensemble against a client that no one here wrote: pilot client and stand-in share a codec, this one does not."""
+"""Tests the stand-in ensemble with a third-party ZooKeeper client, which does not share its codec."""
 
 import asyncio
 import json
@@ -23,11 +23,11 @@
 
 @pytest.fixture
 def ensemble(tmp_path):
-    """Three servers and their control as a process of their own."""
+    """Starts three servers in a process; yields their addresses and a function that sends control commands."""
     ports = Ports(real_loop())
-    places = [ports.take() for _ in range(3)]
+    addresses = [ports.take() for _ in range(3)]
     control = ports.take()
-    plan = {"addresses": places, "control": control, "read_path": "/m", "form": "plain", "seed": 3}
+    plan = {"addresses": addresses, "control": control, "read_path": "/m", "form": "plain", "seed": 3}
     (tmp_path / "plan.json").write_text(json.dumps(plan))
     process = subprocess.Popen(
         [
@@ -41,45 +41,45 @@
         cwd=os.path.dirname(__file__) + "/..",
     )
 
-    def order(**what):
+    def send_control(**command):
         request = urllib.request.Request(
-            f"http://{control[0]}:{control[1]}/control", json.dumps(what).encode(), method="POST"
+            f"http://{control[0]}:{control[1]}/control", json.dumps(command).encode(), method="POST"
         )
         return json.load(urllib.request.urlopen(request, timeout=5))
 
     for _ in range(200):
         try:
-            order()
+            send_control()
             break
         except OSError:
             time.sleep(0.05)
-    yield ",".join(f"{host}:{port}" for host, port in places), order
+    yield ",".join(f"{host}:{port}" for host, port in addresses), send_control
     process.kill()
     process.wait()
     ports.release()
 
 
-def played(coroutine):
-    """Not by `wait_for`: this client holds on to its cancellations, and a test must end."""
+def run_with_timeout(coroutine):
+    """Runs a coroutine with a time limit. Not by `wait_for`, as the client suppresses cancellation."""
     loop = asyncio.new_event_loop()
     task = loop.create_task(coroutine)
     loop.run_until_complete(asyncio.wait({task}, timeout=40))
-    assert task.done(), "it has not ended within 40 s"
+    assert task.done(), "not finished within 40 s"
     return task.result()
 
 
-async def insisted(call):
-    """Its calls fail now and then while it looks for another server; a user asks again."""
+async def retry(call):
+    """Retries a call that fails while the client connects to another server."""
     for _ in range(40):
         try:
             return await call()
         except (exc.ConnectError, exc.TimeoutError, exc.SessionLost):
             await asyncio.sleep(0.25)
-    raise AssertionError("no server took the call")
+    raise AssertionError("the call did not succeed at any server")
 
 
-async def started(servers, **terms):
-    client = aiozk.ZKClient(servers, session_timeout=1.5, **terms)
+async def start_client(servers, **options):
+    client = aiozk.ZKClient(servers, session_timeout=1.5, **options)
     await client.start()
     return client
 
@@ -87,8 +87,8 @@
 def test_create_read_write_and_errors(ensemble):
     servers, _ = ensemble
 
-    async def play():
-        client = await started(servers)
+    async def scenario():
+        client = await start_client(servers)
         assert await client.create("/m", b"top") == "/m"
         await client.create("/m/a", b"one", ephemeral=True)
         path = await client.create("/m/s_", b"", ephemeral=True, sequential=True)
@@ -113,104 +113,104 @@
         assert not await client.exists("/m/a")
         await client.close()
 
-    played(play())
+    run_with_timeout(scenario())
 
 
-def test_a_multi_happens_whole_or_not_at_all(ensemble):
+def test_a_multi_is_atomic(ensemble):
     servers, _ = ensemble
 
-    async def play():
-        client = await started(servers)
+    async def scenario():
+        client = await start_client(servers)
         await client.create("/t", b"")
-        trial = client.begin_transaction()
-        trial.create("/t/a", b"1")
-        trial.create("/t/a/b", b"2")
-        trial.set_data("/t", b"set")
-        assert await trial.commit()
+        transaction = client.begin_transaction()
+        transaction.create("/t/a", b"1")
+        transaction.create("/t/a/b", b"2")
+        transaction.set_data("/t", b"set")
+        assert await transaction.commit()
         assert await client.get_data("/t") == b"set" and await client.get_data("/t/a/b") == b"2"
-        trial = client.begin_transaction()
-        trial.delete("/t/a/b")
-        trial.create("/t/a", b"again")
-        trial.create("/t/c", b"")
+        transaction = client.begin_transaction()
+        transaction.delete("/t/a/b")
+        transaction.create("/t/a", b"again")
+        transaction.create("/t/c", b"")
         with pytest.raises(exc.TransactionFailed):
-            async with trial:
+            async with transaction:
                 pass
         assert await client.exists("/t/a/b") and not await client.exists("/t/c")
         await client.close()
 
-    played(play())
+    run_with_timeout(scenario())
 
 
-def test_watches_fire_once_and_an_expired_sessions_nodes_leave(ensemble):
-    servers, order = ensemble
+def test_watches_fire_once_and_nodes_of_an_expired_session_are_deleted(ensemble):
+    servers, send_control = ensemble
 
-    async def play():
-        watcher, member = await started(servers), await started(servers)
+    async def scenario():
+        watcher, member = await start_client(servers), await start_client(servers)
         await watcher.create("/m", b"")
         await member.create("/m/a", b"one", ephemeral=True)
         fired = asyncio.Event()
         seen = []
 
-        def told(path):
+        def on_event(path):
             seen.append(path)
             fired.set()
 
-        watcher.session.add_watch_callback(aiozk.WatchEvent.DELETED, "/m/a", told)
+        watcher.session.add_watch_callback(aiozk.WatchEvent.DELETED, "/m/a", on_event)
         assert (
             await watcher.send(aiozk.protocol.ExistsRequest(path="/m/a", watch=True))
         ).stat.ephemeral_owner
-        order(expire=[f"{member.session.session_id:#x}"])
+        send_control(expire=[f"{member.session.session_id:#x}"])
         await asyncio.wait_for(fired.wait(), 10)
         assert seen == ["/m/a"] and not await watcher.exists("/m/a")
         before = member.session.session_id
-        await insisted(
+        await retry(
             lambda: member.create("/m/a", b"again", ephemeral=True)
-        )  # it finds that it is expired, and begins anew
+        )  # the client finds its session expired and starts another
         assert member.session.session_id != before
         await asyncio.sleep(0.2)
         assert seen == ["/m/a"]
         await watcher.close()
         await member.close()
 
-    played(play())
+    run_with_timeout(scenario())
 
 
-def test_a_dropped_connection_goes_on_with_its_session_at_another_server(ensemble):
-    servers, order = ensemble
+def test_a_session_continues_at_another_server_after_a_dropped_connection(ensemble):
+    servers, send_control = ensemble
 
-    async def play(turn):
-        client = await started(servers)
-        if not turn:
+    async def scenario(attempt):
+        client = await start_client(servers)
+        if not attempt:
             await client.create("/m", b"")
-        await client.create(f"/m/a{turn}", b"", ephemeral=True)
+        await client.create(f"/m/a{attempt}", b"", ephemeral=True)
         before = client.session.session_id
-        order(drop=[0, 1, 2])
-        await insisted(lambda: client.create(f"/m/b{turn}", b"", ephemeral=True))
-        kept = client.session.session_id == before
-        if kept:
-            assert sorted(await client.get_children("/m")) == [f"a{turn}", f"b{turn}"]
+        send_control(drop=[0, 1, 2])
+        await retry(lambda: client.create(f"/m/b{attempt}", b"", ephemeral=True))
+        same_session = client.session.session_id == before
+        if same_session:
+            assert sorted(await client.get_children("/m")) == [f"a{attempt}", f"b{attempt}"]
         await client.close()
-        assert not kept or order()["members"] == []
-        return kept
+        assert not same_session or send_control()["members"] == []
+        return same_session
 
-    # This client now and then looks for longer than its session lives, and begins another: that is its right.
-    assert any(played(play(turn)) for turn in range(4))
+    # The client may take longer to reconnect than its session lasts, and start another session.
+    assert any(run_with_timeout(scenario(attempt)) for attempt in range(4))
 
 
 def test_a_read_only_client_is_served_by_a_cut_server_and_may_not_write(ensemble):
-    servers, order = ensemble
+    servers, send_control = ensemble
 
-    async def play():
-        client = await started(servers)
+    async def scenario():
+        client = await start_client(servers)
         await client.create("/m", b"kept")
-        order(cut=[0, 1, 2])
+        send_control(cut=[0, 1, 2])
         reader = aiozk.ZKClient(servers, session_timeout=1.5, allow_read_only=True)
         await reader.start()
         assert await reader.get_data("/m") == b"kept"
         with pytest.raises(exc.NotReadOnly):
             await reader.session.conn.send(CREATE, xid=7_000)
-        order(heal=[0, 1, 2])
-        await insisted(lambda: client.create("/m/y", b"", ephemeral=True))
-        assert order()["members"] == ["y"]
+        send_control(heal=[0, 1, 2])
+        await retry(lambda: client.create("/m/y", b"", ephemeral=True))
+        assert send_control()["members"] == ["y"]
 
-    played(play())
+    run_with_timeout(scenario())
--- a/tests/test_hand_over_liveness.py
+++ b/tests/test_hand_over_liveness.py
@@ -9,16 +9,16 @@
 from cedarshift.brain import Pilot
 from cedarshift.interface import OpType, Terms
 from cedarshift.judge.write_stops import WriteStops
-from cedarshift.standins.proxy_fleet import SECOND, Faults, ProxyFleet
+from cedarshift.standins.proxy_fleet import TICKS_PER_SECOND, Faults, ProxyFleet
 
 STEP = 250  # how often the module's timer runs
 ENDPOINTS, SLICES = 30, 84
-DRAIN_EVERY, GONE_AFTER = 3 * SECOND, 45_000
+DRAIN_EVERY, GONE_AFTER = 3 * TICKS_PER_SECOND, 45_000
 EMPTY_FOR = 17.9  # s, of the trial's settings
 TERMS = dict(
     op_types=(
-        OpType("get", 2 * SECOND, 6 * SECOND, False, False),
-        OpType("put", 2 * SECOND, 3 * SECOND, True, False),
+        OpType("get", 2 * TICKS_PER_SECOND, 6 * TICKS_PER_SECOND, False, False),
+        OpType("put", 2 * TICKS_PER_SECOND, 3 * TICKS_PER_SECOND, True, False),
     ),
     zones=("z",),
     slices=2 * SLICES,
@@ -29,11 +29,11 @@
     lines_per_s=6300,
     transit_most=6_625,
     connect_most=5_000,
-    report_period=2 * SECOND,
+    report_period=2 * TICKS_PER_SECOND,
     lease=8_000,
     in_flight_most=30_200,
-    drain_grace=3 * SECOND,
-    warm_within=15 * SECOND,
+    drain_grace=3 * TICKS_PER_SECOND,
+    warm_within=15 * TICKS_PER_SECOND,
     cold_share=0.18,
     tip_multiple=3.0,
     retry_default=0,
@@ -59,8 +59,8 @@
 
     def run(self, seconds):
         """Returns the longest time without a line, in s."""
-        next_drain = 3 * SECOND
-        while self.now < seconds * SECOND:
+        next_drain = 3 * TICKS_PER_SECOND
+        while self.now < seconds * TICKS_PER_SECOND:
             self.now += STEP
             self.fleet.advance(self.now)
             if self.now >= next_drain:
@@ -95,7 +95,7 @@
             elif decision[0] in ("line", "mark"):
                 orders.append(decision)
         if orders:
-            self.fleet.carry_out(self.now, orders)
+            self.fleet.apply_batch(self.now, orders)
 
 
 CASES = {
@@ -123,24 +123,25 @@
 @pytest.mark.parametrize("seed", [1, 2])
 @pytest.mark.parametrize("case", CASES)
 def test_no_proxy_is_without_a_line_for_too_long_under(case, seed):
-    play = Play(seed, CASES[case], empty_for=int(EMPTY_FOR * SECOND))
+    play = Play(seed, CASES[case], empty_for=int(EMPTY_FOR * TICKS_PER_SECOND))
     longest = play.run(70)
     assert not play.fleet.conflicts, play.fleet.conflicts[:3]
-    assert longest <= EMPTY_FOR, (longest, play.fleet.longest_of)
+    assert longest <= EMPTY_FOR, (longest, play.fleet.longest_gap_of)
 
 
 def test_a_lost_acknowledgement_in_a_quiet_fleet_is_made_up_for():
-    play = Play(1, Faults(lost_once=(7, 1)), quiet=True, empty_for=int(EMPTY_FOR * SECOND))
+    play = Play(1, Faults(lost_once=(7, 1)), quiet=True, empty_for=int(EMPTY_FOR * TICKS_PER_SECOND))
     longest = play.run(60)
     assert not play.fleet.conflicts
     assert longest <= EMPTY_FOR / 2, longest
-    assert len(play.fleet.closed_spans) and max(play.fleet.closed_spans) <= EMPTY_FOR / 2 * SECOND, (
-        "writes were closed for longer"
-    )
+    assert (
+        len(play.fleet.closed_durations)
+        and max(play.fleet.closed_durations) <= EMPTY_FOR / 2 * TICKS_PER_SECOND
+    ), "writes were closed for longer"
 
 
 def test_an_undisturbed_hand_over_takes_the_settle_time_and_little_more():
-    play = Play(3, Faults(), empty_for=int(EMPTY_FOR * SECOND))
+    play = Play(3, Faults(), empty_for=int(EMPTY_FOR * TICKS_PER_SECOND))
     assert play.run(40) <= 5.0
 
 
@@ -168,7 +169,9 @@
     patch.setattr(
         WriteStops,
         "stop",
-        lambda self, proxy, s: stop(self, proxy, s) if proxy.joined else proxy.left_at - 10 * SECOND,
+        lambda self, proxy, s: (
+            stop(self, proxy, s) if proxy.joined else proxy.left_at - 10 * TICKS_PER_SECOND
+        ),
     )
 
 
@@ -193,6 +196,6 @@
 )
 def test_the_oracle_of_single_ownership_finds(plant, case, monkeypatch):
     plant(monkeypatch)
-    play = Play(1, CASES[case], empty_for=int(EMPTY_FOR * SECOND))
+    play = Play(1, CASES[case], empty_for=int(EMPTY_FOR * TICKS_PER_SECOND))
     play.run(40)
     assert play.fleet.conflicts
