--- a/cedarshift/cli/sim.py
+++ b/cedarshift/cli/sim.py
@@ -29,21 +29,21 @@
 
 
 def show(scenario: Scenario, trace: bool, plot: str) -> int:
-    from cedarshift.sim.trace import as_plot, as_text, traced
+    from cedarshift.sim.trace import as_plot, as_text, record_trace
 
-    played, events = traced(scenario)
+    played, events = record_trace(scenario)
     if trace:
         click.echo(as_text(scenario, played, events))
     else:
-        for one in played.broken:
-            click.echo(f"{one.what} at {one.at / 1e6:.4f} s: {one.how}")
+        for one in played.violations:
+            click.echo(f"{one.check} at {one.at / 1e6:.4f} s: {one.detail}")
         click.echo(
-            f"{'BROKEN' if played.broken else 'held'}: {played.steps} steps, {played.virtual_s:.1f} virtual seconds, {played.acked} of {played.ops} "
+            f"{'BROKEN' if played.violations else 'held'}: {played.steps} steps, {played.virtual_s:.1f} virtual seconds, {played.acked} of {played.ops} "
             f"ops acked, digest {played.digest}"
         )
     if plot:
         as_plot(scenario, played, events, plot)
-    return 1 if played.broken else 0
+    return 1 if played.violations else 0
 
 
 @click.group()
@@ -97,17 +97,17 @@
 @click.option("--out", type=click.Path(), required=True, help="Where the smaller scenario goes.")
 def shrink(file: str, out: str) -> None:
     """Cut a scenario down to what still breaks the same."""
-    from cedarshift.sim.play import play
+    from cedarshift.sim.play import run_scenario
     from cedarshift.sim.shrink import shrink as smaller
 
     scenario = read(file)
-    broken = play(scenario).broken
-    if not broken:
+    violations = run_scenario(scenario).violations
+    if not violations:
         raise click.ClickException(f"{file}: nothing breaks")
-    best = smaller(scenario, broken[0].what, lambda text: click.echo(text, err=True))
+    best = smaller(scenario, violations[0].check, lambda text: click.echo(text, err=True))
     with open(out, "wb") as target:
         target.write(best.to_json())
-    click.echo(f"{out}: {broken[0].what} with {len(best.faults)} faults, of {len(scenario.faults)}")
+    click.echo(f"{out}: {violations[0].check} with {len(best.faults)} faults, of {len(scenario.faults)}")
 
 
 __all__ = ["sim"]
--- a/cedarshift/sim/__init__.py
+++ b/cedarshift/sim/__init__.py
@@ -1,1 +1,1 @@
-"""The program itself, all of it in one process on a virtual clock, under faults that are drawn from a seed and checked at every step."""
+"""Deterministic simulation: the whole program in one process on a virtual clock, under faults from a seed."""
--- a/cedarshift/sim/actors.py
+++ b/cedarshift/sim/actors.py
@@ -1,5 +1,8 @@
-"""The data plane of a run: proxies with the real agent and tables, and endpoints that take ops in. What passes is noted in the rehearsals'
-own words, so that the same checkers judge it; ops themselves go from proxy to endpoint without HTTP, a message and its answer each."""
+"""The simulated data plane: proxies with the real agent and tables, and endpoints.
+
+Events are recorded in the format of the rehearsals, so that the same rule checkers apply. Ops go from proxy
+to endpoint without HTTP, as one message and one answer.
+"""
 
 from __future__ import annotations
 
@@ -16,87 +19,88 @@
 from cedarshift.rehearsal.evidence import Row
 from cedarshift.standins.proxy import Proxy
 
-# Constants: unit, then the reason for the size.
-OP_TYPES = (("get", False, 400_000), ("put", True, 300_000))  # name, writes, op timeout (us)
-WORK_MOST = 40_000  # us that an op takes at an endpoint
+OP_TYPES = (("get", False, 400_000), ("put", True, 300_000))  # name, writes, op timeout in us
+MAX_WORK_US = 40_000  # of one op at an endpoint
 
 
-class Notes:
-    """A recorder that keeps its rows in memory, by the world's clock: hosts' own may run apart."""
+class MemoryRecorder:
+    """A recorder that keeps its rows in memory, timed by the world's clock rather than the host's."""
 
     def __init__(self, world: World, who: str, rows: list[Row]) -> None:
         self.world = world
         self.who = who
         self.rows = rows
 
-    def note(self, what: str, *details: Any) -> None:
-        self.rows.append(Row(self.world.clock.time, self.who, what, list(details)))
+    def note(self, event: str, *details: Any) -> None:
+        self.rows.append(Row(self.world.clock.time, self.who, event, list(details)))
 
     def close(self) -> None:
         pass
 
 
 class SimEndpoint:
-    """Takes ops in while it runs; one whose time is over is not begun. `born`: when it started."""
+    """An endpoint that accepts ops while it runs. `started_at` is the start of its process, in us."""
 
-    def __init__(self, world: World, name: str, rows: list[Row], chance: random.Random) -> None:
+    def __init__(self, world: World, name: str, rows: list[Row], rng: random.Random) -> None:
         self.world = world
         self.name = name
-        self.notes = Notes(world, name, rows)
-        self.chance = chance
+        self.recorder = MemoryRecorder(world, name, rows)
+        self.rng = rng
         self.alive = False
         self.hung_until = 0
-        self.life = 0
+        self.incarnation = 0
         self.starts = 0
-        self.born = 0
-        self.under_way: dict[int, Optional[Callable[[bool], None]]] = {}
-        self.drawn = 0
+        self.started_at = 0
+        self.in_flight: dict[int, Optional[Callable[[bool], None]]] = {}
+        self.op_count = 0
 
     def start(self, warm: bool) -> None:
         self.alive, self.hung_until = True, 0
-        self.life += 1
+        self.incarnation += 1
         self.starts += 1
-        self.born = self.world.clock.time - (10_000_000 if warm else 0)
-        self.notes.note("start", self.name, "", 4, 1.0, warm)
+        self.started_at = self.world.clock.time - (10_000_000 if warm else 0)
+        self.recorder.note("start", self.name, "", 4, 1.0, warm)
 
     def kill(self) -> None:
         if self.alive:
             self.alive = False
-            self.life += 1
-            self.notes.note("died")
-            ended, self.under_way = self.under_way, {}
+            self.incarnation += 1
+            self.recorder.note("died")
+            ended, self.in_flight = self.in_flight, {}
             for answer in ended.values():
                 if answer is not None:
                     self.world.network.later(200, partial(answer, False))
 
-    def take(
-        self, op: str, number: int, kind: int, proxy: str, until: int, answer: Callable[[bool], None]
+    def receive(
+        self, op: str, slice_id: int, op_type: int, proxy: str, deadline: int, answer: Callable[[bool], None]
     ) -> None:
-        """An op arrives; `until` by the world's clock. `answer(acked)` goes back."""
+        """Receives an op with a deadline on the world's clock; calls `answer(acked)` when it ends."""
         now = self.world.clock.time
         if not self.alive:
             answer(False)
             return
-        if now >= until:  # its client has given up; begun now it would end after any hand-over's wait
+        if now >= deadline:  # the client has given up
             return
-        name, writes, _ = OP_TYPES[kind]
-        work = 1 + self.chance.randrange(WORK_MOST)
-        self.notes.note("accept", op, number, name, 0, proxy, writes, work, until)
-        self.drawn += 1
-        self.under_way[self.drawn] = answer
-        ends = min(until, max(now, self.hung_until) + work)
-        self.world.network.later(ends - now, partial(self._end, self.life, self.drawn, op, ends < until))
-
-    def _end(self, life: int, number: int, op: str, acked: bool) -> None:
-        if life == self.life and self.alive:
-            answer = self.under_way.pop(number, None)
-            self.notes.note("end", op, "acked" if acked else "expired")
+        name, writes, _ = OP_TYPES[op_type]
+        work = 1 + self.rng.randrange(MAX_WORK_US)
+        self.recorder.note("accept", op, slice_id, name, 0, proxy, writes, work, deadline)
+        self.op_count += 1
+        self.in_flight[self.op_count] = answer
+        end_at = min(deadline, max(now, self.hung_until) + work)
+        self.world.network.later(
+            end_at - now, partial(self._end, self.incarnation, self.op_count, op, end_at < deadline)
+        )
+
+    def _end(self, incarnation: int, op_number: int, op: str, acked: bool) -> None:
+        if incarnation == self.incarnation and self.alive:
+            answer = self.in_flight.pop(op_number, None)
+            self.recorder.note("end", op, "acked" if acked else "expired")
             if acked and answer is not None:
                 answer(True)
 
 
 class SimProxy(Proxy):
-    """`send(proxy, pick, number, kind, until, answer)` carries an op."""
+    """A proxy whose ops are sent by `send(proxy, op, pick, slice_id, op_type, deadline, on_answer)`."""
 
     def __init__(
         self,
@@ -112,15 +116,15 @@
         self.host = host
         self.world = world
         self.name = name
-        self.recorder = Notes(world, name, rows)  # type: ignore[assignment]
-        self.chance = random.Random(seed)
-        self.shown = {}
+        self.recorder = MemoryRecorder(world, name, rows)  # type: ignore[assignment]
+        self.rng = random.Random(seed)
+        self.recorded_slices = {}
         self.bare = []
         self.send_op = send
         self.slices = plan["slices"]
         self.rate = plan["rate"]
         self.buffer_for = plan["buffer_for"]
-        self.drawn = 0
+        self.op_count = 0
         self.outcomes = {"acked": 0, "aborted": 0, "rejected": 0}
         self.tables = Tables(
             self.slices, [OpKind(op, writes) for op, writes, _ in OP_TYPES], True, plan["lease"], True
@@ -132,46 +136,46 @@
             plan["pilots"],
             plan["store"],
             self.tables,
-            self.chance.random,
+            self.rng.random,
             self._observe,
-            lambda: self.chance.randbytes(16),
+            lambda: self.rng.randbytes(16),
         )
         self.recorder.note("start", name, "", "sim")
-        self.loop.spawn(self._ops(), "ops")
+        self.loop.spawn(self._generate_ops(), "ops")
 
-    def _ops(self) -> Coroutine:
+    def _generate_ops(self) -> Coroutine:
         while True:
-            yield from self.loop.sleep(int(self.chance.expovariate(self.rate) * 1e6) + 1)
-            self.loop.spawn(self._op(self.chance.randrange(self.slices), self.chance.randrange(2)), "op")
-
-    def _op(self, number: int, kind: int) -> Coroutine:
-        came, timeout = self.loop.now(), OP_TYPES[kind][2]
-        self.drawn += 1
-        op = f"{self.name}-{self.agent.shares.incarnation}-{self.drawn}"
-        self.agent.on_op_received(number, kind)
-        pick = yield from self.agent.pick_within(number, kind, self.buffer_for)
+            yield from self.loop.sleep(int(self.rng.expovariate(self.rate) * 1e6) + 1)
+            self.loop.spawn(self._run_op(self.rng.randrange(self.slices), self.rng.randrange(2)), "op")
+
+    def _run_op(self, slice_id: int, op_type: int) -> Coroutine:
+        received_at, timeout = self.loop.now(), OP_TYPES[op_type][2]
+        self.op_count += 1
+        op = f"{self.name}-{self.agent.shares.incarnation}-{self.op_count}"
+        self.agent.on_op_received(slice_id, op_type)
+        pick = yield from self.agent.pick_within(slice_id, op_type, self.buffer_for)
         if isinstance(pick, NoPick):
             self.outcomes["rejected"] += 1
             return
-        begun = self.loop.now()
-        self.recorder.note("send", op, number, OP_TYPES[kind][0], pick.endpoint, pick.pilot, pick.epoch)
+        started_at = self.loop.now()
+        self.recorder.note("send", op, slice_id, OP_TYPES[op_type][0], pick.endpoint, pick.pilot, pick.epoch)
         self.agent.on_try_started(pick)
-        acked = yield from self._carried(op, pick, number, kind, came + timeout)
-        self.agent.on_try_finished(pick, not acked, self.loop.now() - begun, kind)
+        acked = yield from self._send_and_wait(op, pick, slice_id, op_type, received_at + timeout)
+        self.agent.on_try_finished(pick, not acked, self.loop.now() - started_at, op_type)
         self.outcomes["acked" if acked else "aborted"] += 1
         if not acked:
-            self.agent.on_op_unanswered(number, kind)
+            self.agent.on_op_unanswered(slice_id, op_type)
 
-    def _carried(self, op: str, pick: Pick, number: int, kind: int, until: int) -> Coroutine:
+    def _send_and_wait(self, op: str, pick: Pick, slice_id: int, op_type: int, deadline: int) -> Coroutine:
         waker: Waker = self.loop.waker()
 
-        def answered(acked: bool) -> None:
+        def on_answer(acked: bool) -> None:
             if self.host.alive:
                 waker.wake(acked)
                 self.world.rouse(self.host)
 
-        self.send_op(self, op, pick, number, kind, self.host.clock.when(until), answered)
+        self.send_op(self, op, pick, slice_id, op_type, self.host.clock.when(deadline), on_answer)
         try:
-            return bool((yield from self.loop.park(until)))
+            return bool((yield from self.loop.park(deadline)))
         except TimedOut:
             return False
--- a/cedarshift/sim/disk.py
+++ b/cedarshift/sim/disk.py
@@ -1,8 +1,8 @@
-"""A disk that can lose, tear and refuse what is written to it, and the store's ledger on it.
+"""A simulated disk that can lose, tear and refuse writes, and the store's ledger on it.
 
-`SimLedger` has the calls of `store.ledger.Ledger` and keeps its promise in the same words: `put` returns once the rows would outlive a
-kill or a loss of power; a transaction is there wholly or not at all; what can't be read is refused by name. That the SQLite ledger does
-so too is shown by tests that kill a process in the middle of its commits and by the same sequences played on both.
+`SimLedger` has the interface and the guarantees of `store.ledger.Ledger`: `put` returns once the rows survive
+a kill or a loss of power, transactions are atomic, and unreadable data raises an error. Tests run the same
+operations on both ledgers and kill a process during SQLite commits.
 """
 
 from __future__ import annotations
@@ -19,16 +19,16 @@
 
 
 class Disk:
-    """One file that grows. Blocks that were written and not synced are lost, torn or kept by chance when the power goes."""
+    """An append-only file. On a power cut, blocks that were not synced are lost, torn or kept at random."""
 
-    def __init__(self, chance: random.Random) -> None:
-        self.chance = chance
+    def __init__(self, rng: random.Random) -> None:
+        self.rng = rng
         self.synced: list[bytes] = []
         self.cached: list[bytes] = []
         self.full = False
         self.unreadable = False
-        self.lies = False  # the newest sync never reached the platter
-        self.short = 0  # blocks that a lying disk has lost
+        self.loses_last_sync = False  # the last sync is lost at the next power cut
+        self.lost_blocks = 0  # number of synced blocks that were lost
 
     def append(self, block: bytes) -> None:
         if self.full:
@@ -42,14 +42,14 @@
         self.cached.clear()
 
     def power_cut(self) -> None:
-        """What was not synced is lost from some block on; the last one that is kept may be torn."""
-        if self.lies and self.synced:
+        """Loses the unsynced blocks from a random one on; the last block that is kept may be torn."""
+        if self.loses_last_sync and self.synced:
             self.synced.pop()
-            self.short += 1
-        self.lies = False
-        kept = self.cached[: self.chance.randrange(len(self.cached) + 1)] if self.cached else []
-        if kept and self.chance.random() < 0.5:
-            kept[-1] = kept[-1][: self.chance.randrange(len(kept[-1]))]
+            self.lost_blocks += 1
+        self.loses_last_sync = False
+        kept = self.cached[: self.rng.randrange(len(self.cached) + 1)] if self.cached else []
+        if kept and self.rng.random() < 0.5:
+            kept[-1] = kept[-1][: self.rng.randrange(len(kept[-1]))]
         self.synced += kept
         self.cached.clear()
 
@@ -60,36 +60,36 @@
 
 
 class SimLedger:
-    """A log of transactions, each a block with its check sum; a torn last block counts as never written."""
+    """A log of transactions, one block each with its checksum. A torn last block counts as not written."""
 
     def __init__(self, disk: Disk, slices: int) -> None:
         self.disk = disk
         self.slices = slices
         self.commits = 0
-        self.life = 0
+        self.incarnation = 0
 
     def record_start(self) -> int:
-        self.life += 1
-        self._write([(-1, self.life, 0, "", "", b"")])
-        return self.life
+        self.incarnation += 1
+        self._write([(-1, self.incarnation, 0, "", "", b"")])
+        return self.incarnation
 
     def load(self) -> list[Row]:
-        """Raises DamagedLedgerError where the disk can't be read, or a block other than the last is torn."""
+        """Raises DamagedLedgerError if the disk can't be read or a block other than the last is torn."""
         try:
             blocks = self.disk.read()
         except sqlite3.Error as error:
-            raise DamagedLedgerError(f"simulated disk: {error}. Nothing of it is served") from None
+            raise DamagedLedgerError(f"simulated disk: {error}. The store does not start") from None
         rows = {n: Row(n) for n in range(self.slices)}
-        for at, block in enumerate(blocks):
+        for index, block in enumerate(blocks):
             body = block[4:]
             if len(block) < 4 or zlib.crc32(body).to_bytes(4, "big") != block[:4]:
-                if at == len(blocks) - 1:
+                if index == len(blocks) - 1:
                     self.disk.synced.pop()
                     break
-                raise DamagedLedgerError(f"simulated disk: transaction {at} does not match its check sum")
+                raise DamagedLedgerError(f"simulated disk: transaction {index} does not match its checksum")
             for number, epoch, version, pilot, owner, levels in msgspec.msgpack.decode(body):
                 if number < 0:
-                    self.life = epoch
+                    self.incarnation = epoch
                     continue
                 rows[number] = Row(number, epoch, version, pilot, owner, LEVELS_DECODER.decode(levels))
         return list(rows.values())
--- a/cedarshift/sim/hunt.py
+++ b/cedarshift/sim/hunt.py
@@ -1,4 +1,7 @@
-"""Many seeds on all cores: what breaks, how much of what could happen was reached, and a search that goes on from runs that reached something new."""
+"""Runs many seeds on all cores, reports violations and coverage, and can search by mutating scenarios.
+
+The guided search mutates the scenarios that reached new states.
+"""
 
 from __future__ import annotations
 
@@ -9,58 +12,62 @@
 from concurrent.futures import ProcessPoolExecutor
 from typing import Any, Callable, NamedTuple, Optional
 
-from cedarshift.sim.play import Played, play
-from cedarshift.sim.scenario import Scenario, altered, draw, from_json
+from cedarshift.sim.play import RunResult, run_scenario
+from cedarshift.sim.scenario import Scenario, draw, from_json, mutate
+
+RUNS_PER_TASK = 8  # scenarios per task of a worker process
+MAX_CORPUS = 400  # the newest scenarios that reached something new
+FRESH_SHARE = 0.3  # of the runs of a guided search that use a new scenario
 
-CHUNK = 8  # runs that one process plays between two words
-POOL_MOST = 400  # scenarios that a guided search goes on from; the newest
-FRESH_PART = 0.3  # of a guided search's runs that are drawn anew, so that it does not stay where it is
 
+class Failure(NamedTuple):
+    """A scenario that violated a check."""
 
-class Found(NamedTuple):
     seed: int
     scenario: bytes
-    what: str
-    how: str
+    check: str
+    detail: str
 
 
-def _played(seed: int) -> tuple[int, Played]:
-    return seed, play(draw(seed))
+def _run_seed(seed: int) -> tuple[int, RunResult]:
+    return seed, run_scenario(draw(seed))
 
 
-def _guided(task: tuple[int, Optional[bytes]]) -> tuple[bytes, Played]:
+def _run_guided(task: tuple[int, Optional[bytes]]) -> tuple[bytes, RunResult]:
     seed, parent = task
-    scenario = draw(seed) if parent is None else altered(from_json(parent), random.Random(f"altered {seed}"))
-    return scenario.to_json(), play(scenario)
+    scenario = draw(seed) if parent is None else mutate(from_json(parent), random.Random(f"altered {seed}"))
+    return scenario.to_json(), run_scenario(scenario)
 
 
-class Tally:
-    """What a hunt has come to."""
+class HuntReport:
+    """Counts, coverage and violations of the runs so far."""
 
     def __init__(self) -> None:
-        self.begun = time.monotonic()
+        self.started_at = time.monotonic()
         self.runs = 0
         self.steps = 0
         self.virtual_s = 0.0
         self.reached: set[tuple] = set()
-        self.curve: list[tuple[int, int]] = []  # runs, what was reached by then
-        self.found: list[Found] = []
+        self.curve: list[tuple[int, int]] = []  # (runs, states reached)
+        self.failures: list[Failure] = []
 
-    def add(self, seed: int, scenario: bytes, played: Played) -> int:
-        """How much of it was new."""
+    def add(self, seed: int, scenario: bytes, result: RunResult) -> int:
+        """Adds a run; returns the number of states that it was the first to reach."""
         self.runs += 1
-        self.steps += played.steps
-        self.virtual_s += played.virtual_s
-        new = len(played.reached - self.reached)
-        self.reached |= played.reached
+        self.steps += result.steps
+        self.virtual_s += result.virtual_s
+        new = len(result.reached - self.reached)
+        self.reached |= result.reached
         if self.runs & (self.runs - 1) == 0 or self.runs % 1_000 == 0:
             self.curve.append((self.runs, len(self.reached)))
-        if played.broken:
-            self.found.append(Found(seed, scenario, played.broken[0].what, played.broken[0].how))
+        if result.violations:
+            self.failures.append(
+                Failure(seed, scenario, result.violations[0].check, result.violations[0].detail)
+            )
         return new
 
     def report(self) -> dict[str, Any]:
-        real = max(1e-9, time.monotonic() - self.begun)
+        real = max(1e-9, time.monotonic() - self.started_at)
         return {
             "runs": self.runs,
             "real_s": round(real, 1),
@@ -70,49 +77,57 @@
             "virtual_seconds_a_second": round(self.virtual_s / real, 1),
             "reached": len(self.reached),
             "curve": self.curve,
-            "found": [{"seed": one.seed, "what": one.what, "how": one.how} for one in self.found],
+            "found": [{"seed": one.seed, "what": one.check, "how": one.detail} for one in self.failures],
         }
 
 
 def hunt(
-    seeds: list[int], jobs: int, out: str, say: Callable[[str], None], guided: bool = False
+    seeds: list[int], jobs: int, out: str, progress: Callable[[str], None], guided: bool = False
 ) -> dict[str, Any]:
-    """Plays all; scenarios that break something stand in `out` as files to replay. `guided`: as many runs, of which most alter one that
-    reached something new."""
-    tally = Tally()
+    """Runs all seeds and returns the report; scenarios with violations are written to the folder `out`.
+
+    `guided`: most runs mutate a scenario that reached something new.
+    """
+    totals = HuntReport()
     with ProcessPoolExecutor(jobs, multiprocessing.get_context("spawn")) as pool:
         if guided:
-            _search(seeds, jobs, tally, pool, say)
+            _guided_search(seeds, jobs, totals, pool, progress)
         else:
-            for seed, played in pool.map(_played, seeds, chunksize=CHUNK):
-                _note(tally, seed, draw(seed), played, say)
-    for one in tally.found:
+            for seed, result in pool.map(_run_seed, seeds, chunksize=RUNS_PER_TASK):
+                _add_run(totals, seed, draw(seed), result, progress)
+    for one in totals.failures:
         os.makedirs(out, exist_ok=True)
-        with open(os.path.join(out, f"{one.what}-{one.seed}.json"), "wb") as file:
+        with open(os.path.join(out, f"{one.check}-{one.seed}.json"), "wb") as file:
             file.write(one.scenario)
-    return tally.report()
+    return totals.report()
 
 
-def _note(tally: Tally, seed: int, scenario: Scenario, played: Played, say: Callable[[str], None]) -> int:
-    new = tally.add(seed, scenario.to_json(), played)
-    if played.broken:
-        say(f"seed {seed}: {played.broken[0].what}: {played.broken[0].how}")
-    if tally.runs % 500 == 0:
-        say(f"{tally.runs} runs, {len(tally.reached)} states reached")
+def _add_run(
+    totals: HuntReport, seed: int, scenario: Scenario, result: RunResult, progress: Callable[[str], None]
+) -> int:
+    new = totals.add(seed, scenario.to_json(), result)
+    if result.violations:
+        progress(f"seed {seed}: {result.violations[0].check}: {result.violations[0].detail}")
+    if totals.runs % 500 == 0:
+        progress(f"{totals.runs} runs, {len(totals.reached)} states reached")
     return new
 
 
-def _search(
-    seeds: list[int], jobs: int, tally: Tally, pool: ProcessPoolExecutor, say: Callable[[str], None]
+def _guided_search(
+    seeds: list[int],
+    jobs: int,
+    totals: HuntReport,
+    pool: ProcessPoolExecutor,
+    progress: Callable[[str], None],
 ) -> None:
-    """In rounds, so that what a round does hangs on the rounds before alone, not on which core was quicker."""
-    chance, corpus = random.Random(f"search {seeds[0]}"), []  # type: ignore[var-annotated]
-    for at in range(0, len(seeds), CHUNK * jobs):
+    """Runs in rounds, so that the result does not depend on which process is faster."""
+    rng, corpus = random.Random(f"search {seeds[0]}"), []  # type: ignore[var-annotated]
+    for at in range(0, len(seeds), RUNS_PER_TASK * jobs):
         tasks = [
-            (seed, None if not corpus or chance.random() < FRESH_PART else chance.choice(corpus))
-            for seed in seeds[at : at + CHUNK * jobs]
+            (seed, None if not corpus or rng.random() < FRESH_SHARE else rng.choice(corpus))
+            for seed in seeds[at : at + RUNS_PER_TASK * jobs]
         ]
-        for (seed, _), (raw, played) in zip(tasks, pool.map(_guided, tasks, chunksize=CHUNK)):
-            if _note(tally, seed, from_json(raw), played, say):
+        for (seed, _), (raw, result) in zip(tasks, pool.map(_run_guided, tasks, chunksize=RUNS_PER_TASK)):
+            if _add_run(totals, seed, from_json(raw), result, progress):
                 corpus.append(raw)
-        corpus = corpus[-POOL_MOST:]
+        corpus = corpus[-MAX_CORPUS:]
--- a/cedarshift/sim/oracles.py
+++ b/cedarshift/sim/oracles.py
@@ -1,7 +1,8 @@
-"""What must hold: some of it after each step of any host, the five rules over the whole record, and that everything is well in the end.
+"""The checks of a run: invariants after each step, rules over the whole record, and convergence at the end.
 
-The rules are the rehearsals' own checkers (`rehearsal/rules.py`) on the rows of this run. A bound in time runs on without the spans in which
-faults hindered the pilots, and for two seconds after each; there is nothing that a pilot could have done in them."""
+The rules are those of the rehearsals (`rehearsal/rules.py`). Their time limits exclude the intervals in which
+faults hindered the pilots, each extended by two seconds.
+"""
 
 from __future__ import annotations
 
@@ -13,145 +14,148 @@
 from cedarshift.rehearsal.evidence import Evidence
 from cedarshift.rehearsal.rules import drains, nobody_without, one_owner, short_queue
 from cedarshift.sim.actors import OP_TYPES
-from cedarshift.sim.stage import Stage
+from cedarshift.sim.stage import Simulation
 
-# Constants: unit, then the reason for the size.
-TIMERS_MOST = 3_000  # of a host; cancelled ones are looked over at a thousand more
-TASKS_MOST = 400
-WRITES = next(kind for kind, (_, writes, _) in enumerate(OP_TYPES) if writes)
-PIPES_MOST = 600  # open or not yet forgotten
+MAX_TIMERS = 3_000  # per host; cancelled timers are removed in batches
+MAX_TASKS = 400
+WRITE_OP_TYPE = next(index for index, (_, writes, _) in enumerate(OP_TYPES) if writes)
+MAX_STREAMS = 600  # per host, including closed streams not yet removed
 
 
-class Broken(NamedTuple):
-    """`what` names the oracle, and is the same however it was reached; `how` is told for people."""
+class Violation(NamedTuple):
+    """A violated check: its name, the time in us, and a description."""
 
-    what: str
+    check: str
     at: int
-    how: str
-
-
-class Steps:
-    """After each step: fences, acknowledged writes, bounds. Cheap, for the host that ran."""
-
-    def __init__(self, stage: Stage) -> None:
-        self.stage = stage
-        self.broken: Optional[Broken] = None
-        self.epochs: dict[
-            tuple[str, int, int], int
-        ] = {}  # (proxy, its life, slice) -> the highest epoch that it held
-        self.orders: dict[int, tuple[int, str]] = {}  # slice -> the highest epoch of any pilot, and whose
-        self.acked: dict[
-            int, tuple[int, int]
-        ] = {}  # slice -> epoch and version that a pilot has seen committed
-        self.open: dict[
-            int, dict[str, int]
-        ] = {}  # slice -> endpoint -> when a proxy last could send it a write
+    detail: str
+
+
+class StepChecker:
+    """Checks fencing, acknowledged writes and resource bounds of the host that ran, after each step."""
+
+    def __init__(self, simulation: Simulation) -> None:
+        self.simulation = simulation
+        self.violation: Optional[Violation] = None
+        # (proxy, incarnation, slice) -> highest epoch that the proxy held
+        self.epochs: dict[tuple[str, int, int], int] = {}
+        # slice -> (highest epoch at any pilot, that pilot)
+        self.newest_epochs: dict[int, tuple[int, str]] = {}
+        # slice -> (epoch, version) that a pilot has seen committed
+        self.committed_versions: dict[int, tuple[int, int]] = {}
+        # slice -> endpoint -> when a proxy last could send it a write
+        self.writable_at: dict[int, dict[str, int]] = {}
         self.steps = 0
 
-    def _break(self, what: str, how: str) -> None:
-        if self.broken is None:
-            self.broken = Broken(what, self.stage.world.clock.time, how)
+    def _report(self, check: str, detail: str) -> None:
+        if self.violation is None:
+            self.violation = Violation(check, self.simulation.world.clock.time, detail)
 
-    def after(self, host: Host) -> None:
+    def after_step(self, host: Host) -> None:
+        """Checks the host that has just run; `violation` keeps the first one found."""
         self.steps += 1
-        if self.broken is not None or not host.alive:
+        if self.violation is not None or not host.alive:
             return
         name = host.name
-        service = self.stage.services.get(name)
+        service = self.simulation.services.get(name)
         if service is None:
             return
         if name[0] == "x":
-            self._proxy(name, service)
+            self._check_proxy(name, service)
         elif name[0] == "p":
-            self._pilot(name, service)
+            self._check_pilot(name, service)
         elif name == "store":
-            self._store(service)
+            self._check_store(service)
         loop = host.loop
-        if len(loop.timers) > TIMERS_MOST or len(loop.tasks) > TASKS_MOST or len(host.pipes) > PIPES_MOST:
-            self._break(
+        if len(loop.timers) > MAX_TIMERS or len(loop.tasks) > MAX_TASKS or len(host.pipes) > MAX_STREAMS:
+            self._report(
                 "leak",
                 f"{name} holds {len(loop.timers)} timers, {len(loop.tasks)} tasks, {len(host.pipes)} streams",
             )
 
-    def _proxy(self, name: str, proxy: object) -> None:
-        life = self.stage.lives[name]
-        for number, holding in proxy.tables.held.items():  # type: ignore[attr-defined]
-            before = self.epochs.get((name, life, number), 0)
+    def _check_proxy(self, name: str, proxy: object) -> None:
+        incarnation = self.simulation.incarnations[name]
+        for slice_id, holding in proxy.tables.held.items():  # type: ignore[attr-defined]
+            before = self.epochs.get((name, incarnation, slice_id), 0)
             if holding.epoch < before:
-                self._break(
-                    "epoch-back", f"{name} went back to epoch {holding.epoch} of slice {number} from {before}"
+                self._report(
+                    "epoch-back",
+                    f"{name} went back to epoch {holding.epoch} of slice {slice_id} from {before}",
                 )
-            self.epochs[name, life, number] = holding.epoch
-        self._writes(name, proxy)
+            self.epochs[name, incarnation, slice_id] = holding.epoch
+        self._check_writes(name, proxy)
 
-    def _writes(self, name: str, proxy: Any) -> None:
-        """Sharper than what was written: what a proxy could write now. While it may go to one owner, a write that could go to another must be
-        over, by the op timeout of writes; the settle time is longer than that."""
-        if self.stage.disk.short or self.stage.disk.lies:
+    def _check_writes(self, name: str, proxy: Any) -> None:
+        """Checks which endpoint a proxy could write to now, not only the writes that it sent.
+
+        A write that could have gone to another endpoint must be over, by the op timeout.
+        """
+        if self.simulation.disk.lost_blocks or self.simulation.disk.loses_last_sync:
             return
-        now, clock = self.stage.world.clock.time, proxy.loop.now()
+        now, clock = self.simulation.world.clock.time, proxy.loop.now()
         if clock < proxy.agent.applying_until:
             return
-        for number in proxy.tables.held:
-            pick = proxy.tables.pick(clock, number, WRITES, 0.5)
+        for slice_id in proxy.tables.held:
+            pick = proxy.tables.pick(clock, slice_id, WRITE_OP_TYPE, 0.5)
             if isinstance(pick, NoPick):
                 continue
-            others = self.open.setdefault(number, {})
+            others = self.writable_at.setdefault(slice_id, {})
             for endpoint, at in others.items():
-                if endpoint != pick.endpoint and now < at + OP_TYPES[WRITES][2]:
-                    self._break(
+                if endpoint != pick.endpoint and now < at + OP_TYPES[WRITE_OP_TYPE][2]:
+                    self._report(
                         "two-owners",
-                        f"{name} may write slice {number} to {pick.endpoint}, {(now - at) / 1e3:.0f} ms after a proxy could to {endpoint}",
+                        f"{name} may write slice {slice_id} to {pick.endpoint}, "
+                        f"{(now - at) / 1e3:.0f} ms after a proxy could to {endpoint}",
                     )
             others[pick.endpoint] = now
 
-    def _pilot(self, name: str, pilot: object) -> None:
-        for number, row in pilot.slices.items():  # type: ignore[attr-defined]
-            newest, whose = self.orders.get(number, (0, name))
-            if row.epoch > newest:
-                self.orders[number] = (row.epoch, name)
-            elif row.epoch == newest and whose != name:
-                self._break(
-                    "two-in-charge", f"{name} and {whose} both hold slice {number} under epoch {row.epoch}"
+    def _check_pilot(self, name: str, pilot: object) -> None:
+        for slice_id, row in pilot.slices.items():  # type: ignore[attr-defined]
+            newest_epoch, holder = self.newest_epochs.get(slice_id, (0, name))
+            if row.epoch > newest_epoch:
+                self.newest_epochs[slice_id] = (row.epoch, name)
+            elif row.epoch == newest_epoch and holder != name:
+                self._report(
+                    "two-in-charge", f"{name} and {holder} both hold slice {slice_id} under epoch {row.epoch}"
                 )
-            if (row.epoch, row.version) > self.acked.get(number, (0, 0)):
-                self.acked[number] = (row.epoch, row.version)
-        self._alone(name, pilot)
+            if (row.epoch, row.version) > self.committed_versions.get(slice_id, (0, 0)):
+                self.committed_versions[slice_id] = (row.epoch, row.version)
+        self._check_exclusive_charge(name, pilot)
         if pilot.channel.waiting > pilot.channel.max_waiting_lines:  # type: ignore[attr-defined]
-            self._break("channel", f"{pilot.channel.waiting:.0f} lines wait at {name}")  # type: ignore[attr-defined]
+            self._report("channel", f"{pilot.channel.waiting:.0f} lines wait at {name}")  # type: ignore[attr-defined]
 
-    def _alone(self, name: str, pilot: Any) -> None:
-        """A pilot stops before the store gives its slices on."""
-        if self.stage.disk.short or self.stage.disk.lies or not pilot.in_charge():
+    def _check_exclusive_charge(self, name: str, pilot: Any) -> None:
+        """Checks that no two pilots are in charge of the same slice at a time."""
+        if self.simulation.disk.lost_blocks or self.simulation.disk.loses_last_sync or not pilot.in_charge():
             return
-        for other, service in self.stage.services.items():
-            host = self.stage.hosts[other]
+        for other, service in self.simulation.services.items():
+            host = self.simulation.hosts[other]
             if other[0] == "p" and other != name and host.alive and not host.paused and service.in_charge():
                 both = pilot.slices.keys() & service.slices.keys()
                 if both:
-                    self._break(
+                    self._report(
                         "both-in-charge",
                         f"{name} and {other} are in charge of slices {sorted(both)} at a time",
                     )
 
-    def _store(self, store: object) -> None:
-        """What a pilot was told is committed stands in the store, unless its disk has lied."""
-        if self.stage.disk.short or self.stage.disk.lies:
+    def _check_store(self, store: object) -> None:
+        """Checks that the store holds all acknowledged writes, unless its disk has lost a sync."""
+        if self.simulation.disk.lost_blocks or self.simulation.disk.loses_last_sync:
             return
-        for number, row in store.assignment.rows.items():  # type: ignore[attr-defined]
-            if (row.epoch, row.version) < self.acked.get(number, (0, 0)):
-                self._break(
+        for slice_id, row in store.assignment.rows.items():  # type: ignore[attr-defined]
+            if (row.epoch, row.version) < self.committed_versions.get(slice_id, (0, 0)):
+                self._report(
                     "lost-write",
-                    f"the store holds slice {number} at {(row.epoch, row.version)}, {self.acked[number]} was acknowledged",
+                    f"the store holds slice {slice_id} at {(row.epoch, row.version)}, "
+                    f"{self.committed_versions[slice_id]} was acknowledged",
                 )
 
 
-def whole_run(stage: Stage, end: int) -> list[Broken]:
-    """The rules over the record, programs that failed, and whether all is well at the end."""
-    stage.limits.hindered = merged(stage.hindered)
-    evidence = Evidence(stage.limits, stage.rows, 0, end, stage.owners)
-    found = [
-        Broken(verdict.rule, end, verdict.breaks[0])
+def check_run(simulation: Simulation, end: int) -> list[Violation]:
+    """Checks the rules over the record, failed tasks, and convergence at the end of the run."""
+    simulation.limits.hindered = merge_intervals(simulation.hindered)
+    evidence = Evidence(simulation.limits, simulation.rows, 0, end, simulation.owners)
+    violations = [
+        Violation(verdict.rule, end, verdict.breaks[0])
         for verdict in (
             nobody_without(evidence),
             one_owner(evidence),
@@ -160,56 +164,68 @@
         )
         if not verdict.held
     ]
-    if stage.disk.short:  # not promised: what a lying disk has lost is owned by whoever it names
-        found = [one for one in found if one.what != "one-owner"]
-    found += [Broken("failed", end, one) for one in stage.failed[:1]]
-    return found + unwell(stage, end)
-
-
-def merged(spans: list[tuple[int, int]]) -> tuple[tuple[int, int], ...]:
-    found: list[tuple[int, int]] = []
-    for begin, end in sorted(spans):
-        if found and begin <= found[-1][1]:
-            found[-1] = (found[-1][0], max(end, found[-1][1]))
+    if simulation.disk.lost_blocks:  # not guaranteed after a disk has lost a synced block
+        violations = [one for one in violations if one.check != "one-owner"]
+    violations += [Violation("failed", end, one) for one in simulation.failures[:1]]
+    return violations + check_convergence(simulation, end)
+
+
+def merge_intervals(unsorted: list[tuple[int, int]]) -> tuple[tuple[int, int], ...]:
+    """Sorts intervals and merges those that overlap."""
+    intervals: list[tuple[int, int]] = []
+    for begin, end in sorted(unsorted):
+        if intervals and begin <= intervals[-1][1]:
+            intervals[-1] = (intervals[-1][0], max(end, intervals[-1][1]))
         else:
-            found.append((begin, end))
-    return tuple(found)
-
-
-def unwell(stage: Stage, end: int) -> list[Broken]:
-    """Liveness: every slice in the charge of one living pilot and owned by a listed endpoint, every proxy joined and of one view."""
-    found: list[str] = []
-    on = {name for name, entry in stage.entries.items() if entry["phase"] == "on" and stage.ends[name].alive}
-    pilots = {name: one for name, one in stage.services.items() if name[0] == "p" and stage.hosts[name].alive}
-    for number in range(stage.scenario.slices):
-        holders = [name for name, one in pilots.items() if number in one.slices and one.in_charge()]
+            intervals.append((begin, end))
+    return tuple(intervals)
+
+
+def check_convergence(simulation: Simulation, end: int) -> list[Violation]:
+    """Checks that each slice has one living pilot and a listed owner, and that the proxies agree."""
+    problems: list[str] = []
+    listed = {
+        name
+        for name, entry in simulation.entries.items()
+        if entry["phase"] == "on" and simulation.endpoints[name].alive
+    }
+    pilots = {
+        name: one
+        for name, one in simulation.services.items()
+        if name[0] == "p" and simulation.hosts[name].alive
+    }
+    for slice_id in range(simulation.scenario.slices):
+        holders = [name for name, one in pilots.items() if slice_id in one.slices and one.in_charge()]
         if len(holders) != 1:
-            found.append(f"slice {number} is in the charge of {holders or 'nobody'}")
+            problems.append(f"slice {slice_id} is in the charge of {holders or 'nobody'}")
             continue
-        row = pilots[holders[0]].slices[number]
-        if row.owner not in on:
-            found.append(f"slice {number} is owned by {row.owner or 'nobody'}; listed are {sorted(on)}")
-        for name, proxy in stage.services.items():
-            if name[0] == "x" and stage.hosts[name].alive:
-                holding = proxy.tables.held[number]
+        row = pilots[holders[0]].slices[slice_id]
+        if row.owner not in listed:
+            problems.append(
+                f"slice {slice_id} is owned by {row.owner or 'nobody'}; listed are {sorted(listed)}"
+            )
+        for name, proxy in simulation.services.items():
+            if name[0] == "x" and simulation.hosts[name].alive:
+                holding = proxy.tables.held[slice_id]
                 if (holding.pilot, holding.owner) != (holders[0], row.owner):
-                    found.append(
-                        f"{name} holds slice {number} as {holding.pilot}'s, owned by {holding.owner}; {holders[0]} gave it to {row.owner}"
+                    problems.append(
+                        f"{name} holds slice {slice_id} as {holding.pilot}'s, owned by {holding.owner}; "
+                        f"{holders[0]} assigned it to {row.owner}"
                     )
-    for name, proxy in stage.services.items():
-        if name[0] != "x" or not stage.hosts[name].alive:
+    for name, proxy in simulation.services.items():
+        if name[0] != "x" or not simulation.hosts[name].alive:
             continue
         if sum(view.joined for view in proxy.tables.views.values()) < len(pilots):
-            found.append(
+            problems.append(
                 f"{name} is joined to {[one for one, view in proxy.tables.views.items() if view.joined]}"
             )
-        doubled = [
+        duplicated = [
             task
             for task, count in Counter(
                 task.name for task in proxy.loop.tasks if task.name.startswith("agent")
             ).items()
             if count > 1
         ]
-        if doubled:
-            found.append(f"{name} runs more than one task {', '.join(doubled)}")
-    return [Broken("not-well", end, "; ".join(found[:3]))] if found else []
+        if duplicated:
+            problems.append(f"{name} runs more than one task {', '.join(duplicated)}")
+    return [Violation("not-well", end, "; ".join(problems[:3]))] if problems else []
--- a/cedarshift/sim/planted.py
+++ b/cedarshift/sim/planted.py
@@ -1,4 +1,6 @@
-"""Faults planted in the real code, one at a time, each to be found by some seed. One that no seed finds is a hole in the scenarios or in what is checked.
+"""Faults that are injected into the real code, one at a time, to test that the simulation finds each of them.
+
+A fault that no seed finds shows a gap in the scenarios or in the checks.
 
 python -m cedarshift.sim.planted [--seeds 400] [--jobs 8] [--only NAME]
 """
@@ -27,53 +29,55 @@
 from cedarshift.pilot.store_client import StoreClient
 from cedarshift.roster.sources import ServiceSource
 from cedarshift.sim.disk import Disk
-from cedarshift.sim.play import play
+from cedarshift.sim.play import run_scenario
 from cedarshift.sim.scenario import draw
 
-SEEDS = 400  # within which each is to be found
-SEEDS_AT_ONCE = 8  # played by one process between two looks whether one has found it
+MAX_SEEDS = 400  # each fault must be found within these
+SEEDS_PER_TASK = 8  # per task of a worker process
 
 Patches = list[tuple[Any, str, Any]]
 
 
-class Planted(NamedTuple):
-    what: str
+class InjectedFault(NamedTuple):
+    """A fault: a description and the attributes to replace, as (object, attribute, value)."""
+
+    description: str
     patches: Callable[[], Patches]
 
 
 @contextmanager
-def planted(name: str) -> Iterator[None]:
-    """The fault is in force inside."""
-    before = []
+def inject_fault(name: str) -> Iterator[None]:
+    """Injects a fault for the duration of the context."""
+    originals = []
     try:
-        for where, attribute, value in PLANTED[name].patches():
-            before.append((where, attribute, getattr(where, attribute)))
-            setattr(where, attribute, value)
+        for target, attribute, value in INJECTED_FAULTS[name].patches():
+            originals.append((target, attribute, getattr(target, attribute)))
+            setattr(target, attribute, value)
         yield
     finally:
-        for where, attribute, value in reversed(before):
-            setattr(where, attribute, value)
+        for target, attribute, value in reversed(originals):
+            setattr(target, attribute, value)
 
 
-# ---- the module
+# ---- the decision module
 
 
-def _no_settle() -> Patches:
+def _skip_settle_time() -> Patches:
     init = Pilot.__init__
 
-    def made(self: Any, terms: Any) -> None:
+    def patched_init(self: Any, terms: Any) -> None:
         init(self, terms)
         self.settle = 0
 
-    return [(Pilot, "__init__", made)]
+    return [(Pilot, "__init__", patched_init)]
 
 
-def _stops(change: Callable[[Any, Any, Any, Optional[int]], Optional[int]]) -> Patches:
+def _replace_stop(change: Callable[[Any, Any, Any, Optional[int]], Optional[int]]) -> Patches:
     stop = WriteStops.stop
     return [(WriteStops, "stop", lambda self, p, s: change(self, p, s, stop(self, p, s)))]
 
 
-def _given_empty() -> Patches:
+def _grant_without_wait() -> Patches:
     given = Pilot.on_given
 
     def on_given(self: Any, now: int, slice_id: int, held: bool) -> None:
@@ -84,7 +88,7 @@
     return [(Pilot, "on_given", on_given)]
 
 
-def _deaf_to_drains() -> Patches:
+def _ignore_phases() -> Patches:
     def set_phase(self: Any, e: Any, phase: str, now: int) -> None:
         e.phase = "on"
 
@@ -94,22 +98,22 @@
 # ---- proxies
 
 
-def _ack_first() -> Patches:
-    take = Agent._handle_message
+def _ack_before_applying() -> Patches:
+    handle_message = Agent._handle_message
 
-    def late(self: Any, name: str, link: Any, message: Any, beats: Any, cost: int) -> Coroutine:
+    def ack_first(self: Any, name: str, link: Any, message: Any, heartbeats: Any, cost: int) -> Coroutine:
         if (
             isinstance(message, m.Order) and message.mark is not None and self.badge.id[-1] in "13"
-        ):  # not all alike
+        ):  # some proxies only
             link.send(m.Ack(message.mark))
             yield from self.loop.sleep(300_000)
             message = m.Order(message.seq, message.waited, message.lines, message.levels)
-        yield from take(self, name, link, message, beats, cost)
+        yield from handle_message(self, name, link, message, heartbeats, cost)
 
-    return [(Agent, "_handle_message", late)]
+    return [(Agent, "_handle_message", ack_first)]
 
 
-def _lease_when_answered() -> Patches:
+def _triple_lease() -> Patches:
     def on_lease(self: Any, pilot: str, asked_at: int) -> None:
         view = self.views[pilot]
         view.lease_until = max(view.lease_until, asked_at + 3 * self.lease)
@@ -117,86 +121,89 @@
     return [(Tables, "on_lease", on_lease)]
 
 
-def _no_lease() -> Patches:
+def _write_without_lease() -> Patches:
     pick = Tables.pick
 
-    def picked(self: Any, now: int, slice_id: int, op_type: int, chance: float) -> Any:
+    def pick_without_lease(self: Any, now: int, slice_id: int, op_type: int, random_value: float) -> Any:
         self.single_owner = False
-        return pick(self, now, slice_id, op_type, chance)
+        return pick(self, now, slice_id, op_type, random_value)
 
-    return [(Tables, "pick", picked)]
+    return [(Tables, "pick", pick_without_lease)]
 
 
-def _any_epoch() -> Patches:
-    def take(self: Any, row: Any, pilot: str) -> None:
+def _accept_older_epochs() -> Patches:
+    def adopt_row(self: Any, row: Any, pilot: str) -> None:
         holding = self.held[row.slice]
         holding.epoch, holding.pilot, holding.owner = row.epoch, pilot, row.owner
         holding.levels, holding.writes_until = list(row.levels), None
 
-    return [(Tables, "_adopt_row", take)]
+    return [(Tables, "_adopt_row", adopt_row)]
 
 
-def _lease_goes_on() -> Patches:
+def _keep_lease_of_revoked_slices() -> Patches:
     return [(Tables, "_revoke", lambda self, now, holding: None)]
 
 
-def _lines_are_passed_over() -> Patches:
+def _skip_lines() -> Patches:
     set_owner = Tables._set_owner
 
-    def some(self: Any, pilot: str, line: Any) -> None:
+    def set_some_owners(self: Any, pilot: str, line: Any) -> None:
         if line.weight > 0 or line.table % 2:
             set_owner(self, pilot, line)
 
-    return [(Tables, "_set_owner", some), (Tables, "_check_level", lambda self, levels, table, op_type: None)]
+    return [
+        (Tables, "_set_owner", set_some_owners),
+        (Tables, "_check_level", lambda self, levels, table, op_type: None),
+    ]
 
 
-def _helpers_stay() -> Patches:
-    beat = Agent._heartbeat_loop
+def _leak_heartbeat_tasks() -> Patches:
+    heartbeat_loop = Agent._heartbeat_loop
 
-    def on_and_on(self: Any, every: int) -> Coroutine:
+    def sleep_forever(self: Any, interval: int) -> Coroutine:
         while True:
-            yield from self.loop.sleep(every)
+            yield from self.loop.sleep(interval)
 
-    def beats(self: Any, name: str, link: Any, sent: Any, every: int) -> Coroutine:
-        self.loop.spawn(on_and_on(self, every), f"agent {name} beat again")
-        yield from beat(self, name, link, sent, every)
+    def leaking_heartbeat_loop(self: Any, name: str, link: Any, sent: Any, interval: int) -> Coroutine:
+        self.loop.spawn(sleep_forever(self, interval), f"agent {name} leaked heartbeat")
+        yield from heartbeat_loop(self, name, link, sent, interval)
 
-    return [(Agent, "_heartbeat_loop", beats)]
+    return [(Agent, "_heartbeat_loop", leaking_heartbeat_loop)]
 
 
 # ---- the store
 
 
-def _epoch_stays() -> Patches:
+def _keep_epoch() -> Patches:
     step = Charge.step
 
-    def stepped(self: Any, now: int) -> Any:
-        before = {number: row.epoch for number, row in self.rows.items()}
-        found = step(self, now)
-        for row in found.changed:
-            row.epoch = max(1, before[row.slice])
-        return found
+    def step_keeping_epochs(self: Any, now: int) -> Any:
+        epochs = {slice_id: row.epoch for slice_id, row in self.rows.items()}
+        changes = step(self, now)
+        for row in changes.changed:
+            row.epoch = max(1, epochs[row.slice])
+        return changes
 
-    return [(Charge, "step", stepped)]
+    return [(Charge, "step", step_keeping_epochs)]
 
 
-def _reopened_at_once() -> Patches:
-    """As it was until run 20125 found it."""
-    opened = Charge.open
+def _free_slices_on_new_session() -> Patches:
+    """The former bug that seed 20125 found."""
+    open_session = Charge.open
 
-    def open_anew(self: Any, now: int, pilot: str) -> int:
-        number = opened(self, now, pilot)
+    def open_and_free(self: Any, now: int, pilot: str) -> int:
+        session_number = open_session(self, now, pilot)
         self.anew.clear()
         for row in self.rows.values():
             if row.pilot == pilot:
                 row.pilot = ""
-        return number
+        return session_number
 
-    return [(Charge, "open", open_anew)]
+    return [(Charge, "open", open_and_free)]
 
 
-def _sends_raise() -> Patches:
-    """As it was until run 102 found it."""
+def _raise_on_broken_stream() -> Patches:
+    """The former bug that seed 102 found."""
 
     def send(self: Any, message: Any) -> None:
         if not self.closed:
@@ -205,31 +212,31 @@
     return [(Link, "send", send)]
 
 
-def _list_without_name() -> Patches:
-    """As it was until run 312 found it."""
+def _ignore_list_identity() -> Patches:
+    """The former bug that seed 312 found."""
     call = ServiceSource._call
 
-    def called(self: Any) -> Coroutine:
+    def call_unnamed(self: Any) -> Coroutine:
         name, self.name = self.name, "unnamed"
         self.name = name.removeprefix("list:")
         yield from call(self)
 
-    return [(ServiceSource, "_call", called)]
+    return [(ServiceSource, "_call", call_unnamed)]
 
 
-def _taken_at_once() -> Patches:
+def _reassign_at_once() -> Patches:
     step = Charge.step
 
-    def stepped(self: Any, now: int) -> Any:
-        found = step(self, now)
-        for pilot, numbers in found.taken.items():
-            self.released(pilot, numbers)
-        return found
+    def step_and_release(self: Any, now: int) -> Any:
+        changes = step(self, now)
+        for pilot, slice_ids in changes.taken.items():
+            self.released(pilot, slice_ids)
+        return changes
 
-    return [(Charge, "step", stepped)]
+    return [(Charge, "step", step_and_release)]
 
 
-def _short_sessions() -> Patches:
+def _end_sessions_early() -> Patches:
     def renew(self: Any, now: int, pilot: str, number: int) -> bool:
         holder = self.holders.get(pilot)
         if holder is None or holder.number != number or now >= holder.until:
@@ -240,47 +247,47 @@
     return [(Charge, "renew", renew)]
 
 
-def _restart_forgets() -> Patches:
+def _forget_sessions_on_restart() -> Patches:
     init = Charge.__init__
 
-    def made(self: Any, *args: Any, **named: Any) -> None:
-        init(self, *args, **named)
+    def patched_init(self: Any, *args: Any, **options: Any) -> None:
+        init(self, *args, **options)
         self.holders.clear()
         for row in self.rows.values():
             row.pilot = ""
 
-    return [(Charge, "__init__", made)]
+    return [(Charge, "__init__", patched_init)]
 
 
-def _no_sync() -> Patches:
+def _skip_sync() -> Patches:
     return [
         (Disk, "sync", lambda self: self.synced.append(self.cached.pop(0)) if len(self.cached) > 3 else None)
     ]
 
 
-def _same_epochs_again() -> Patches:
+def _reuse_epochs() -> Patches:
     init = Charge.__init__
 
-    def made(
+    def patched_init(
         self: Any, rows: Any, pilots: Any, lease: int, takeover: int, back_after: int, now: int, life: int = 1
     ) -> None:
         init(self, rows, pilots, lease, takeover, back_after, now, 1)
 
-    return [(Charge, "__init__", made)]
+    return [(Charge, "__init__", patched_init)]
 
 
 # ---- the pilot
 
 
-def _always_in_charge() -> Patches:
+def _ignore_session_expiry() -> Patches:
     return [
         (StoreClient, "in_charge", lambda self: not self.lapsed),
         (StoreClient, "_check_lapsed", lambda self: None),
     ]
 
 
-def _dropped_turn_forgotten() -> Patches:
-    """As it was until run 3981 found it."""
+def _ignore_dropped_batch() -> Patches:
+    """The former bug that seed 3981 found."""
 
     def commit(self: Any, writes: Any, then: Any) -> bool:
         if self.link is None or not self.in_charge():
@@ -293,182 +300,196 @@
     return [(StoreClient, "commit", commit)]
 
 
-def _no_drift_taken_off() -> Patches:
-    """As it was until run 718 found it."""
+def _ignore_clock_drift() -> Patches:
+    """The former bug that seed 718 found."""
     return [(store_client, "CLOCK_DRIFT_DIVISOR", 1 << 40)]
 
 
-def _sent_before_committed() -> Patches:
-    order = PilotService._submit_batch
+def _send_before_commit() -> Patches:
+    submit = PilotService._submit_batch
 
-    def sent(self: Any, turn: Any) -> None:
+    def send_and_submit(self: Any, batch: Any) -> None:
         if self.deployment.slices:
-            self._send_batch(turn)
-        order(self, turn)
+            self._send_batch(batch)
+        submit(self, batch)
 
-    return [(PilotService, "_submit_batch", sent)]
+    return [(PilotService, "_submit_batch", send_and_submit)]
 
 
-def _denied_goes_out() -> Patches:
+def _send_denied_orders() -> Patches:
     committed = PilotService._committed
 
-    def all_of_it(self: Any, turn: Any, writes: Any, denied: Any) -> None:
-        committed(self, turn, writes, [])
+    def commit_all(self: Any, batch: Any, writes: Any, denied: Any) -> None:
+        committed(self, batch, writes, [])
 
     return [
-        (PilotService, "_committed", all_of_it),
+        (PilotService, "_committed", commit_all),
         (PilotService, "on_slices_revoked", lambda self, slices: None),
     ]
 
 
-def _empty_turns_overtake() -> Patches:
-    order = PilotService._submit_batch
+def _let_empty_batches_overtake() -> Patches:
+    submit = PilotService._submit_batch
 
-    def ordered(self: Any, turn: Any) -> None:
-        if self.deployment.slices and not self._writes(turn):
-            self._send_batch(turn)
+    def send_empty_first(self: Any, batch: Any) -> None:
+        if self.deployment.slices and not self._writes(batch):
+            self._send_batch(batch)
         else:
-            order(self, turn)
+            submit(self, batch)
 
-    return [(PilotService, "_submit_batch", ordered)]
+    return [(PilotService, "_submit_batch", send_empty_first)]
 
 
-def _acks_date_back() -> Patches:
+def _backdate_acks() -> Patches:
     ack = Pilot.on_ack
     return [(Pilot, "on_ack", lambda self, now, proxy, mark, took: ack(self, now, proxy, mark, took - 6_000))]
 
 
-def _leaves_in_silence() -> Patches:
-    """Proxies are not told that slices leave, and the store is told that they were."""
+def _revoke_silently() -> Patches:
+    """The pilot drops revoked slices without telling its proxies, but tells the store that it did."""
 
-    def taken(self: Any, slices: list[int]) -> None:
-        for number in slices:
-            self.slices.pop(number, None)
-            self.brain.on_given(self._now_ticks(), number, False)
+    def drop_slices(self: Any, slices: list[int]) -> None:
+        for slice_id in slices:
+            self.slices.pop(slice_id, None)
+            self.brain.on_given(self._now_ticks(), slice_id, False)
 
-    return [(PilotService, "on_slices_revoked", taken)]
+    return [(PilotService, "on_slices_revoked", drop_slices)]
 
 
-def _gone_is_kept() -> Patches:
+def _drop_removals() -> Patches:
     call = ServiceSource._call
 
-    def kept(self: Any) -> Coroutine:
-        tell = self.tell
-        self.tell = lambda kind, entries: tell(kind, [e for e in entries if e.phase == "on"])
+    def call_without_removals(self: Any) -> Coroutine:
+        publish = self.tell
+        self.tell = lambda kind, entries: publish(kind, [e for e in entries if e.phase == "on"])
         try:
             yield from call(self)
         finally:
-            self.tell = tell
+            self.tell = publish
 
-    return [(ServiceSource, "_call", kept)]
+    return [(ServiceSource, "_call", call_without_removals)]
 
 
-def _marks_come_again() -> Patches:
+def _reuse_marks() -> Patches:
     return [(brain, "MARKS", 2), (write_stops, "BARRIERS", 2)]
 
 
-PLANTED: dict[str, Planted] = {
-    "no-settle": Planted("the settle time is skipped", _no_settle),
-    "no-ack": Planted(
+INJECTED_FAULTS: dict[str, InjectedFault] = {
+    "no-settle": InjectedFault("the settle time is skipped", _skip_settle_time),
+    "no-ack": InjectedFault(
         "a revoke is not awaited at joined proxies",
-        lambda: _stops(lambda self, p, s, at: s.since if p.joined and at is None else at),
+        lambda: _replace_stop(lambda self, p, s, at: s.since if p.joined and at is None else at),
     ),
-    "left-at-once": Planted(
+    "left-at-once": InjectedFault(
         "a proxy whose stream broke counts as stopped without its lease",
-        lambda: _stops(lambda self, p, s, at: at if p.joined else p.left_at),
+        lambda: _replace_stop(lambda self, p, s, at: at if p.joined else p.left_at),
     ),
-    "newcomer": Planted(
+    "newcomer": InjectedFault(
         "a proxy that joined after a revoke is not awaited",
-        lambda: _stops(
+        lambda: _replace_stop(
             lambda self, p, s, at: s.since if p.joined and at is None and p.joined_at >= s.since else at
         ),
     ),
-    "given-empty": Planted(
-        "a slice that was just given is granted without waiting out the former pilot", _given_empty
+    "given-empty": InjectedFault(
+        "a slice that was just assigned is granted without waiting for the former pilot's leases",
+        _grant_without_wait,
+    ),
+    "deaf-to-drains": InjectedFault("drains and removals in the list are ignored", _ignore_phases),
+    "marks-again": InjectedFault(
+        "only two marks: one is reused while an ack of its last use may arrive", _reuse_marks
+    ),
+    "ack-first": InjectedFault("an order is acked before it is applied", _ack_before_applying),
+    "long-lease": InjectedFault("a proxy's lease lasts three times as long", _triple_lease),
+    "no-lease": InjectedFault("writes are sent without a lease", _write_without_lease),
+    "any-epoch": InjectedFault("a proxy accepts rows of an older epoch", _accept_older_epochs),
+    "lease-goes-on": InjectedFault(
+        "the lease of a slice that was revoked from its pilot stays valid", _keep_lease_of_revoked_slices
+    ),
+    "lines-lost": InjectedFault("a proxy acks orders but skips some of their lines", _skip_lines),
+    "helpers-stay": InjectedFault(
+        "the heartbeat task of a stream runs on after its end", _leak_heartbeat_tasks
+    ),
+    "epoch-stays": InjectedFault("an assignment does not raise the epoch", _keep_epoch),
+    "reopened-at-once": InjectedFault(
+        "a pilot's new session frees its slices for others at once", _free_slices_on_new_session
+    ),
+    "sends-raise": InjectedFault("sending to a broken stream raises in the sender", _raise_on_broken_stream),
+    "list-unnamed": InjectedFault(
+        "a restarted list service is taken for the former one", _ignore_list_identity
+    ),
+    "taken-at-once": InjectedFault(
+        "a slice is reassigned before its pilot has told its proxies", _reassign_at_once
     ),
-    "deaf-to-drains": Planted("the list's drains and deaths are not heard", _deaf_to_drains),
-    "marks-again": Planted(
-        "a ring of two marks: one is used again while it may still be acked", _marks_come_again
+    "short-sessions": InjectedFault("the store ends sessions before their pilots do", _end_sessions_early),
+    "restart-forgets": InjectedFault(
+        "a restarted store reassigns slices of live sessions", _forget_sessions_on_restart
     ),
-    "ack-first": Planted("an order is acked before it is in force", _ack_first),
-    "long-lease": Planted("a proxy's lease runs three times as long", _lease_when_answered),
-    "no-lease": Planted("writes go out without a lease", _no_lease),
-    "any-epoch": Planted("a proxy takes rows of an older epoch", _any_epoch),
-    "lease-goes-on": Planted("the lease of a slice that left its pilot's charge goes on", _lease_goes_on),
-    "lines-lost": Planted("a proxy acks orders of which it passes over some lines", _lines_are_passed_over),
-    "helpers-stay": Planted("a stream's beats go on after its end", _helpers_stay),
-    "epoch-stays": Planted("a giving does not raise the epoch", _epoch_stays),
-    "reopened-at-once": Planted(
-        "a pilot's new session frees its slices for others at once", _reopened_at_once
+    "no-sync": InjectedFault("the store answers before its disk has synced", _skip_sync),
+    "same-epochs": InjectedFault("a restarted store reuses epochs", _reuse_epochs),
+    "always-in-charge": InjectedFault(
+        "a pilot continues after its session has expired", _ignore_session_expiry
     ),
-    "sends-raise": Planted("a message to a stream that has just broken ends its sender", _sends_raise),
-    "list-unnamed": Planted("a list service that counts anew is taken for an old one", _list_without_name),
-    "taken-at-once": Planted("a slice is given on before its pilot has told its proxies", _taken_at_once),
-    "short-sessions": Planted("the store ends sessions before their pilots do", _short_sessions),
-    "restart-forgets": Planted("a store that starts gives away what sessions still hold", _restart_forgets),
-    "no-sync": Planted("the store answers before its disk has synced", _no_sync),
-    "same-epochs": Planted("lives of the store use the same epochs", _same_epochs_again),
-    "always-in-charge": Planted("a pilot goes on after its session must have ended", _always_in_charge),
-    "dropped-turn": Planted(
-        "a charge that had lapsed goes on after a turn was dropped", _dropped_turn_forgotten
+    "dropped-turn": InjectedFault(
+        "an expired session continues after a batch was dropped", _ignore_dropped_batch
     ),
-    "no-drift": Planted(
-        "a pilot's session lasts as long by its clock as by the store's", _no_drift_taken_off
+    "no-drift": InjectedFault("a pilot does not allow for clock drift in its session", _ignore_clock_drift),
+    "sent-uncommitted": InjectedFault(
+        "orders are sent to proxies before the store has committed them", _send_before_commit
     ),
-    "sent-uncommitted": Planted("orders reach proxies before the store has them", _sent_before_committed),
-    "denied-goes-out": Planted(
-        "orders that the store refused reach proxies, and what was taken stays", _denied_goes_out
+    "denied-goes-out": InjectedFault(
+        "denied orders are sent to proxies, and revoked slices are kept", _send_denied_orders
     ),
-    "empty-overtake": Planted(
-        "turns without writes overtake those that wait for the store", _empty_turns_overtake
+    "empty-overtake": InjectedFault(
+        "batches without writes overtake those that wait for the store", _let_empty_batches_overtake
     ),
-    "acks-date-back": Planted("acks count as of 0.6 s before", _acks_date_back),
-    "leaves-in-silence": Planted("proxies are not told that slices leave", _leaves_in_silence),
-    "gone-is-kept": Planted("the list's news of endpoints that are not on is dropped", _gone_is_kept),
+    "acks-date-back": InjectedFault("acks are backdated by 0.6 s", _backdate_acks),
+    "leaves-in-silence": InjectedFault("proxies are not told of revoked slices", _revoke_silently),
+    "gone-is-kept": InjectedFault("list entries of endpoints that are not on are dropped", _drop_removals),
 }
 
 
-def first_found(task: tuple[str, int, int]) -> tuple[str, Optional[int], str]:
-    """The first of a run of seeds that finds a planted fault, and by what."""
+def find_fault(task: tuple[str, int, int]) -> tuple[str, Optional[int], str]:
+    """Returns the name of the fault, the first seed of a range that finds it, and the check that failed."""
     name, begin, end = task
-    with planted(name):
+    with inject_fault(name):
         for seed in range(begin, end):
-            broken = play(draw(seed)).broken
-            if broken:
-                return name, seed, broken[0].what
+            violations = run_scenario(draw(seed)).violations
+            if violations:
+                return name, seed, violations[0].check
     return name, None, ""
 
 
-def hunt_planted(names: list[str], seeds: int, jobs: int) -> dict[str, tuple[Optional[int], str]]:
-    """By name the lowest seed that finds it, and what was broken; the seeds go in steps, so that an easy one costs little."""
-    found: dict[str, tuple[Optional[int], str]] = {}
+def find_faults(names: list[str], seeds: int, jobs: int) -> dict[str, tuple[Optional[int], str]]:
+    """Returns for each fault the lowest seed that finds it, and the check that failed."""
+    first_by_name: dict[str, tuple[Optional[int], str]] = {}
     with ProcessPoolExecutor(jobs, multiprocessing.get_context("spawn")) as pool:
-        left, begin = list(names), 1
-        while left and begin <= seeds:
-            end = min(seeds + 1, begin + SEEDS_AT_ONCE * max(1, math.ceil(jobs / len(left))))
+        remaining, begin = list(names), 1
+        while remaining and begin <= seeds:
+            end = min(seeds + 1, begin + SEEDS_PER_TASK * max(1, math.ceil(jobs / len(remaining))))
             tasks = [
-                (name, at, min(end, at + SEEDS_AT_ONCE))
-                for name in left
-                for at in range(begin, end, SEEDS_AT_ONCE)
+                (name, at, min(end, at + SEEDS_PER_TASK))
+                for name in remaining
+                for at in range(begin, end, SEEDS_PER_TASK)
             ]
-            for name, seed, what in pool.map(first_found, tasks):
-                if seed is not None and name not in found:
-                    found[name] = (seed, what)
-            left = [name for name in left if name not in found]
+            for name, seed, check in pool.map(find_fault, tasks):
+                if seed is not None and name not in first_by_name:
+                    first_by_name[name] = (seed, check)
+            remaining = [name for name in remaining if name not in first_by_name]
             begin = end
-    return {name: found.get(name, (None, "")) for name in names}
+    return {name: first_by_name.get(name, (None, "")) for name in names}
 
 
 def main() -> None:
     parser = argparse.ArgumentParser()
-    parser.add_argument("--seeds", type=int, default=SEEDS)
+    parser.add_argument("--seeds", type=int, default=MAX_SEEDS)
     parser.add_argument("--jobs", type=int, default=8)
     parser.add_argument("--only", default="")
     args = parser.parse_args()
-    names = [args.only] if args.only else list(PLANTED)
-    for name, (seed, what) in hunt_planted(names, args.seeds, args.jobs).items():
+    names = [args.only] if args.only else list(INJECTED_FAULTS)
+    for name, (seed, check) in find_faults(names, args.seeds, args.jobs).items():
         print(
-            f"{name:<18} {'NOT FOUND' if seed is None else f'seed {seed}':<10} {what:<16} {PLANTED[name].what}"
+            f"{name:<18} {'NOT FOUND' if seed is None else f'seed {seed}':<10} {check:<16} "
+            f"{INJECTED_FAULTS[name].description}"
         )
 
 
--- a/cedarshift/sim/play.py
+++ b/cedarshift/sim/play.py
@@ -1,4 +1,4 @@
-"""One run of a scenario, and what came of it."""
+"""Runs a scenario and returns its result."""
 
 from __future__ import annotations
 
@@ -9,15 +9,15 @@
 import msgspec
 
 from cedarshift.loop.world import Host, Hung
-from cedarshift.sim.oracles import Broken, Steps, whole_run
+from cedarshift.sim.oracles import StepChecker, Violation, check_run
 from cedarshift.sim.scenario import Scenario
-from cedarshift.sim.stage import Stage
+from cedarshift.sim.stage import Simulation
 
 
-class Played(NamedTuple):
-    """`digest` is of every step and of every row: the same for the same scenario, wherever it is played."""
+class RunResult(NamedTuple):
+    """The result of a run. `digest` covers every step and row and depends on the scenario only."""
 
-    broken: list[Broken]
+    violations: list[Violation]
     digest: str
     steps: int
     virtual_s: float
@@ -26,56 +26,61 @@
     reached: frozenset[tuple]
 
 
-class Stop(Exception):
-    """A step broke something: the run ends there."""
+class StopRun(Exception):
+    """Ends a run after a violation."""
 
 
-def play(
-    scenario: Scenario, note: Optional[Callable[[int, str, str, dict[str, Any]], None]] = None
-) -> Played:
-    stage = Stage(scenario, note)
-    steps, digest = Steps(stage), blake2b(digest_size=16)
+def run_scenario(
+    scenario: Scenario, on_event: Optional[Callable[[int, str, str, dict[str, Any]], None]] = None
+) -> RunResult:
+    """Runs a scenario; `on_event(time, host, event, fields)` is called for each event."""
+    simulation = Simulation(scenario, on_event)
+    checker, digest = StepChecker(simulation), blake2b(digest_size=16)
 
-    def after(host: Host) -> None:
-        steps.after(host)
-        digest.update(b"%d %s %d;" % (stage.world.clock.time, host.name.encode(), stage.world.network.drawn))
+    def after_step(host: Host) -> None:
+        checker.after_step(host)
+        digest.update(
+            b"%d %s %d;" % (simulation.world.clock.time, host.name.encode(), simulation.world.network.drawn)
+        )
         if host.name == "store":
-            stage._watch_store()
-        if steps.broken is not None:
-            raise Stop
+            simulation._watch_store()
+        if checker.violation is not None:
+            raise StopRun
 
-    stage.world.after_turn = after
-    main = stage.director.loop.spawn(stage.direct(), "director")
-    broken: list[Broken] = []
+    simulation.world.after_turn = after_step
+    main = simulation.control_host.loop.spawn(simulation.run_main(), "director")
+    violations: list[Violation] = []
     try:
-        stage.world.run(main)
-    except Stop:
-        assert steps.broken is not None
-        broken.append(steps.broken)
+        simulation.world.run(main)
+    except StopRun:
+        assert checker.violation is not None
+        violations.append(checker.violation)
     except Hung as error:
-        broken.append(Broken("hung", stage.world.clock.time, str(error)))
-    except Exception as error:  # what escapes a loop ends its process
+        violations.append(Violation("hung", simulation.world.clock.time, str(error)))
+    except Exception as error:  # an exception that leaves a loop would end the process
         where = traceback.extract_tb(error.__traceback__)
-        inside = [
+        frames = [
             f"{frame.filename.rsplit('/', 1)[-1]}:{frame.lineno} {frame.name}"
             for frame in where
             if "cedarshift" in frame.filename
         ]
-        broken.append(
-            Broken(
+        violations.append(
+            Violation(
                 "crashed",
-                stage.world.clock.time,
-                f"{type(error).__name__}: {error}; {', '.join(inside[-5:])}",
+                simulation.world.clock.time,
+                f"{type(error).__name__}: {error}; {', '.join(frames[-5:])}",
             )
         )
-    end = stage.world.clock.time
-    if not broken:
-        broken = whole_run(stage, end)
-    for row in stage.rows:
+    end = simulation.world.clock.time
+    if not violations:
+        violations = check_run(simulation, end)
+    for row in simulation.rows:
         digest.update(msgspec.json.encode(row))
-    proxies = [one for name, one in stage.services.items() if name[0] == "x"]
+    proxies = [one for name, one in simulation.services.items() if name[0] == "x"]
     acked = sum(proxy.outcomes["acked"] for proxy in proxies)
     ops = sum(sum(proxy.outcomes.values()) for proxy in proxies)
-    stage.world.after_turn = None
-    stage.world.dispose()
-    return Played(broken, digest.hexdigest(), steps.steps, end / 1e6, acked, ops, frozenset(stage.reached))
+    simulation.world.after_turn = None
+    simulation.world.dispose()
+    return RunResult(
+        violations, digest.hexdigest(), checker.steps, end / 1e6, acked, ops, frozenset(simulation.reached)
+    )
--- a/cedarshift/sim/scenario.py
+++ b/cedarshift/sim/scenario.py
@@ -1,6 +1,8 @@
-"""What one run plays: a fleet, how its network and clocks are, and faults at times; drawn from a seed, kept as JSON, cut down by hand or by
-`shrink`. Each kind of fault is on in some runs and off in others (swarm testing, Groce and others, ISSTA 2012), so that rare
-combinations come up that a mix of everything would bury."""
+"""Scenarios: a fleet, the properties of its network and clocks, and timed faults.
+
+A scenario is generated from a seed, stored as JSON, and reduced by hand or by `shrink`. Each kind of fault is
+enabled in some runs only, which reaches rare combinations (swarm testing: Groce et al., ISSTA 2012).
+"""
 
 from __future__ import annotations
 
@@ -9,19 +11,18 @@
 
 import msgspec
 
-SECOND = 1_000_000
+US_PER_SECOND = 1_000_000
 
-# Constants: unit, then the reason for the size.
-WARM_UP = 1_500_000  # us in which the fleet comes up untouched
-FAULTS_FOR = 6_000_000  # us in which faults begin; one lasts 2 s at most
-REST = 5_000_000  # us after the last fault has ended by which all has to be well: session, takeover, home, a hand-over, waits to redial
-FAULTS_MOST = 10
-OUTAGE_MOST = 2_000_000  # us
-RATE_APART = 0.0005  # of a clock; a machine's crystal is ten times better
-OFFSET_MOST = 1 << 40  # us; a monotonic clock begins anywhere
+WARM_UP_US = 1_500_000  # without faults
+FAULT_WINDOW_US = 6_000_000  # after the warm-up; faults begin within it
+RECOVERY_US = 5_000_000  # from the end of the last fault until the fleet must have recovered
+MAX_FAULTS = 10
+MAX_OUTAGE_US = 2_000_000
+MAX_CLOCK_RATE_ERROR = 0.0005  # relative error of a clock's rate
+MAX_CLOCK_OFFSET_US = 1 << 40  # monotonic clocks start anywhere
 
-# kind -> (weight of its being on in a run, kinds of arguments)
-KINDS: dict[str, tuple[float, str]] = {
+# kind -> (probability of being enabled in a run, kinds of arguments)
+FAULT_KINDS: dict[str, tuple[float, str]] = {
     "kill_pilot": (0.5, "pilot span"),
     "stop_pilot": (0.4, "pilot span"),
     "pause_pilot": (0.5, "pilot span"),
@@ -45,9 +46,8 @@
     "ambush": (0.6, "ambush span"),
 }
 
-
-# What is done as an order passes the store: the pilot is cut from a proxy, or the other way; a proxy, a pilot, the store stands still or dies.
-AMBUSHES = (
+# Faults that an ambush injects while the store commits an order.
+AMBUSH_ACTIONS = (
     "cut there",
     "cut back",
     "sever",
@@ -58,11 +58,14 @@
     "kill_store",
     "cut store",
 )
-CROSSED_PART = 0.7  # of the runs have faults that cross a hand-over, or a pilot's coming home: by chance alone they seldom do
+TARGETED_FAULTS_SHARE = 0.7  # of the runs have faults aimed at a hand-over or a restart
 
 
 class Fault(msgspec.Struct, frozen=True):
-    """`at` and `span` in us of the run; `who`: what it befalls; `to`: the other end of a way."""
+    """A fault: begin (`at`) and duration (`span`) in us, the host `who`, and the other end of a link, `to`.
+
+    `to` of an ambush is the action, one of AMBUSH_ACTIONS.
+    """
 
     kind: str
     at: int
@@ -72,7 +75,12 @@
 
 
 class Scenario(msgspec.Struct, frozen=True):
-    """`chunks`: the most pieces that one write on a stream comes in. `rates`: of clocks, by host; 1 elsewhere."""
+    """The input of a run, stored as JSON.
+
+    `rate`: ops per second of a proxy; `chunks`: maximum number of pieces that a stream write arrives in;
+    `delay_most`: maximum network delay in us; `ages`: whether the list reports ages; `rates` and `offsets`: of
+    the clocks, by host; `length`: in us.
+    """
 
     seed: int
     pilots: int
@@ -87,22 +95,23 @@
     offsets: dict[str, int]
     faults: tuple[Fault, ...]
     length: int
-    reserve: int = 0  # endpoints that the list names only later
+    reserve: int = 0  # endpoints that are started later
 
     def to_json(self) -> bytes:
         return msgspec.json.format(msgspec.json.encode(self), indent=1)
 
 
 def from_json(raw: bytes) -> Scenario:
-    """Raises msgspec.ValidationError with the place of what is wrong; ValueError for a fault of no known kind."""
-    found = msgspec.json.decode(raw, type=Scenario)
-    for at, fault in enumerate(found.faults):
-        if fault.kind not in KINDS:
-            raise ValueError(f"fault {at}: kind {fault.kind!r}; known: {', '.join(KINDS)}")
-    return found
+    """Decodes a scenario. Raises msgspec.ValidationError, or ValueError for an unknown kind of fault."""
+    scenario = msgspec.json.decode(raw, type=Scenario)
+    for index, fault in enumerate(scenario.faults):
+        if fault.kind not in FAULT_KINDS:
+            raise ValueError(f"fault {index}: kind {fault.kind!r}; known: {', '.join(FAULT_KINDS)}")
+    return scenario
 
 
-def names(scenario: Scenario) -> dict[str, list[str]]:
+def hosts_by_kind(scenario: Scenario) -> dict[str, list[str]]:
+    """Returns the names of the pilots, proxies and endpoints."""
     return {
         "pilot": [f"p{n}" for n in range(scenario.pilots)],
         "proxy": [f"x{n}" for n in range(scenario.proxies)],
@@ -110,212 +119,228 @@
     }
 
 
-def draw_fault(chance: random.Random, kind: str, scenario: Scenario) -> Fault:
-    who = names(scenario)
-    at = WARM_UP + chance.randrange(FAULTS_FOR)
-    wanted = KINDS[kind][1].split()
+def generate_fault(rng: random.Random, kind: str, scenario: Scenario) -> Fault:
+    """Generates a fault of a kind, with random time and arguments."""
+    hosts = hosts_by_kind(scenario)
+    at = WARM_UP_US + rng.randrange(FAULT_WINDOW_US)
+    arguments = FAULT_KINDS[kind][1].split()
     span = (
-        chance.choice([50_000, 200_000, 500_000, 900_000, 1_400_000, OUTAGE_MOST]) if "span" in wanted else 0
+        rng.choice([50_000, 200_000, 500_000, 900_000, 1_400_000, MAX_OUTAGE_US])
+        if "span" in arguments
+        else 0
     )
-    if wanted[0] in who:
-        return Fault(kind, at, span, chance.choice(who[wanted[0]]))
-    if wanted[0] == "way":
-        one, other = chance.choice(
+    if arguments[0] in hosts:
+        return Fault(kind, at, span, rng.choice(hosts[arguments[0]]))
+    if arguments[0] == "way":
+        source, target = rng.choice(
             [
-                ("store", chance.choice(who["pilot"])),
-                (chance.choice(who["proxy"]), chance.choice(who["pilot"])),
-                ("list", chance.choice(who["pilot"])),
+                ("store", rng.choice(hosts["pilot"])),
+                (rng.choice(hosts["proxy"]), rng.choice(hosts["pilot"])),
+                ("list", rng.choice(hosts["pilot"])),
             ]
         )
-        if chance.random() < 0.5:
-            one, other = other, one
-        return Fault(kind, at, span, one, other)
-    if wanted[0] == "ambush":  # sprung by the next order that takes a slice from its owner
-        return Fault(kind, at, span, chance.choice(who["proxy"]), chance.choice(AMBUSHES))
-    if wanted[0] == "pair":
-        two = chance.sample([*who["pilot"], "store", *who["endpoint"]], 2)
-        return Fault(kind, at, span, *two)
+        if rng.random() < 0.5:
+            source, target = target, source
+        return Fault(kind, at, span, source, target)
+    if arguments[0] == "ambush":  # triggered by the next order that revokes a slice
+        return Fault(kind, at, span, rng.choice(hosts["proxy"]), rng.choice(AMBUSH_ACTIONS))
+    if arguments[0] == "pair":
+        pair = rng.sample([*hosts["pilot"], "store", *hosts["endpoint"]], 2)
+        return Fault(kind, at, span, *pair)
     return Fault(kind, at, span)
 
 
 def draw(seed: int) -> Scenario:
-    """The scenario of a seed."""
-    chance = random.Random(f"scenario {seed}")
+    """Generates the scenario of a seed."""
+    rng = random.Random(f"scenario {seed}")
     pilots, proxies, endpoints = (
-        chance.choice([1, 2, 2, 3]),
-        chance.choice([1, 2, 3]),
-        chance.choice([2, 3, 4]),
+        rng.choice([1, 2, 2, 3]),
+        rng.choice([1, 2, 3]),
+        rng.choice([2, 3, 4]),
     )
     hosts = [f"p{n}" for n in range(pilots)] + [f"x{n}" for n in range(proxies)] + ["store", "list"]
-    apart = chance.random() < 0.4
-    bare = Scenario(
+    skewed = rng.random() < 0.4
+    base = Scenario(
         seed,
         pilots,
         proxies,
         endpoints,
-        chance.choice([4, 6, 9]),
-        chance.choice([10.0, 20.0]),
-        chance.choice([1, 1, 2, 5]),
-        chance.choice([300, 300, 3_000, 30_000]),
-        chance.random() < 0.7,
-        {host: 1 + chance.uniform(-RATE_APART, RATE_APART) for host in hosts} if apart else {},
-        {host: chance.randrange(OFFSET_MOST) for host in hosts} if apart else {},
+        rng.choice([4, 6, 9]),
+        rng.choice([10.0, 20.0]),
+        rng.choice([1, 1, 2, 5]),
+        rng.choice([300, 300, 3_000, 30_000]),
+        rng.random() < 0.7,
+        {host: 1 + rng.uniform(-MAX_CLOCK_RATE_ERROR, MAX_CLOCK_RATE_ERROR) for host in hosts}
+        if skewed
+        else {},
+        {host: rng.randrange(MAX_CLOCK_OFFSET_US) for host in hosts} if skewed else {},
         (),
         0,
-        chance.choice([0, 0, 1, 2]),
+        rng.choice([0, 0, 1, 2]),
     )
-    on = [kind for kind, (weight, _) in KINDS.items() if chance.random() < weight]
+    enabled = [kind for kind, (weight, _) in FAULT_KINDS.items() if rng.random() < weight]
     faults = (
-        [draw_fault(chance, chance.choice(on), bare) for _ in range(chance.randrange(1, FAULTS_MOST + 1))]
-        if on
+        [generate_fault(rng, rng.choice(enabled), base) for _ in range(rng.randrange(1, MAX_FAULTS + 1))]
+        if enabled
         else []
     )
-    if chance.random() < CROSSED_PART:
-        faults = faults[: chance.randrange(4)] + chance.choice(
-            [_in_hand_over, _coming_home, _slow_store, _list_anew]
-        )(chance, bare)
-    return with_faults(bare, faults)
+    if rng.random() < TARGETED_FAULTS_SHARE:
+        faults = faults[: rng.randrange(4)] + rng.choice(
+            [_faults_in_hand_over, _faults_at_return, _faults_with_slow_store, _faults_at_list_restart]
+        )(rng, base)
+    return with_faults(base, faults)
 
 
-def _at(chance: random.Random, begin: int, within: int) -> int:
-    return begin + chance.randrange(within)
+def _random_time(rng: random.Random, begin: int, within: int) -> int:
+    return begin + rng.randrange(within)
 
 
-def _in_hand_over(chance: random.Random, scenario: Scenario) -> list[Fault]:
-    """A drain, and what happens as its orders go out."""
-    who, at = names(scenario), WARM_UP + chance.randrange(FAULTS_FOR // 2)
-    made = [Fault("drain", at, 500_000, chance.choice(who["endpoint"]))]
-    for _ in range(chance.randrange(1, 4)):
-        made.append(
+def _faults_in_hand_over(rng: random.Random, scenario: Scenario) -> list[Fault]:
+    """A drain, with faults while its orders are sent."""
+    hosts, begin = hosts_by_kind(scenario), WARM_UP_US + rng.randrange(FAULT_WINDOW_US // 2)
+    faults = [Fault("drain", begin, 500_000, rng.choice(hosts["endpoint"]))]
+    for _ in range(rng.randrange(1, 4)):
+        faults.append(
             Fault(
                 "ambush",
-                at - 50_000,
-                chance.choice([200_000, 900_000, OUTAGE_MOST]),
-                chance.choice(who["proxy"]),
-                chance.choice(AMBUSHES),
+                begin - 50_000,
+                rng.choice([200_000, 900_000, MAX_OUTAGE_US]),
+                rng.choice(hosts["proxy"]),
+                rng.choice(AMBUSH_ACTIONS),
             )
         )
-    if chance.random() < 0.5:
-        made.append(
+    if rng.random() < 0.5:
+        faults.append(
             Fault(
-                "reset", _at(chance, at, 700_000), 0, chance.choice(who["proxy"]), chance.choice(who["pilot"])
+                "reset",
+                _random_time(rng, begin, 700_000),
+                0,
+                rng.choice(hosts["proxy"]),
+                rng.choice(hosts["pilot"]),
             )
         )
-    return made
+    return faults
 
 
-def _coming_home(chance: random.Random, scenario: Scenario) -> list[Fault]:
-    """A pilot is away, another looks after its slices, and as they go home somebody is cut off and an endpoint drains."""
-    who, at, away = (
-        names(scenario),
-        WARM_UP + chance.randrange(FAULTS_FOR // 3),
-        chance.choice([1_100_000, OUTAGE_MOST]),
+def _faults_at_return(rng: random.Random, scenario: Scenario) -> list[Fault]:
+    """A pilot is down, and when its slices return to it a link is cut and an endpoint leaves."""
+    hosts, begin, downtime = (
+        hosts_by_kind(scenario),
+        WARM_UP_US + rng.randrange(FAULT_WINDOW_US // 3),
+        rng.choice([1_100_000, MAX_OUTAGE_US]),
     )
-    pilot, back = chance.choice(who["pilot"]), at + away + 700_000
-    made = [Fault(chance.choice(["kill_pilot", "stop_pilot", "pause_pilot"]), at, away, pilot)]
-    for _ in range(chance.randrange(1, 3)):
-        ends = chance.choice(
+    pilot, returns_at = rng.choice(hosts["pilot"]), begin + downtime + 700_000
+    faults = [Fault(rng.choice(["kill_pilot", "stop_pilot", "pause_pilot"]), begin, downtime, pilot)]
+    for _ in range(rng.randrange(1, 3)):
+        link = rng.choice(
             [
-                (pilot, chance.choice(who["proxy"])),
-                (chance.choice(who["proxy"]), pilot),
-                ("store", chance.choice(who["pilot"])),
-                (chance.choice(who["pilot"]), "store"),
+                (pilot, rng.choice(hosts["proxy"])),
+                (rng.choice(hosts["proxy"]), pilot),
+                ("store", rng.choice(hosts["pilot"])),
+                (rng.choice(hosts["pilot"]), "store"),
             ]
         )
-        made.append(
-            Fault("cut", _at(chance, back - 300_000, 500_000), chance.choice([900_000, OUTAGE_MOST]), *ends)
+        faults.append(
+            Fault(
+                "cut",
+                _random_time(rng, returns_at - 300_000, 500_000),
+                rng.choice([900_000, MAX_OUTAGE_US]),
+                *link,
+            )
         )
-    made.append(
+    faults.append(
         Fault(
-            chance.choice(["drain", "kill_endpoint"]),
-            _at(chance, back - 100_000, 600_000),
+            rng.choice(["drain", "kill_endpoint"]),
+            _random_time(rng, returns_at - 100_000, 600_000),
             500_000,
-            chance.choice(who["endpoint"]),
+            rng.choice(hosts["endpoint"]),
         )
     )
-    if chance.random() < 0.5:  # as it goes home, or as it comes up
-        made.append(
+    if rng.random() < 0.5:  # around the return of the slices, or of the pilot
+        faults.append(
             Fault(
                 "kill_store",
-                _at(chance, chance.choice([back - 400_000, at + away - 200_000]), 500_000),
+                _random_time(rng, rng.choice([returns_at - 400_000, begin + downtime - 200_000]), 500_000),
                 50_000,
             )
         )
-    return made
+    return faults
 
 
-def _list_anew(chance: random.Random, scenario: Scenario) -> list[Fault]:
-    """The list is told a good deal, begins anew, and tells something that matters."""
-    who, at = names(scenario), WARM_UP + chance.randrange(FAULTS_FOR // 3)
-    made = [
-        Fault("kill_endpoint", _at(chance, at, 1_500_000), 200_000, chance.choice(who["endpoint"]))
-        for _ in range(chance.randrange(2, 5))
+def _faults_at_list_restart(rng: random.Random, scenario: Scenario) -> list[Fault]:
+    """Endpoints change, the list restarts, and another endpoint changes."""
+    hosts, begin = hosts_by_kind(scenario), WARM_UP_US + rng.randrange(FAULT_WINDOW_US // 3)
+    faults = [
+        Fault("kill_endpoint", _random_time(rng, begin, 1_500_000), 200_000, rng.choice(hosts["endpoint"]))
+        for _ in range(rng.randrange(2, 5))
     ]
-    made.append(Fault("kill_list", at + 2_000_000, chance.choice([50_000, 900_000])))
-    made.append(
+    faults.append(Fault("kill_list", begin + 2_000_000, rng.choice([50_000, 900_000])))
+    faults.append(
         Fault(
-            chance.choice(["drain", "kill_endpoint"]),
-            at + 3_500_000,
-            OUTAGE_MOST,
-            chance.choice(who["endpoint"]),
+            rng.choice(["drain", "kill_endpoint"]),
+            begin + 3_500_000,
+            MAX_OUTAGE_US,
+            rng.choice(hosts["endpoint"]),
         )
     )
-    return made
+    return faults
 
 
-def _slow_store(chance: random.Random, scenario: Scenario) -> list[Fault]:
-    """Orders wait for their commit while proxies come and go."""
-    who, at = names(scenario), WARM_UP + chance.randrange(FAULTS_FOR // 2)
-    pilot = chance.choice(who["pilot"])
-    made = [
-        Fault(
-            chance.choice(["drain", "kill_endpoint"]), at + 200_000, 500_000, chance.choice(who["endpoint"])
-        )
+def _faults_with_slow_store(rng: random.Random, scenario: Scenario) -> list[Fault]:
+    """Orders wait for their commit while streams of proxies are reset."""
+    hosts, begin = hosts_by_kind(scenario), WARM_UP_US + rng.randrange(FAULT_WINDOW_US // 2)
+    pilot = rng.choice(hosts["pilot"])
+    faults = [
+        Fault(rng.choice(["drain", "kill_endpoint"]), begin + 200_000, 500_000, rng.choice(hosts["endpoint"]))
     ]
-    if chance.random() < 0.5:
-        made.append(Fault("slow", at, OUTAGE_MOST, *chance.choice([("store", pilot), (pilot, "store")])))
-    else:  # answers come all together, and one proxy hears of them late
-        made.append(Fault("cut", at + 150_000, 700_000, "store", pilot))
-        made.append(Fault("slow", at + 500_000, 900_000, pilot, chance.choice(who["proxy"])))
-    for _ in range(chance.randrange(1, 4)):
-        made.append(
-            Fault("reset", _at(chance, at + 200_000, 1_500_000), 0, chance.choice(who["proxy"]), pilot)
+    if rng.random() < 0.5:
+        faults.append(Fault("slow", begin, MAX_OUTAGE_US, *rng.choice([("store", pilot), (pilot, "store")])))
+    else:  # the answers arrive together, and one proxy is slow
+        faults.append(Fault("cut", begin + 150_000, 700_000, "store", pilot))
+        faults.append(Fault("slow", begin + 500_000, 900_000, pilot, rng.choice(hosts["proxy"])))
+    for _ in range(rng.randrange(1, 4)):
+        faults.append(
+            Fault(
+                "reset", _random_time(rng, begin + 200_000, 1_500_000), 0, rng.choice(hosts["proxy"]), pilot
+            )
         )
-    if chance.random() < 0.5:
-        made.append(Fault("ambush", at, 900_000, chance.choice(who["proxy"]), chance.choice(AMBUSHES)))
-    return made
+    if rng.random() < 0.5:
+        faults.append(Fault("ambush", begin, 900_000, rng.choice(hosts["proxy"]), rng.choice(AMBUSH_ACTIONS)))
+    return faults
 
 
 def with_faults(scenario: Scenario, faults: list[Fault]) -> Scenario:
-    """The same fleet under these faults, with time enough to recover."""
+    """Returns the scenario with these faults and time to recover from them."""
     ordered = tuple(sorted(faults, key=lambda fault: (fault.at, fault.kind, fault.who)))
-    last = max((fault.at + fault.span for fault in ordered), default=WARM_UP)
-    return msgspec.structs.replace(scenario, faults=ordered, length=last + REST)
+    last = max((fault.at + fault.span for fault in ordered), default=WARM_UP_US)
+    return msgspec.structs.replace(scenario, faults=ordered, length=last + RECOVERY_US)
 
 
-def altered(scenario: Scenario, chance: random.Random) -> Scenario:
-    """A neighbour: a fault more, less, or at another time; for a search that goes on from what reached something new."""
+def mutate(scenario: Scenario, rng: random.Random) -> Scenario:
+    """Returns a scenario with one fault added, removed or moved, and a new seed."""
     faults = list(scenario.faults)
-    step = chance.choice(["more", "more", "less", "move", "overlap"])
-    if step == "less" and len(faults) > 1:
-        faults.pop(chance.randrange(len(faults)))
-    elif step == "move" and faults:
-        at = chance.randrange(len(faults))
-        faults[at] = msgspec.structs.replace(faults[at], at=WARM_UP + chance.randrange(FAULTS_FOR))
-    elif step == "overlap" and faults and len(faults) < FAULTS_MOST:
-        near = chance.choice(faults)
-        made = draw_fault(chance, chance.choice(list(KINDS)), scenario)
+    change = rng.choice(["more", "more", "less", "move", "overlap"])
+    if change == "less" and len(faults) > 1:
+        faults.pop(rng.randrange(len(faults)))
+    elif change == "move" and faults:
+        index = rng.randrange(len(faults))
+        faults[index] = msgspec.structs.replace(faults[index], at=WARM_UP_US + rng.randrange(FAULT_WINDOW_US))
+    elif change == "overlap" and faults and len(faults) < MAX_FAULTS:
+        neighbour = rng.choice(faults)
+        added = generate_fault(rng, rng.choice(list(FAULT_KINDS)), scenario)
         faults.append(
-            msgspec.structs.replace(made, at=max(WARM_UP, near.at + chance.randrange(-100_000, 400_000)))
+            msgspec.structs.replace(
+                added, at=max(WARM_UP_US, neighbour.at + rng.randrange(-100_000, 400_000))
+            )
         )
     else:
-        if len(faults) >= FAULTS_MOST:
-            faults.pop(chance.randrange(len(faults)))
-        faults.append(draw_fault(chance, chance.choice(list(KINDS)), scenario))
-    return with_faults(msgspec.structs.replace(scenario, seed=chance.randrange(1 << 40)), faults)
+        if len(faults) >= MAX_FAULTS:
+            faults.pop(rng.randrange(len(faults)))
+        faults.append(generate_fault(rng, rng.choice(list(FAULT_KINDS)), scenario))
+    return with_faults(msgspec.structs.replace(scenario, seed=rng.randrange(1 << 40)), faults)
 
 
-def described(fault: Optional[Fault]) -> str:
+def describe(fault: Optional[Fault]) -> str:
     if fault is None:
         return "none"
     to = f" to {fault.to}" if fault.to else ""
--- a/cedarshift/sim/shrink.py
+++ b/cedarshift/sim/shrink.py
@@ -1,5 +1,8 @@
-"""A scenario that breaks something, cut down to what still breaks it: fewer faults (ddmin, Zeller and Hildebrandt, 2002), fewer programs, a
-plainer network, shorter faults."""
+"""Reduces a scenario that violates a check, while it still does.
+
+It removes faults (ddmin: Zeller and Hildebrandt, 2002) and programs, simplifies the network, and shortens
+faults.
+"""
 
 from __future__ import annotations
 
@@ -7,48 +10,51 @@
 
 import msgspec
 
-from cedarshift.sim.play import play
-from cedarshift.sim.scenario import Fault, Scenario, names, with_faults
+from cedarshift.sim.play import run_scenario
+from cedarshift.sim.scenario import Fault, Scenario, hosts_by_kind, with_faults
 
-TRIES_MOST = 300  # plays; some two minutes
+MAX_RUNS = 300  # runs of the scenario
 
 
 def shrink(
     scenario: Scenario,
-    what: str,
-    say: Callable[[str], None] = lambda text: None,
-    tries_most: int = TRIES_MOST,
+    check: str,
+    progress: Callable[[str], None] = lambda text: None,
+    max_runs: int = MAX_RUNS,
 ) -> Scenario:
-    """The smallest that was found and still breaks `what`; the scenario itself where nothing smaller does."""
-    left = tries_most
+    """Returns the smallest scenario found that still violates the check; the given one if none is smaller."""
+    remaining_runs = max_runs
 
-    def breaks(one: Scenario) -> bool:
-        nonlocal left
-        left -= 1
-        return left >= 0 and any(broken.what == what for broken in play(one).broken)
+    def is_violating(candidate: Scenario) -> bool:
+        nonlocal remaining_runs
+        remaining_runs -= 1
+        return remaining_runs >= 0 and any(
+            violation.check == check for violation in run_scenario(candidate).violations
+        )
 
-    best = _fewer_faults(scenario, breaks)
+    best = _fewer_faults(scenario, is_violating)
     changed = True
-    while changed and left > 0:
+    while changed and remaining_runs > 0:
         changed = False
-        for smaller in _plainer(best):
-            if left > 0 and breaks(smaller):
+        for smaller in _simplifications(best):
+            if remaining_runs > 0 and is_violating(smaller):
                 best, changed = smaller, True
-                say(
-                    f"{len(best.faults)} faults, {best.pilots} pilots, {best.proxies} proxies, {best.endpoints} endpoints, {best.slices} slices"
+                progress(
+                    f"{len(best.faults)} faults, {best.pilots} pilots, {best.proxies} proxies, "
+                    f"{best.endpoints} endpoints, {best.slices} slices"
                 )
                 break
-    return _fewer_faults(best, breaks)
+    return _fewer_faults(best, is_violating)
 
 
-def _fewer_faults(scenario: Scenario, breaks: Callable[[Scenario], bool]) -> Scenario:
+def _fewer_faults(scenario: Scenario, is_violating: Callable[[Scenario], bool]) -> Scenario:
     best, parts = scenario, 2
     while len(best.faults) > 1:
         faults = list(best.faults)
         size = max(1, len(faults) // parts)
-        for at in range(0, len(faults), size):
-            smaller = with_faults(best, faults[:at] + faults[at + size :])
-            if breaks(smaller):
+        for index in range(0, len(faults), size):
+            smaller = with_faults(best, faults[:index] + faults[index + size :])
+            if is_violating(smaller):
                 best, parts = smaller, max(2, parts - 1)
                 break
         else:
@@ -58,34 +64,38 @@
     return best
 
 
-def _plainer(scenario: Scenario) -> Iterator[Scenario]:
-    """Single steps towards a plainer run."""
+def _simplifications(scenario: Scenario) -> Iterator[Scenario]:
+    """Yields scenarios that are one step simpler."""
     change = msgspec.structs.replace
-    for field, least in (("pilots", 1), ("proxies", 1), ("endpoints", 2)):
+    for field, minimum in (("pilots", 1), ("proxies", 1), ("endpoints", 2)):
         count = getattr(scenario, field)
-        if count > least:
+        if count > minimum:
             smaller = change(scenario, **{field: count - 1})
-            there = {name for some in names(smaller).values() for name in some} | {"store", "list", ""}
+            present = {name for some in hosts_by_kind(smaller).values() for name in some} | {
+                "store",
+                "list",
+                "",
+            }
             if all(
-                fault.who in there and (fault.to in there or fault.kind == "ambush")
+                fault.who in present and (fault.to in present or fault.kind == "ambush")
                 for fault in scenario.faults
             ):
                 yield smaller
     if scenario.slices > 1:
         yield change(scenario, slices=scenario.slices // 2)
         yield change(scenario, slices=scenario.slices - 1)
-    plainer: tuple[dict[str, Any], ...] = (
+    simpler_values: tuple[dict[str, Any], ...] = (
         {"rates": {}, "offsets": {}},
         {"chunks": 1},
         {"delay_most": 300},
         {"reserve": 0},
         {"ages": True},
     )
-    for plain in plainer:
-        if any(getattr(scenario, field) != value for field, value in plain.items()):
-            yield change(scenario, **plain)
-    for at, fault in enumerate(scenario.faults):
+    for values in simpler_values:
+        if any(getattr(scenario, field) != value for field, value in values.items()):
+            yield change(scenario, **values)
+    for index, fault in enumerate(scenario.faults):
         if fault.span > 50_000:
             faults: list[Fault] = list(scenario.faults)
-            faults[at] = change(fault, span=fault.span // 2)
+            faults[index] = change(fault, span=fault.span // 2)
             yield with_faults(scenario, faults)
--- a/cedarshift/sim/stage.py
+++ b/cedarshift/sim/stage.py
@@ -1,4 +1,4 @@
-"""A scenario on its stage: the store, pilots, list and proxies as hosts of one world, what befalls them, and where all of it is noted."""
+"""The simulated system of a scenario: store, pilots, list and proxies as hosts of one world, and faults."""
 
 from __future__ import annotations
 
@@ -25,32 +25,33 @@
 from cedarshift.loop.world import Host, World
 from cedarshift.pilot import PilotService
 from cedarshift.rehearsal.evidence import Limits, Row
-from cedarshift.sim.actors import OP_TYPES, Notes, SimEndpoint, SimProxy
+from cedarshift.sim.actors import OP_TYPES, MemoryRecorder, SimEndpoint, SimProxy
 from cedarshift.sim.disk import Disk, SimLedger
-from cedarshift.sim.scenario import SECOND, Fault, Scenario
+from cedarshift.sim.scenario import US_PER_SECOND, Fault, Scenario
 from cedarshift.standins.lists import ListPlan, ListService
 from cedarshift.store.ledger import DamagedLedgerError
 from cedarshift.store.service import StoreService
 
-# The deployment: unit, then the reason for the size. All spans are short, so that many hand-overs fit a run.
-LEASE = 400_000  # us; of proxies
-IN_FLIGHT = 500_000  # us; the longest op timeout and some room
-SESSION = 800_000  # us; the store's
-TAKEOVER = 200_000  # us
-BACK_AFTER = 700_000  # us
-GRACE = 4_000_000  # us; a hand-over takes lease + in flight, and a channel's turn
-EMPTY_FOR = 6_000_000  # us
-WARM = 2_000_000  # us
-OP_DELAY = 2_000  # us that an op's message takes at most, one way, usually
-SLOW_DELAY = 350_000  # us, of some: up to the op timeout and beyond
-SLOW_PART = 0.03  # of ops that are slow on a sound link
-SLOW_LINK_PART = 0.3  # while a link is slow
-LINES_WAITING = 2_000.0
-AMBUSH_FOR = 2_500_000  # us that one lies in wait; the run's rest begins after it
+# All durations are short, so that many hand-overs fit into a run.
+LEASE_US = 400_000  # of proxies
+IN_FLIGHT_US = 500_000  # longer than any op timeout
+SESSION_US = 800_000  # session lease of the store
+TAKEOVER_US = 200_000
+BACK_AFTER_US = 700_000
+DRAIN_GRACE_US = 4_000_000  # allows for the lease, ops in flight, and the channel
+EMPTY_FOR_US = 6_000_000
+WARM_UP_US = 2_000_000
+MAX_OP_DELAY_US = 2_000  # one way
+MAX_SLOW_OP_DELAY_US = 350_000  # both ways together may exceed the op timeout
+SLOW_SHARE = 0.03  # of ops, on an undisturbed link
+SLOW_LINK_SHARE = 0.3  # of ops, while a link is slow
+MAX_WAITING_LINES = 2_000.0
+AMBUSH_TIMEOUT_US = 2_500_000  # untriggered ambushes expire
 STORE, LIST, OPS = ("10.0.0.1", 1), ("10.0.0.2", 1), "ops"
 
 
 def deployment_of(scenario: Scenario) -> Deployment:
+    """Returns the deployment that the programs of a scenario run with."""
     ops = tuple(
         ServedOp(name, 200_000, timeout, 1.0, 0.0, "once-only" if writes else "retryable", writes, False)
         for name, writes, timeout in OP_TYPES
@@ -69,75 +70,75 @@
         b"",
         ops,
         pilots,
-        StorePlace(STORE, "store", False, SESSION, TAKEOVER, BACK_AFTER),
+        StorePlace(STORE, "store", False, SESSION_US, TAKEOVER_US, BACK_AFTER_US),
         ListSource(LIST, "", "", 250_000, False, True),
-        Channel(3_000.0, LINES_WAITING, 16.0, 0, 10 * SECOND, 100_000),
-        ProxyTerms(LEASE, IN_FLIGHT, 100_000, 100_000, 500_000, 20, 0, 0, 2 * SECOND),
-        Guarantees(EMPTY_FOR, GRACE, 10 * SECOND, WARM, 0.3, 3.0, 500_000),
+        Channel(3_000.0, MAX_WAITING_LINES, 16.0, 0, 10 * US_PER_SECOND, 100_000),
+        ProxyTerms(LEASE_US, IN_FLIGHT_US, 100_000, 100_000, 500_000, 20, 0, 0, 2 * US_PER_SECOND),
+        Guarantees(EMPTY_FOR_US, DRAIN_GRACE_US, 10 * US_PER_SECOND, WARM_UP_US, 0.3, 3.0, 500_000),
     )
 
 
-class Stage:
-    """`note` hears of faults and of what programs report, for a timeline."""
+class Simulation:
+    """The hosts and services of a run. `on_event(time, host, event, fields)` is called for each event."""
 
     def __init__(
-        self, scenario: Scenario, note: Optional[Callable[[int, str, str, dict[str, Any]], None]] = None
+        self, scenario: Scenario, on_event: Optional[Callable[[int, str, str, dict[str, Any]], None]] = None
     ) -> None:
         self.scenario = scenario
-        self.note = note or (lambda at, who, event, fields: None)
-        self.chance = random.Random(f"stage {scenario.seed}")
-        self.world = World(scenario.seed, lambda chance: 50 + chance.randrange(scenario.delay_most))
+        self.on_event = on_event or (lambda at, who, event, fields: None)
+        self.rng = random.Random(f"stage {scenario.seed}")
+        self.world = World(scenario.seed, lambda rng: 50 + rng.randrange(scenario.delay_most))
         if scenario.chunks > 1:
-            self.world.network.pieces = self._pieces
+            self.world.network.pieces = self._split_randomly
         self.deployment = deployment_of(scenario)
         self.rows: list[Row] = []
         self.hosts: dict[str, Host] = {}
         self.services: dict[str, Any] = {}
-        self.lives: dict[str, int] = {}
+        self.incarnations: dict[str, int] = {}
         self.disk = Disk(random.Random(f"disk {scenario.seed}"))
         self.owners: dict[int, list[tuple[int, str]]] = {}
         self.hindered: list[tuple[int, int]] = []
-        self.failed: list[str] = []  # tasks that ended with an error, and programs that would not start
-        self.slow_ops_until = 0  # a link is slow: ops' messages are too
-        self.begun = 0
+        self.failures: list[str] = []  # errors of failed tasks
+        self.slow_ops_until = 0  # while a link is slow, more ops are slow
+        self.started_at = 0
         self.ambushes: list[Fault] = []
-        self.active: dict[str, int] = {}  # kinds of faults under way, for coverage
+        self.active: dict[str, int] = {}  # number of active faults by kind, for coverage
         self.reached: set[tuple] = set()
         count = scenario.endpoints + scenario.reserve
-        self.ends = {
+        self.endpoints = {
             f"e{n}": SimEndpoint(self.world, f"e{n}", self.rows, random.Random(f"e{n} {scenario.seed}"))
             for n in range(count)
         }
         self.entries: dict[str, dict[str, Any]] = {}
         self.dropped: set[str] = set()
-        self.director = self.world.host("director")
+        self.control_host = self.world.host("director")
         self.limits = Limits(
-            EMPTY_FOR,
-            GRACE,
-            WARM,
-            LINES_WAITING,
+            EMPTY_FOR_US,
+            DRAIN_GRACE_US,
+            WARM_UP_US,
+            MAX_WAITING_LINES,
             16.0,
             0,
-            10 * SECOND,
+            10 * US_PER_SECOND,
             frozenset(name for name, writes, _ in OP_TYPES if writes),
         )
 
-    def _pieces(self, data: bytes) -> list[bytes]:
-        """Cut at any byte."""
+    def _split_randomly(self, data: bytes) -> list[bytes]:
+        """Splits a stream write at random bytes."""
         cuts = sorted(
-            self.chance.randrange(len(data) + 1) for _ in range(self.chance.randrange(self.scenario.chunks))
+            self.rng.randrange(len(data) + 1) for _ in range(self.rng.randrange(self.scenario.chunks))
         )
         return [piece for a, b in zip([0, *cuts], [*cuts, len(data)]) if (piece := data[a:b])]
 
     # ---- programs
 
-    def _host(self, name: str) -> Host:
-        self.lives[name] = self.lives.get(name, 0) + 1
+    def _new_host(self, name: str) -> Host:
+        self.incarnations[name] = self.incarnations.get(name, 0) + 1
 
         def report(event: str, **fields: Any) -> None:
             if event == "task_failed":
-                self.failed.append(f"{name}: {fields.get('error')}\n{fields.get('traceback', '')}")
-            self.note(self.world.clock.time, name, event, fields)
+                self.failures.append(f"{name}: {fields.get('error')}\n{fields.get('traceback', '')}")
+            self.on_event(self.world.clock.time, name, event, fields)
 
         host = self.world.host(
             name, report, self.scenario.rates.get(name, 1.0), self.scenario.offsets.get(name, 0)
@@ -145,34 +146,34 @@
         self.hosts[name] = host
         return host
 
-    def _chance(self, name: str) -> random.Random:
-        return random.Random(f"{self.scenario.seed} {name} {self.lives[name]}")
+    def _rng(self, name: str) -> random.Random:
+        return random.Random(f"{self.scenario.seed} {name} {self.incarnations[name]}")
 
     def start(self, name: str) -> None:
         if name in self.hosts and self.hosts[name].alive:
             return
-        host = self._host(name)
+        host = self._new_host(name)
         if name == "store":
             self._start_store(host)
         elif name == "list":
             self._start_list(host)
         elif name[0] == "p":
-            chance = self._chance(name)
+            rng = self._rng(name)
             self.services[name] = PilotService(
                 host.loop,
                 listen(host.loop, self.deployment.pilot(name).listen),
                 self.deployment,
                 name,
-                chance.getrandbits(64),
+                rng.getrandbits(64),
                 host.loop.report,
-                lambda: chance.randbytes(16),
+                lambda: rng.randbytes(16),
             )
         else:
             plan = {
                 "slices": self.scenario.slices,
                 "rate": self.scenario.rate,
                 "buffer_for": 100_000,
-                "lease": LEASE,
+                "lease": LEASE_US,
                 "pilots": {p.name: p.listen for p in self.deployment.pilots},
                 "store": STORE,
             }
@@ -182,53 +183,53 @@
                 name,
                 plan,
                 self.rows,
-                f"{self.scenario.seed} {name} {self.lives[name]}",
+                f"{self.scenario.seed} {name} {self.incarnations[name]}",
                 self.send,
             )
 
     def _start_store(self, host: Host) -> None:
         try:
             ledger = SimLedger(self.disk, self.scenario.slices)
-            badge, chance = Badge("sim", "store", "store", "", b""), self._chance("store")
+            badge, rng = Badge("sim", "store", "store", "", b""), self._rng("store")
             self.services["store"] = StoreService(
                 host.loop,
                 listen(host.loop, STORE),
                 ledger,  # type: ignore[arg-type]
                 badge,
                 [p.name for p in self.deployment.pilots],
-                SESSION,
-                TAKEOVER,
-                BACK_AFTER,
-                lambda: chance.randbytes(16),
+                SESSION_US,
+                TAKEOVER_US,
+                BACK_AFTER_US,
+                lambda: rng.randbytes(16),
             )
-            self._see_owners(self.services["store"].assignment)
-        except (DamagedLedgerError, sqlite3.Error) as error:  # refused by name: nothing of it is served
-            self.note(self.world.clock.time, "store", "damaged", {"error": str(error)})
+            self._wrap_owner_writes(self.services["store"].assignment)
+        except (DamagedLedgerError, sqlite3.Error) as error:  # the store does not start
+            self.on_event(self.world.clock.time, "store", "damaged", {"error": str(error)})
             host.end()
 
-    def _see_owners(self, charge: Charge) -> None:
-        """Each order that the store takes tells who owns a slice from now on: grants that every proxy slept through are seen too."""
-        write = charge.write
+    def _wrap_owner_writes(self, assignment: Charge) -> None:
+        """Wraps the store's writes, to record owners that no proxy may learn of and to trigger ambushes."""
+        write = assignment.write
 
-        def seen(slice_id: int, owner: Optional[str], levels: Optional[list[Any]]) -> Any:
+        def write_and_record(slice_id: int, owner: Optional[str], levels: Optional[list[Any]]) -> Any:
             if owner == "" or levels:
-                self._spring(charge.rows[slice_id].pilot)
+                self._trigger_ambush(assignment.rows[slice_id].pilot)
             owners = self.owners.setdefault(slice_id, [])
             if owner and (not owners or owners[-1][1] != owner):
                 owners.append((self.world.clock.time, owner))
             return write(slice_id, owner, levels)
 
-        charge.write = seen  # type: ignore[method-assign]
+        assignment.write = write_and_record  # type: ignore[method-assign]
 
     def _start_list(self, host: Host) -> None:
-        notes = Notes(self.world, "list", self.rows)
-        service = ListService(host.loop, ListPlan(LIST, self.scenario.ages), notes)  # type: ignore[arg-type]
-        service.name = f"sim#{self.lives['list']}"
+        recorder = MemoryRecorder(self.world, "list", self.rows)
+        service = ListService(host.loop, ListPlan(LIST, self.scenario.ages), recorder)  # type: ignore[arg-type]
+        service.name = f"sim#{self.incarnations['list']}"
         self.services["list"] = service
-        self._tell_list([entry for name, entry in sorted(self.entries.items()) if name not in self.dropped])
+        self._update_list([entry for name, entry in sorted(self.entries.items()) if name not in self.dropped])
 
     def end(self, name: str) -> None:
-        """kill -9; the store's machine loses power besides."""
+        """Kills a program; the store's machine also loses power."""
         host = self.hosts.get(name)
         if host is not None and host.alive:
             host.end()
@@ -236,7 +237,7 @@
                 self.disk.power_cut()
 
     def _watch_store(self) -> None:
-        """A store that can't write ends, as the daemon does: its memory is ahead of its disk."""
+        """Ends the store if one of its tasks has failed, as the daemon does."""
         host, service = self.hosts.get("store"), self.services.get("store")
         if (
             host is not None
@@ -244,7 +245,7 @@
             and host.alive
             and any(task.done for task in service.tasks)
         ):
-            self.failed = [one for one in self.failed if "OperationalError" not in one]
+            self.failures = [error for error in self.failures if "OperationalError" not in error]
             self.end("store")
 
     # ---- the data plane
@@ -254,52 +255,56 @@
         proxy: SimProxy,
         op: str,
         pick: Any,
-        number: int,
-        kind: int,
-        until: int,
-        answered: Callable[[bool], None],
+        slice_id: int,
+        op_type: int,
+        deadline: int,
+        on_answer: Callable[[bool], None],
     ) -> None:
-        slow = self.chance.random() < (
-            SLOW_LINK_PART if self.world.clock.time < self.slow_ops_until else SLOW_PART
+        slow = self.rng.random() < (
+            SLOW_LINK_SHARE if self.world.clock.time < self.slow_ops_until else SLOW_SHARE
         )
-        there, back = (50 + self.chance.randrange(SLOW_DELAY if slow else OP_DELAY) for _ in range(2))
-        end = self.ends[pick.endpoint]
+        outbound_delay, inbound_delay = (
+            50 + self.rng.randrange(MAX_SLOW_OP_DELAY_US if slow else MAX_OP_DELAY_US) for _ in range(2)
+        )
+        endpoint = self.endpoints[pick.endpoint]
 
         def answer(acked: bool) -> None:
-            self.world.network.later(back, partial(answered, acked))
+            self.world.network.later(inbound_delay, partial(on_answer, acked))
 
-        self.world.network.later(there, partial(end.take, op, number, kind, proxy.name, until, answer))
+        self.world.network.later(
+            outbound_delay, partial(endpoint.receive, op, slice_id, op_type, proxy.name, deadline, answer)
+        )
 
-    # ---- the list
+    # ---- the endpoint list
 
     def list_endpoint(self, name: str, phase: str) -> None:
-        end = self.ends[name]
+        endpoint = self.endpoints[name]
         self.entries[name] = {
             "endpoint": name,
             "phase": phase,
             "size": 1.0,
             "zone": "",
-            "start": str(end.starts),
-            "born_us": end.born,
+            "start": str(endpoint.starts),
+            "born_us": endpoint.started_at,
         }
         if name not in self.dropped:
-            self._tell_list([self.entries[name]])
+            self._update_list([self.entries[name]])
 
-    def _tell_list(self, entries: list[dict[str, Any]]) -> None:
+    def _update_list(self, entries: list[dict[str, Any]]) -> None:
         host = self.hosts.get("list")
         if host is not None and host.alive:
             clock = host.clock
             shift = clock.now() - self.world.clock.time
-            told = [{**entry, "born_us": entry["born_us"] + shift} for entry in entries]
-            self.services["list"]._control({"entries": told})
+            shifted_entries = [{**entry, "born_us": entry["born_us"] + shift} for entry in entries]
+            self.services["list"]._control({"entries": shifted_entries})
             self.world.rouse(host)
 
     # ---- the run
 
-    def raise_curtain(self) -> None:
-        for number, name in enumerate(self.ends):
-            if number < self.scenario.endpoints:
-                self.ends[name].start(True)
+    def start_all(self) -> None:
+        for index, name in enumerate(self.endpoints):
+            if index < self.scenario.endpoints:
+                self.endpoints[name].start(True)
                 self.list_endpoint(name, "on")
         for name in [
             "store",
@@ -309,30 +314,32 @@
         ]:
             self.start(name)
 
-    def direct(self) -> Coroutine:
-        """The main task: faults as they come, then rest."""
-        begin = self.begun = self.world.clock.time
-        self.raise_curtain()
+    def run_main(self) -> Coroutine:
+        """The main task: starts all programs, schedules the faults and waits for the end of the run."""
+        begin = self.started_at = self.world.clock.time
+        self.start_all()
         for number, fault in enumerate(self.scenario.faults):
-            self.director.loop.at(begin + fault.at, self._begin, fault)
-        yield from self.director.loop.sleep(self.scenario.length)
+            self.control_host.loop.at(begin + fault.at, self._inject, fault)
+        yield from self.control_host.loop.sleep(self.scenario.length)
 
-    def _begin(self, fault: Fault) -> None:
+    def _inject(self, fault: Fault) -> None:
         now = self.world.clock.time
-        self.note(now, "director", fault.kind, {"who": fault.who, "to": fault.to, "span_s": fault.span / 1e6})
+        self.on_event(
+            now, "director", fault.kind, {"who": fault.who, "to": fault.to, "span_s": fault.span / 1e6}
+        )
         self.hindered.append((now, now + fault.span + 2_000_000))
         self.active[fault.kind] = self.active.get(fault.kind, 0) + 1
-        self._reach(fault.kind)
-        self.director.loop.at(now + fault.span + 500_000, self._over, fault.kind)
+        self._record_coverage(fault.kind)
+        self.control_host.loop.at(now + fault.span + 500_000, self._end_fault, fault.kind)
         getattr(self, f"_{fault.kind}")(fault)
 
-    def _over(self, kind: str) -> None:
+    def _end_fault(self, kind: str) -> None:
         self.active[kind] -= 1
         if not self.active[kind]:
             del self.active[kind]
 
-    def _reach(self, kind: str) -> None:
-        """What the fault met: the states of slices at each pilot, and other faults under way."""
+    def _record_coverage(self, kind: str) -> None:
+        """Records coverage: the fault with the states of slices and the other active faults."""
         states = {
             s.state
             for name, one in self.services.items()
@@ -345,26 +352,26 @@
             (*sorted((kind, other)), state) for other in self.active if other != kind for state in states
         )
 
-    def _after(self, span: int, call: Callable[..., None], *args: Any) -> None:
-        self.director.loop.at(self.world.clock.time + span, call, *args)
-        self.world.rouse(self.director)  # an ambush sets this from another host's step
+    def _schedule(self, span: int, call: Callable[..., None], *args: Any) -> None:
+        self.control_host.loop.at(self.world.clock.time + span, call, *args)
+        self.world.rouse(self.control_host)  # may be called in a step of another host
 
     # ---- faults
 
     def _kill_pilot(self, fault: Fault) -> None:
         self.end(fault.who)
-        self._after(fault.span, self.start, fault.who)
+        self._schedule(fault.span, self.start, fault.who)
 
     _kill_proxy = _kill_pilot
 
     def _stop_pilot(self, fault: Fault) -> None:
-        """SIGTERM: slices are given back, last words are sent."""
+        """Stops a pilot as SIGTERM does: it releases its slices."""
         host = self.hosts[fault.who]
         if host.alive and not host.paused:
             self.services[fault.who].stop()
             host.loop.at(host.loop.now() + 50_000, host.loop.stop)
             self.world.rouse(host)
-        self._after(fault.span + 60_000, self._restart, fault.who)
+        self._schedule(fault.span + 60_000, self._restart, fault.who)
 
     def _restart(self, name: str) -> None:
         self.end(name)
@@ -373,7 +380,7 @@
     def _pause(self, name: str, span: int) -> None:
         host = self.hosts[name]
         host.pause()
-        self._after(span, host.resume)
+        self._schedule(span, host.resume)
 
     def _pause_pilot(self, fault: Fault) -> None:
         self._pause(fault.who, fault.span)
@@ -385,24 +392,24 @@
 
     def _kill_store(self, fault: Fault) -> None:
         self.end("store")
-        self._after(fault.span, self.start, "store")
+        self._schedule(fault.span, self.start, "store")
 
     def _lying_disk(self, fault: Fault) -> None:
-        self.disk.lies = True
+        self.disk.loses_last_sync = True
         self._kill_store(fault)
 
     def _full_disk(self, fault: Fault) -> None:
         self.disk.full = True
-        self._after(fault.span, self._roomy)
+        self._schedule(fault.span, self._free_disk)
 
-    def _roomy(self) -> None:
+    def _free_disk(self) -> None:
         self.disk.full = False
         self._watch_store()
         self.start("store")
 
     def _kill_list(self, fault: Fault) -> None:
         self.end("list")
-        self._after(fault.span, self.start, "list")
+        self._schedule(fault.span, self.start, "list")
 
     def _list_dark(self, fault: Fault) -> None:
         host = self.hosts["list"]
@@ -410,112 +417,114 @@
             self.services["list"]._control({"mode": "unreachable", "for_s": fault.span / 1e6})
             self.world.rouse(host)
 
-    def _ways(self, fault: Fault, way: Way) -> None:
-        self.world.network.set_way(fault.who, fault.to, way)
-        self._after(fault.span, self.world.network.set_way, fault.who, fault.to, None)
+    def _set_link_for_fault(self, fault: Fault, conditions: Way) -> None:
+        self.world.network.set_way(fault.who, fault.to, conditions)
+        self._schedule(fault.span, self.world.network.set_way, fault.who, fault.to, None)
 
     def _cut(self, fault: Fault) -> None:
-        """One way only."""
-        self._ways(fault, Way(cut=True))
+        """Cuts one direction of a link."""
+        self._set_link_for_fault(fault, Way(cut=True))
 
     def _slow(self, fault: Fault) -> None:
-        self._ways(fault, Way(delay=20_000 + self.chance.randrange(180_000)))
+        self._set_link_for_fault(fault, Way(delay=20_000 + self.rng.randrange(180_000)))
         self.slow_ops_until = self.world.clock.time + fault.span
 
     def _lossy(self, fault: Fault) -> None:
-        self._ways(fault, Way(loss=0.4))
+        self._set_link_for_fault(fault, Way(loss=0.4))
 
     def _reset(self, fault: Fault) -> None:
-        """Streams between the two break; what was on its way is lost, in the middle of a frame or not."""
+        """Breaks the streams between two hosts; data in transit is lost, also within a frame."""
         host = self.hosts[fault.who]
         for pipe in list(host.pipes):
             if pipe.peer is not None and getattr(pipe.peer.owner, "name", "") == fault.to and not pipe.closed:
                 pipe.cut()
 
     def _drain(self, fault: Fault) -> None:
-        """The list says that it drains, later that it is gone; another comes in cold, one that was never listed if there is one."""
+        """Drains an endpoint, removes it after the grace, and starts a replacement or the same one again."""
         if (
-            not self.ends[fault.who].alive
+            not self.endpoints[fault.who].alive
             or sum(entry["phase"] == "on" for entry in self.entries.values()) < 2
         ):
             return
         self.list_endpoint(fault.who, "fading")
-        fresh = next((name for name, end in self.ends.items() if not end.starts), None)
-        if fresh is not None:
-            self._after(200_000, self._up, fresh)
-        self._after(fault.span + GRACE, self._leave, fault.who, fresh is None)
+        replacement = next((name for name, endpoint in self.endpoints.items() if not endpoint.starts), None)
+        if replacement is not None:
+            self._schedule(200_000, self._bring_up, replacement)
+        self._schedule(fault.span + DRAIN_GRACE_US, self._leave, fault.who, replacement is None)
 
-    def _leave(self, name: str, again: bool) -> None:
-        self.ends[name].kill()
+    def _leave(self, name: str, restart: bool) -> None:
+        self.endpoints[name].kill()
         self.list_endpoint(name, "off")
-        if again:
-            self._after(100_000, self._up, name)
+        if restart:
+            self._schedule(100_000, self._bring_up, name)
 
-    def _up(self, name: str) -> None:
-        if not self.ends[name].alive:
-            self.ends[name].start(False)
+    def _bring_up(self, name: str) -> None:
+        if not self.endpoints[name].alive:
+            self.endpoints[name].start(False)
         self.list_endpoint(name, "on")
 
     def _kill_endpoint(self, fault: Fault) -> None:
-        end = self.ends[fault.who]
-        if end.alive and self.entries[fault.who]["phase"] == "on":
-            end.kill()
-            self._after(min(300_000, fault.span), self._dead, fault.who)
-            self._after(fault.span + 10_000, self._up, fault.who)
-
-    def _dead(self, name: str) -> None:
-        if not self.ends[name].alive:
+        endpoint = self.endpoints[fault.who]
+        if endpoint.alive and self.entries[fault.who]["phase"] == "on":
+            endpoint.kill()
+            self._schedule(min(300_000, fault.span), self._list_as_dead, fault.who)
+            self._schedule(fault.span + 10_000, self._bring_up, fault.who)
+
+    def _list_as_dead(self, name: str) -> None:
+        if not self.endpoints[name].alive:
             self.list_endpoint(name, "off")
 
     def _hang(self, fault: Fault) -> None:
-        self.ends[fault.who].hung_until = self.world.clock.time + fault.span
+        self.endpoints[fault.who].hung_until = self.world.clock.time + fault.span
 
     def _drop_listed(self, fault: Fault) -> None:
-        """The list calls a running endpoint gone, for a while."""
+        """Lists a running endpoint as gone for the duration."""
         entry = self.entries[fault.who]
         if (
             entry["phase"] == "on"
-            and sum(one["phase"] == "on" for one in self.entries.values()) > 1
+            and sum(other["phase"] == "on" for other in self.entries.values()) > 1
             and fault.who not in self.dropped
         ):
-            self._tell_list([{**entry, "phase": "off"}])
+            self._update_list([{**entry, "phase": "off"}])
             self.dropped.add(fault.who)
-            self._after(fault.span, self._listed_again, fault.who)
+            self._schedule(fault.span, self._listed_again, fault.who)
 
     def _listed_again(self, name: str) -> None:
         self.dropped.discard(name)
-        self._tell_list([self.entries[name]])
+        self._update_list([self.entries[name]])
 
     def _ambush(self, fault: Fault) -> None:
         self.ambushes.append(fault)
 
-    def _spring(self, pilot: str) -> None:
-        """An order of this pilot's is being committed; it has not left for any proxy."""
+    def _trigger_ambush(self, pilot: str) -> None:
+        """Injects the next ambush while an order of this pilot is committed, before a proxy receives it."""
         if not self.ambushes or not pilot:
             return
         fault, now = self.ambushes.pop(0), self.world.clock.time
-        if now > self.begun + fault.at + AMBUSH_FOR:
-            return  # too late to leave time for what follows
+        if now > self.started_at + fault.at + AMBUSH_TIMEOUT_US:
+            return  # expired: no time would be left to recover
         who = {"proxy": fault.who, "pilot": pilot, "store": "store"}
         self.hindered.append((now, now + fault.span + 2_000_000))
-        kind, _, way = fault.to.partition(" ")
-        self.note(now, "director", "sprung", {"what": fault.to, "pilot": pilot, "proxy": fault.who})
-        if kind == "sever":  # the stream breaks, and neither way is there another
+        kind, _, direction = fault.to.partition(" ")
+        self.on_event(now, "director", "sprung", {"what": fault.to, "pilot": pilot, "proxy": fault.who})
+        if kind == "sever":  # breaks the stream and cuts both directions
             self._reset(Fault("reset", fault.at, 0, fault.who, pilot))
             self._cut(Fault("cut", fault.at, fault.span, fault.who, pilot))
-            sprung = Fault("cut", fault.at, fault.span, pilot, fault.who)
+            triggered = Fault("cut", fault.at, fault.span, pilot, fault.who)
         elif kind == "cut":
-            ends = {"there": (pilot, fault.who), "back": (fault.who, pilot), "store": ("store", pilot)}[way]
-            sprung = Fault("cut", fault.at, fault.span, *ends)
+            link = {"there": (pilot, fault.who), "back": (fault.who, pilot), "store": ("store", pilot)}[
+                direction
+            ]
+            triggered = Fault("cut", fault.at, fault.span, *link)
         else:
-            sprung = Fault(kind, fault.at, fault.span, who[kind.split("_")[1]])
-        # Within the time that the commit's answer takes, or an order after it.
+            triggered = Fault(kind, fault.at, fault.span, who[kind.split("_")[1]])
+        # While the commit's answer or the order is on its way.
         self.world.network.later(
-            self.chance.choice([0, 100, 2_000]), partial(getattr(self, f"_{sprung.kind}"), sprung)
+            self.rng.choice([0, 100, 2_000]), partial(getattr(self, f"_{triggered.kind}"), triggered)
         )
 
     def _two_at_once(self, fault: Fault) -> None:
-        """Two deaths in one tick."""
+        """Kills two programs at the same time."""
         for name in (fault.who, fault.to):
             kind = "kill_endpoint" if name[0] == "e" else "kill_store" if name == "store" else "kill_pilot"
             getattr(self, f"_{kind}")(Fault(kind, fault.at, fault.span, name))
--- a/cedarshift/sim/trace.py
+++ b/cedarshift/sim/trace.py
@@ -1,31 +1,36 @@
-"""What happened in a run, for people: a lane a program, as text and as a plot."""
+"""The events of a run as text or as a plot, with one lane per program."""
 
 from __future__ import annotations
 
 from typing import Any, NamedTuple
 
-from cedarshift.sim.play import Played, play
-from cedarshift.sim.scenario import Scenario, described
+from cedarshift.sim.play import RunResult, run_scenario
+from cedarshift.sim.scenario import Scenario, describe
 
-WIDTH = 46  # characters of what is told of an event
-QUIET = ("list", "share", "budget_right")  # events that come often and tell little of order
+MAX_EVENT_CHARS = 46  # of an event and its fields, beyond the text's fixed part
+HIDDEN_EVENTS = ("list", "share", "budget_right")  # frequent events that are left out
 
 
 class Event(NamedTuple):
+    """An event of a host, at a time in us."""
+
     at: int
     who: str
-    what: str
+    name: str
     fields: dict[str, Any]
 
 
-def traced(scenario: Scenario) -> tuple[Played, list[Event]]:
+def record_trace(scenario: Scenario) -> tuple[RunResult, list[Event]]:
+    """Runs a scenario and returns its result and events."""
     events: list[Event] = []
-    played = play(scenario, lambda at, who, what, fields: events.append(Event(at, who, what, fields)))
-    return played, events
+    result = run_scenario(
+        scenario, lambda at, who, event, fields: events.append(Event(at, who, event, fields))
+    )
+    return result, events
 
 
-def as_text(scenario: Scenario, played: Played, events: list[Event]) -> str:
-    """A column a program; what befell the fleet stands on the left."""
+def as_text(scenario: Scenario, result: RunResult, events: list[Event]) -> str:
+    """Formats the events with one column per program; faults are in the first column."""
     lanes = [
         "director",
         "store",
@@ -33,29 +38,35 @@
         *(f"p{n}" for n in range(scenario.pilots)),
         *(f"x{n}" for n in range(scenario.proxies)),
     ]
-    out = [
-        f"{scenario.pilots} pilots, {scenario.proxies} proxies, {scenario.endpoints} endpoints, {scenario.slices} slices; digest {played.digest}"
+    lines = [
+        f"{scenario.pilots} pilots, {scenario.proxies} proxies, {scenario.endpoints} endpoints, "
+        f"{scenario.slices} slices; digest {result.digest}"
     ]
-    out += ["  " + described(fault) for fault in scenario.faults]
-    out.append(f"{'s':>9}  " + "  ".join(f"{lane:<10}" for lane in lanes))
+    lines += ["  " + describe(fault) for fault in scenario.faults]
+    lines.append(f"{'s':>9}  " + "  ".join(f"{lane:<10}" for lane in lanes))
     for event in events:
-        if event.what in QUIET:
+        if event.name in HIDDEN_EVENTS:
             continue
-        told = ", ".join(
+        fields = ", ".join(
             f"{name} {str(value)[:30]}"
             for name, value in event.fields.items()
             if name not in ("traceback",) and value != ""
         )
-        place = lanes.index(event.who) if event.who in lanes else 0
-        out.append(f"{event.at / 1e6:9.4f}  " + " " * (12 * place) + f"{event.what} {told}"[: WIDTH + 60])
-    out += [f"BROKEN {one.what} at {one.at / 1e6:.4f} s: {one.how}" for one in played.broken] or [
-        "everything held"
-    ]
-    return "\n".join(out)
+        column = lanes.index(event.who) if event.who in lanes else 0
+        lines.append(
+            f"{event.at / 1e6:9.4f}  "
+            + " " * (12 * column)
+            + f"{event.name} {fields}"[: MAX_EVENT_CHARS + 60]
+        )
+    lines += [
+        f"BROKEN {violation.check} at {violation.at / 1e6:.4f} s: {violation.detail}"
+        for violation in result.violations
+    ] or ["everything held"]
+    return "\n".join(lines)
 
 
-def as_plot(scenario: Scenario, played: Played, events: list[Event], path: str) -> None:
-    """Faults as bars, events as marks, a lane a program."""
+def as_plot(scenario: Scenario, result: RunResult, events: list[Event], path: str) -> None:
+    """Plots faults as bars and events as marks, with one lane per program."""
     import matplotlib
 
     matplotlib.use("Agg")
@@ -81,15 +92,16 @@
             )
             axes.text((1_000_000 + fault.at) / 1e6, lanes.index(who) + 0.3, fault.kind, fontsize=6)
     for event in events:
-        if event.who in lanes and event.what not in QUIET:
+        if event.who in lanes and event.name not in HIDDEN_EVENTS:
             axes.plot(event.at / 1e6, lanes.index(event.who), "|", color="tab:blue", markersize=8)
-    for one in played.broken:
-        axes.axvline(one.at / 1e6, color="black", linewidth=1)
-        axes.text(one.at / 1e6, len(lanes) - 0.4, one.what, fontsize=7)
+    for violation in result.violations:
+        axes.axvline(violation.at / 1e6, color="black", linewidth=1)
+        axes.text(violation.at / 1e6, len(lanes) - 0.4, violation.check, fontsize=7)
     axes.set_yticks(range(len(lanes)), lanes)
     axes.set_xlabel("virtual seconds")
     axes.set_title(
-        f"seed {scenario.seed}: {'; '.join(one.what for one in played.broken) or 'everything held'}",
+        f"seed {scenario.seed}: "
+        f"{'; '.join(violation.check for violation in result.violations) or 'everything held'}",
         fontsize=9,
     )
     figure.tight_layout()
--- a/tests/test_sim.py
+++ b/tests/test_sim.py
@@ -1,4 +1,4 @@
-"""The whole program on a virtual clock under drawn faults: seeds that once broke something, the same steps everywhere, planted faults."""
+"""The deterministic simulation: regressions, random seeds, reproducible runs, and injected faults."""
 
 import json
 import os
@@ -18,13 +18,13 @@
 from cedarshift.loop.world import HostClock, World
 from cedarshift.sim.disk import Disk, SimLedger
 from cedarshift.sim.hunt import hunt
-from cedarshift.sim.planted import PLANTED, first_found, planted
-from cedarshift.sim.play import play
-from cedarshift.sim.scenario import KINDS, Fault, altered, draw, from_json, with_faults
+from cedarshift.sim.planted import INJECTED_FAULTS, find_fault, inject_fault
+from cedarshift.sim.play import run_scenario
+from cedarshift.sim.scenario import FAULT_KINDS, Fault, draw, from_json, mutate, with_faults
 from cedarshift.sim.shrink import shrink
 from cedarshift.store.ledger import DamagedLedgerError
 
-# Runs that found a bug, kept as they were drawn then, and the bug as it can be planted again.
+# Scenarios that found a bug, and the injected fault that brings the bug back.
 REGRESSIONS = {
     "broken-store-stream": "sends-raise",
     "same-epoch-again": "same-epochs",
@@ -33,18 +33,19 @@
     "dropped-turn": "dropped-turn",
     "clocks-apart": "no-drift",
 }
-SEEDS = os.path.join(os.path.dirname(__file__), "seeds")
-BARE = with_faults(draw(7), [])
+SEEDS_DIRECTORY = os.path.join(os.path.dirname(__file__), "seeds")
+BASE_SCENARIO = with_faults(draw(7), [])
 
 
-def faults(*rows, base=BARE):
+def scenario_with(*faults, base=BASE_SCENARIO):
+    """A scenario with two pilots, two proxies, three endpoints and these faults."""
     return with_faults(
-        msgspec.structs.replace(base, pilots=2, proxies=2, endpoints=3), [Fault(*row) for row in rows]
+        msgspec.structs.replace(base, pilots=2, proxies=2, endpoints=3), [Fault(*fault) for fault in faults]
     )
 
 
-# The hard cases by name; each is played with a few clocks and delays.
-CASES = {
+# Difficult cases, each run with several seeds and network delays.
+HARD_CASES = {
     "a cut heals as an order is half delivered": [
         ("drain", 2_000_000, 500_000, "e0"),
         ("ambush", 1_900_000, 50_000, "x0", "cut there"),
@@ -88,34 +89,40 @@
 
 
 @pytest.mark.parametrize("name, bug", REGRESSIONS.items())
-def test_runs_that_broke_something_once_hold_and_still_break_with_the_bug(name, bug):
-    with open(os.path.join(SEEDS, f"{name}.json"), "rb") as file:
+def test_regressions_hold_and_fail_with_the_bug_injected(name, bug):
+    with open(os.path.join(SEEDS_DIRECTORY, f"{name}.json"), "rb") as file:
         scenario = from_json(file.read())
-    assert play(scenario).broken == []
-    with planted(bug):
-        assert play(scenario).broken != []
+    assert run_scenario(scenario).violations == []
+    with inject_fault(bug):
+        assert run_scenario(scenario).violations != []
 
 
-@pytest.mark.parametrize("case", CASES)
+@pytest.mark.parametrize("case", HARD_CASES)
 @pytest.mark.parametrize("seed", [1, 2, 3])
 def test_hard_cases_hold(case, seed):
-    played = play(
+    result = run_scenario(
         msgspec.structs.replace(
-            faults(*CASES[case]), seed=seed, delay_most=[300, 3_000, 30_000][seed - 1], chunks=seed
+            scenario_with(*HARD_CASES[case]),
+            seed=seed,
+            delay_most=[300, 3_000, 30_000][seed - 1],
+            chunks=seed,
         )
     )
-    assert played.broken == [] and played.acked > 50
+    assert result.violations == [] and result.acked > 50
 
 
 def test_a_few_hundred_seeds_hold(tmp_path):
-    found = hunt(list(range(20_001, 20_201)), min(4, os.cpu_count() or 1), str(tmp_path), lambda text: None)
-    assert found["found"] == [] and found["runs"] == 200
-    assert found["reached"] > 400
+    report = hunt(list(range(20_001, 20_201)), min(4, os.cpu_count() or 1), str(tmp_path), lambda text: None)
+    assert report["found"] == [] and report["runs"] == 200
+    assert report["reached"] > 400
 
 
-def test_the_same_scenario_is_the_same_steps_in_another_process_with_another_hash_seed():
-    code = "from cedarshift.sim.play import play; from cedarshift.sim.scenario import draw; print(*(play(draw(s)).digest for s in (3, 4)))"
-    told = {
+def test_a_scenario_runs_the_same_in_another_process_with_another_hash_seed():
+    code = (
+        "from cedarshift.sim.play import run_scenario; from cedarshift.sim.scenario import draw; "
+        "print(*(run_scenario(draw(s)).digest for s in (3, 4)))"
+    )
+    outputs = {
         subprocess.run(
             [sys.executable, "-c", code],
             env={**os.environ, "PYTHONHASHSEED": hashes},
@@ -125,15 +132,15 @@
         ).stdout
         for hashes in ("1", "77")
     }
-    assert told == {f"{play(draw(3)).digest} {play(draw(4)).digest}\n"}
-    assert play(draw(3)).digest != play(draw(5)).digest
+    assert outputs == {f"{run_scenario(draw(3)).digest} {run_scenario(draw(4)).digest}\n"}
+    assert run_scenario(draw(3)).digest != run_scenario(draw(5)).digest
 
 
-def test_nothing_reaches_the_machines_clock_sockets_or_chance(monkeypatch):
-    """What is patched here may be called by no step of a run."""
+def test_runs_use_no_system_clock_sockets_or_random_numbers(monkeypatch):
+    """No step of a run may call the functions that are patched here."""
 
-    def none_of_it(*args, **named):
-        raise AssertionError("a run went past its loop")
+    def fail(*args, **options):
+        raise AssertionError("a run bypassed its event loop")
 
     for module, name in (
         (time, "time"),
@@ -147,89 +154,103 @@
         (random, "shuffle"),
         (random, "choice"),
     ):
-        monkeypatch.setattr(module, name, none_of_it)
+        monkeypatch.setattr(module, name, fail)
     import socket
 
-    monkeypatch.setattr(socket, "socket", none_of_it)
-    played = play(draw(4))
+    monkeypatch.setattr(socket, "socket", fail)
+    result = run_scenario(draw(4))
     monkeypatch.undo()
-    assert played.broken == [] and played.digest == play(draw(4)).digest
+    assert result.violations == [] and result.digest == run_scenario(draw(4)).digest
 
 
-QUICK = ["no-settle", "no-sync", "sent-uncommitted", "ack-first", "lines-lost", "epoch-stays", "gone-is-kept"]
+QUICK_FAULTS = [
+    "no-settle",
+    "no-sync",
+    "sent-uncommitted",
+    "ack-first",
+    "lines-lost",
+    "epoch-stays",
+    "gone-is-kept",
+]
 
 
-@pytest.mark.parametrize("name", QUICK)
-def test_planted_faults_are_found(name):
-    _, seed, what = first_found((name, 1, 41))
-    assert seed is not None and what
+@pytest.mark.parametrize("name", QUICK_FAULTS)
+def test_injected_faults_are_found(name):
+    _, seed, check = find_fault((name, 1, 41))
+    assert seed is not None and check
 
 
-def test_a_planted_fault_is_gone_afterwards():
-    first_found(("no-settle", 1, 2))
+def test_an_injected_fault_is_removed_afterwards():
+    find_fault(("no-settle", 1, 2))
     assert all(
-        getattr(where, attribute) is not value
-        for one in PLANTED.values()
-        for where, attribute, value in one.patches()
+        getattr(target, attribute) is not value
+        for fault in INJECTED_FAULTS.values()
+        for target, attribute, value in fault.patches()
     )
 
 
-def test_a_scenario_is_cut_down_to_what_still_breaks_the_same(monkeypatch):
-    with planted("gone-is-kept"):
-        seed = next(seed for seed in range(1, 60) if play(draw(seed)).broken and len(draw(seed).faults) > 3)
-        what = play(draw(seed)).broken[0].what
-        small = shrink(draw(seed), what, tries_most=60)
-        assert any(one.what == what for one in play(small).broken)
-    assert len(small.faults) < len(draw(seed).faults) and len(small.faults) <= 3
+def test_a_scenario_is_reduced_to_one_with_the_same_violation(monkeypatch):
+    with inject_fault("gone-is-kept"):
+        seed = next(
+            seed
+            for seed in range(1, 60)
+            if run_scenario(draw(seed)).violations and len(draw(seed).faults) > 3
+        )
+        check = run_scenario(draw(seed)).violations[0].check
+        reduced = shrink(draw(seed), check, max_runs=60)
+        assert any(violation.check == check for violation in run_scenario(reduced).violations)
+    assert len(reduced.faults) < len(draw(seed).faults) and len(reduced.faults) <= 3
 
 
-def test_scenarios_travel_as_files_and_what_is_wrong_in_one_is_told(tmp_path):
+def test_scenarios_are_read_from_files_and_errors_in_them_reported(tmp_path):
     scenario = draw(11)
     assert from_json(scenario.to_json()) == scenario
     (tmp_path / "good.json").write_bytes(with_faults(scenario, []).to_json())
-    told = CliRunner().invoke(
+    result = CliRunner().invoke(
         main, ["sim", "replay", str(tmp_path / "good.json"), "--plot", str(tmp_path / "plot.png")]
     )
-    assert told.exit_code == 0 and "held:" in told.output and (tmp_path / "plot.png").stat().st_size > 1_000
-    for text, said in (
+    assert (
+        result.exit_code == 0 and "held:" in result.output and (tmp_path / "plot.png").stat().st_size > 1_000
+    )
+    for text, message in (
         ('{"seed": 1}', "missing required field"),
         (json.dumps({**json.loads(scenario.to_json()), "faults": [{"kind": "x", "at": 1}]}), "fault 0"),
     ):
         (tmp_path / "bad.json").write_text(text)
-        told = CliRunner().invoke(main, ["sim", "replay", str(tmp_path / "bad.json")])
-        assert told.exit_code == 1 and "bad.json" in told.output and said in told.output
-    told = CliRunner().invoke(main, ["sim", "hunt", "--seeds", "9-2"])
-    assert told.exit_code == 2 and "is wanted" in told.output
+        result = CliRunner().invoke(main, ["sim", "replay", str(tmp_path / "bad.json")])
+        assert result.exit_code == 1 and "bad.json" in result.output and message in result.output
+    result = CliRunner().invoke(main, ["sim", "hunt", "--seeds", "9-2"])
+    assert result.exit_code == 2 and "is wanted" in result.output
 
 
-def test_a_guided_search_goes_on_from_what_was_new(tmp_path):
-    found = hunt(list(range(1, 33)), 2, str(tmp_path), lambda text: None, guided=True)
-    assert found["runs"] == 32 and not found["found"]
-    chance = random.Random(1)
+def test_a_guided_search_mutates_scenarios(tmp_path):
+    report = hunt(list(range(1, 33)), 2, str(tmp_path), lambda text: None, guided=True)
+    assert report["runs"] == 32 and not report["found"]
+    rng = random.Random(1)
     assert all(
-        altered(draw(seed), chance).faults != draw(seed).faults for seed in range(1, 20) if draw(seed).faults
+        mutate(draw(seed), rng).faults != draw(seed).faults for seed in range(1, 20) if draw(seed).faults
     )
 
 
-def test_every_kind_of_fault_is_drawn():
-    assert {fault.kind for seed in range(1, 200) for fault in draw(seed).faults} == set(KINDS)
+def test_every_kind_of_fault_is_generated():
+    assert {fault.kind for seed in range(1, 200) for fault in draw(seed).faults} == set(FAULT_KINDS)
 
 
-# ---- what the runs stand on
+# ---- clocks, network and disk of the simulation
 
 
-def test_a_clock_that_runs_apart_wakes_its_host_at_its_own_time():
+def test_a_drifting_clock_wakes_its_host_at_its_own_time():
     world = World(1)
     fast = world.host("fast", rate=1.0005, offset=5_000_000)
-    woke = []
+    wakes = []
 
     def run():
-        begun = fast.loop.now()
+        started_at = fast.loop.now()
         yield from fast.loop.sleep(10_000_000)
-        woke.append((fast.loop.now() - begun, world.clock.time))
+        wakes.append((fast.loop.now() - started_at, world.clock.time))
 
     world.run(fast.loop.spawn(run(), "run"))
-    assert 10_000_000 <= woke[0][0] <= 10_000_002 and woke[0][1] < 1_000_000 + 10_000_000
+    assert 10_000_000 <= wakes[0][0] <= 10_000_002 and wakes[0][1] < 1_000_000 + 10_000_000
     clock = HostClock(world.clock, 0.9995, 3)
     assert all(
         int(clock.when(at) * 0.9995) + 3 >= at > int((clock.when(at) - 1) * 0.9995) + 3
@@ -237,7 +258,7 @@
     )
 
 
-def test_a_dial_that_finds_the_queue_full_hears_nothing():
+def test_a_dial_to_a_full_queue_gets_no_answer():
     network = MemoryNetwork(VirtualClock())
     network.queue_most = 1
     network.listen(("h", 1))
@@ -247,16 +268,16 @@
 
 
 @pytest.mark.parametrize("seed", range(20))
-def test_a_power_cut_leaves_whole_transactions_and_all_that_was_acknowledged(seed):
-    chance = random.Random(seed)
-    disk = Disk(chance)
+def test_a_power_cut_keeps_transactions_whole_and_acknowledged_writes(seed):
+    rng = random.Random(seed)
+    disk = Disk(rng)
     ledger, acked = SimLedger(disk, 4), 0
     ledger.record_start()
     for version in range(1, 30):
-        if chance.random() < 0.1:  # the power goes between write and sync
-            body = SimLedger(Disk(chance), 4)
-            body.put([Row(n, 1, version, "p", f"e{version}") for n in range(4)])
-            disk.cached.append(body.disk.synced[0])
+        if rng.random() < 0.1:  # power cut between write and sync
+            unsynced = SimLedger(Disk(rng), 4)
+            unsynced.put([Row(n, 1, version, "p", f"e{version}") for n in range(4)])
+            disk.cached.append(unsynced.disk.synced[0])
             disk.power_cut()
             ledger = SimLedger(disk, 4)
             rows = ledger.load()
@@ -269,7 +290,7 @@
     assert {row.version for row in SimLedger(disk, 4).load()} == {acked}
 
 
-def test_a_disk_that_is_full_or_unreadable_says_so():
+def test_a_full_or_unreadable_disk_raises():
     disk = Disk(random.Random(1))
     ledger = SimLedger(disk, 2)
     disk.full = True
