--- a/cedarshift/cli/sim.py
+++ b/cedarshift/cli/sim.py
@@ -30,22 +30,22 @@
 
 def run_scenario(scenario: Scenario, trace: bool, plot: str) -> int:
     """Runs a scenario, prints the result and returns the exit code."""
-    from cedarshift.sim.trace import as_plot, as_text, traced
+    from cedarshift.sim.trace import as_plot, as_text, record_trace
 
-    result, events = traced(scenario)
+    result, events = record_trace(scenario)
     if trace:
         click.echo(as_text(scenario, result, events))
     else:
-        for violation in result.broken:
-            click.echo(f"{violation.what} at {violation.at / 1e6:.4f} s: {violation.how}")
+        for violation in result.violations:
+            click.echo(f"{violation.check} at {violation.at / 1e6:.4f} s: {violation.detail}")
         click.echo(
-            f"{'BROKEN' if result.broken else 'held'}: {result.steps} steps, "
+            f"{'BROKEN' if result.violations else 'held'}: {result.steps} steps, "
             f"{result.virtual_s:.1f} virtual seconds, "
             f"{result.acked} of {result.ops} ops acked, digest {result.digest}"
         )
     if plot:
         as_plot(scenario, result, events, plot)
-    return 1 if result.broken else 0
+    return 1 if result.violations else 0
 
 
 @click.group()
@@ -99,17 +99,17 @@
 @click.option("--out", type=click.Path(), required=True, help="File for the reduced scenario.")
 def shrink(file: str, out: str) -> None:
     """Reduce a scenario while it still breaks the same invariant."""
-    from cedarshift.sim.play import play
+    from cedarshift.sim.play import run_scenario
     from cedarshift.sim.shrink import shrink as smaller
 
     scenario = read_scenario(file)
-    broken = play(scenario).broken
-    if not broken:
+    violations = run_scenario(scenario).violations
+    if not violations:
         raise click.ClickException(f"{file}: no invariant breaks")
-    best = smaller(scenario, broken[0].what, lambda text: click.echo(text, err=True))
+    best = smaller(scenario, violations[0].check, lambda text: click.echo(text, err=True))
     with open(out, "wb") as target:
         target.write(best.to_json())
-    click.echo(f"{out}: {broken[0].what} with {len(best.faults)} faults, of {len(scenario.faults)}")
+    click.echo(f"{out}: {violations[0].check} with {len(best.faults)} faults, of {len(scenario.faults)}")
 
 
 __all__ = ["sim"]
--- a/tests/test_hand_over_liveness.py
+++ b/tests/test_hand_over_liveness.py
@@ -10,16 +10,16 @@
 from cedarshift.brain import Pilot
 from cedarshift.interface import DecisionConfig, OpType
 from cedarshift.judge.write_stops import WriteStops
-from cedarshift.standins.proxy_fleet import SECOND, Faults, ProxyFleet
+from cedarshift.standins.proxy_fleet import TICKS_PER_SECOND, Faults, ProxyFleet
 
 POLL_INTERVAL = 250  # 0.1 ms
 ENDPOINTS, SLICES = 30, 84
-DRAIN_EVERY, GONE_AFTER = 3 * SECOND, 45_000
+DRAIN_EVERY, GONE_AFTER = 3 * TICKS_PER_SECOND, 45_000
 EMPTY_FOR = 17.9  # s
 TERMS = dict(
     op_types=(
-        OpType("get", 2 * SECOND, 6 * SECOND, False, False),
-        OpType("put", 2 * SECOND, 3 * SECOND, True, False),
+        OpType("get", 2 * TICKS_PER_SECOND, 6 * TICKS_PER_SECOND, False, False),
+        OpType("put", 2 * TICKS_PER_SECOND, 3 * TICKS_PER_SECOND, True, False),
     ),
     zones=("z",),
     slices=2 * SLICES,
@@ -30,11 +30,11 @@
     lines_per_s=6300,
     transit_most=6_625,
     connect_most=5_000,
-    report_period=2 * SECOND,
+    report_period=2 * TICKS_PER_SECOND,
     lease=8_000,
     in_flight_most=30_200,
-    drain_grace=3 * SECOND,
-    warm_within=15 * SECOND,
+    drain_grace=3 * TICKS_PER_SECOND,
+    warm_within=15 * TICKS_PER_SECOND,
     cold_share=0.18,
     tip_multiple=3.0,
     retry_default=0,
@@ -63,8 +63,8 @@
 
     def run(self, seconds):
         """Returns the longest time without a line, in s."""
-        next_drain = 3 * SECOND
-        while self.now < seconds * SECOND:
+        next_drain = 3 * TICKS_PER_SECOND
+        while self.now < seconds * TICKS_PER_SECOND:
             self.now += POLL_INTERVAL
             self.fleet.advance(self.now)
             if self.now >= next_drain:
@@ -99,7 +99,7 @@
             elif decision[0] in ("line", "mark"):
                 orders.append(decision)
         if orders:
-            self.fleet.carry_out(self.now, orders)
+            self.fleet.apply_batch(self.now, orders)
 
 
 CASES = {
@@ -127,24 +127,27 @@
 @pytest.mark.parametrize("seed", [1, 2])
 @pytest.mark.parametrize("case", CASES)
 def test_no_proxy_is_without_a_line_for_too_long_under(case, seed):
-    simulation = Simulation(seed, CASES[case], empty_for=int(EMPTY_FOR * SECOND))
+    simulation = Simulation(seed, CASES[case], empty_for=int(EMPTY_FOR * TICKS_PER_SECOND))
     longest = simulation.run(70)
     assert not simulation.fleet.conflicts, simulation.fleet.conflicts[:3]
-    assert longest <= EMPTY_FOR, (longest, simulation.fleet.longest_of)
+    assert longest <= EMPTY_FOR, (longest, simulation.fleet.longest_gap_of)
 
 
 def test_a_lost_acknowledgement_in_a_quiet_fleet_is_compensated():
-    simulation = Simulation(1, Faults(lost_once=(7, 1)), quiet=True, empty_for=int(EMPTY_FOR * SECOND))
+    simulation = Simulation(
+        1, Faults(lost_once=(7, 1)), quiet=True, empty_for=int(EMPTY_FOR * TICKS_PER_SECOND)
+    )
     longest = simulation.run(60)
     assert not simulation.fleet.conflicts
     assert longest <= EMPTY_FOR / 2, longest
     assert (
-        len(simulation.fleet.closed_spans) and max(simulation.fleet.closed_spans) <= EMPTY_FOR / 2 * SECOND
+        len(simulation.fleet.closed_durations)
+        and max(simulation.fleet.closed_durations) <= EMPTY_FOR / 2 * TICKS_PER_SECOND
     ), "writes were closed for too long"
 
 
 def test_an_undisturbed_hand_over_takes_little_more_than_the_settle_time():
-    simulation = Simulation(3, Faults(), empty_for=int(EMPTY_FOR * SECOND))
+    simulation = Simulation(3, Faults(), empty_for=int(EMPTY_FOR * TICKS_PER_SECOND))
     assert simulation.run(40) <= 5.0
 
 
@@ -175,7 +178,7 @@
         WriteStops,
         "proxy_stop_time",
         lambda self, proxy, s: (
-            proxy_stop_time(self, proxy, s) if proxy.joined else proxy.left_at - 10 * SECOND
+            proxy_stop_time(self, proxy, s) if proxy.joined else proxy.left_at - 10 * TICKS_PER_SECOND
         ),
     )
 
@@ -201,6 +204,6 @@
 )
 def test_the_single_owner_check_detects(inject_fault, case, monkeypatch):
     inject_fault(monkeypatch)
-    simulation = Simulation(1, CASES[case], empty_for=int(EMPTY_FOR * SECOND))
+    simulation = Simulation(1, CASES[case], empty_for=int(EMPTY_FOR * TICKS_PER_SECOND))
     simulation.run(40)
     assert simulation.fleet.conflicts
