--- a/benchmarks/member_baselines.py
+++ b/benchmarks/member_baselines.py
@@ -48,10 +48,10 @@
         self.start = start
         self.chance = Lcg(seed)
         self.on_change = on_change
-        self.roll = View(self.names)
-        self.roll.states[me] = ALIVE
+        self.table = View(self.names)
+        self.table.states[me] = ALIVE
         self.out: list[tuple[Address, Any]] = []
-        self.wishes: list[Any] = []
+        self.stream_requests: list[Any] = []
         self.next_at = now + self.chance.draw(period)
         self.counts = {"datagrams_sent": 0, "bytes_sent": 0}
 
@@ -64,13 +64,13 @@
         self.out.append((self.addresses[to], message))
 
     def set_state(self, now: int, name: str, state: str) -> None:
-        before = self.roll.states[name]
+        before = self.table.states[name]
         if before != state:
-            self.roll.states[name] = state
-            side = sum(one in (ALIVE, SUSPECT) for one in self.roll.states.values())
+            self.table.states[name] = state
+            side = sum(one in (ALIVE, SUSPECT) for one in self.table.states.values())
             self.on_change(now, Change(name, before, state, 0, 0, (self.me,), (), side, len(self.names)))
 
-    def hear_stream(self, now: int, data: Any) -> None:
+    def on_frame(self, now: int, data: Any) -> None:
         return None
 
     def leave(self, now: int) -> None:
@@ -100,7 +100,7 @@
     def is_dead(self, now: int, name: str, at: int) -> bool:
         return now - at > self.SILENCE * self.period
 
-    def hear(self, now: int, data: Any, source: Address) -> None:
+    def on_datagram(self, now: int, data: Any, source: Address) -> None:
         self.note(now, data)
         self.heard[data] = now
         self.set_state(now, data, ALIVE)
@@ -147,7 +147,7 @@
         self.incarnation = 0
         # Name -> (incarnation, 0 alive, 1 suspect, 2 dead). All that are configured count as there from the start.
         self.known: dict[str, tuple[int, int]] = {name: (0, 0) for name in self.names}
-        self.roll.states = {name: ALIVE for name in self.names}
+        self.table.states = {name: ALIVE for name in self.names}
         self.suspected: dict[str, int] = {}
         self.queue: dict[str, int] = {}
         self.order: list[str] = []
@@ -229,7 +229,7 @@
             if self.known[name][1] < 2:
                 return name
 
-    def hear(self, now: int, data: Any, source: Address) -> None:
+    def on_datagram(self, now: int, data: Any, source: Address) -> None:
         kind, sender, nonce, about, records = data
         for name, incarnation, state in records:
             self.learn(now, name, incarnation, state)
--- a/benchmarks/membership.py
+++ b/benchmarks/membership.py
@@ -109,7 +109,7 @@
     some = draw.sample(names, count // 2 if day == "half-killed" else max(1, count // 16))
     died, mark = crowd.now, len(crowd.changes)
     already = {
-        (who, one) for who in names for one in some if crowd.places[who].member.roll.states[one] == DEAD
+        (who, one) for who in names for one in some if crowd.places[who].member.table.states[one] == DEAD
     }
     for one in some:
         crowd.kill(one)
--- a/benchmarks/roster.py
+++ b/benchmarks/roster.py
@@ -20,18 +20,18 @@
 import time
 from typing import Any
 
-from cedarshift.codec.zookeeper import ZooError
+from cedarshift.codec.zookeeper import ZooKeeperError
 from cedarshift.codec.zookeeper import records as r
 from cedarshift.loop import Loop
 from cedarshift.loop.core import Coroutine
 from cedarshift.loop.epoll import real_loop
 from cedarshift.rehearsal.fleet import Ports
-from cedarshift.roster.ephemeral import EphemeralSource, EphemeralTerms
+from cedarshift.roster.ephemeral import EphemeralSettings, EphemeralSource
 from cedarshift.roster.formats import Member, write_member
-from cedarshift.roster.members import IN_FLIGHT
-from cedarshift.roster.register import OPEN_ACL, RegisterTerms, Registration
+from cedarshift.roster.members import MAX_IN_FLIGHT
+from cedarshift.roster.register import OPEN_ACL, Registration, RegistrationSettings
 from cedarshift.roster.sources import SavedList
-from cedarshift.roster.zookeeper import CONNECTED, ZooClient
+from cedarshift.roster.zookeeper import CONNECTED, ZooKeeperClient
 
 PATH = "/bench"
 SECOND = 1_000_000
@@ -43,8 +43,8 @@
     return write_member(Member(f"10.0.{n >> 8}.{n & 255}:9000", phase, 1.0, "north", "boot-1"), "serverset")
 
 
-def client_of(loop: Loop, places: list[tuple[str, int]]) -> ZooClient:
-    return ZooClient(
+def client_of(loop: Loop, places: list[tuple[str, int]]) -> ZooKeeperClient:
+    return ZooKeeperClient(
         loop,
         places,
         20 * SECOND,
@@ -55,12 +55,12 @@
     )
 
 
-def connected(loop: Loop, client: ZooClient) -> Coroutine:
+def connected(loop: Loop, client: ZooKeeperClient) -> Coroutine:
     while client.state != CONNECTED:
         yield from loop.sleep(10_000)
 
 
-def many(loop: Loop, client: ZooClient, requests: list[tuple[int, Any]]) -> Coroutine:
+def many(loop: Loop, client: ZooKeeperClient, requests: list[tuple[int, Any]]) -> Coroutine:
     """Posts all of them, a window at a time."""
     for start in range(0, len(requests), WINDOW):
         calls = [client.post(op, body) for op, body in requests[start : start + WINDOW]]
@@ -68,13 +68,13 @@
             yield from call.wait()
 
 
-def fill(loop: Loop, client: ZooClient, count: int) -> Coroutine:
+def fill(loop: Loop, client: ZooKeeperClient, count: int) -> Coroutine:
     yield from connected(loop, client)
     try:
         yield from client.call(r.CREATE, r.Create(PATH, b"", OPEN_ACL, r.PERSISTENT))
-    except ZooError:
+    except ZooKeeperError:
         pass
-    got = yield from client.call(r.GET_CHILDREN2, r.Watched(PATH, False))
+    got = yield from client.call(r.GET_CHILDREN2, r.WatchRequest(PATH, False))
     yield from many(loop, client, [(r.DELETE, r.Delete(f"{PATH}/{name}", -1)) for name in got.children])
     yield from many(
         loop,
@@ -100,7 +100,7 @@
     begun = loop.now()
     source = EphemeralSource(
         loop,
-        EphemeralTerms(tuple(places), PATH, 20 * SECOND, "serverset", "", recursive, False, SECOND, ()),
+        EphemeralSettings(tuple(places), PATH, 20 * SECOND, "serverset", "", recursive, False, SECOND, ()),
         False,
         random.Random(2).random,
         SavedList(""),
@@ -136,7 +136,7 @@
 
 
 def measure(
-    loop: Loop, filler: ZooClient, places: list[tuple[str, int]], count: int, recursive: bool
+    loop: Loop, filler: ZooKeeperClient, places: list[tuple[str, int]], count: int, recursive: bool
 ) -> dict[str, Any]:
     loop.run(loop.spawn(fill(loop, filler, count), "fill"))
     reader = subprocess.Popen(
@@ -182,14 +182,14 @@
 
     source = EphemeralSource(
         loop,
-        EphemeralTerms(tuple(places), PATH, 20 * SECOND, "serverset", "", True, False, SECOND, ()),
+        EphemeralSettings(tuple(places), PATH, 20 * SECOND, "serverset", "", True, False, SECOND, ()),
         False,
         random.Random(2).random,
         SavedList(""),
         lambda kind, entries: listed.update({e.endpoint: e.phase for e in entries}),
         quiet,
     )
-    terms = RegisterTerms(tuple(places), PATH, 20 * SECOND, "serverset", "bench", ())
+    terms = RegistrationSettings(tuple(places), PATH, 20 * SECOND, "serverset", "bench", ())
 
     def main() -> Coroutine:
         while not source.primed:
@@ -249,7 +249,7 @@
             for count in [int(size) for size in args.sizes.split(",")]:
                 for recursive in (True, False):
                     got = measure(loop, filler, places, count, recursive)
-                    trips = 3 + int(recursive) + -(-count // IN_FLIGHT)
+                    trips = 3 + int(recursive) + -(-count // MAX_IN_FLIGHT)
                     print(
                         f"{count:>6} {'recursive' if recursive else 'one-shot':<10} {got['first_ms']:>9.1f} {got['calls']:>6} "
                         f"{got['kib']:>7.0f} {got['memory_mib']:>6.1f} {trips:>6} {got['slowest_step_ms']:>8.1f}   "
--- a/cedarshift/cli/daemons.py
+++ b/cedarshift/cli/daemons.py
@@ -13,7 +13,7 @@
 from cedarshift.codec import Badge
 from cedarshift.deployment import Deployment, FileRefused, load
 from cedarshift.deployment.deployment import changes
-from cedarshift.gossip.service import Membership, MembershipTerms
+from cedarshift.gossip.service import Membership, MembershipConfig
 from cedarshift.judge.roll import DEAD
 from cedarshift.loop import Loop, listen
 from cedarshift.loop.core import Coroutine, Task
@@ -23,7 +23,7 @@
 from cedarshift.pilot.admin import admin_handler
 from cedarshift.pilot.rights import attach_claims
 from cedarshift.roster.formats import Member
-from cedarshift.roster.register import RegisterTerms, Registration
+from cedarshift.roster.register import Registration, RegistrationSettings
 from cedarshift.store.ledger import Ledger
 from cedarshift.store.service import StoreService
 from cedarshift.web import serve_http
@@ -76,7 +76,7 @@
     """By most of the pilots, where they keep a roll."""
     if service.membership is None:
         return []
-    roll = service.membership.member.roll
+    roll = service.membership.member.table
     return [name for name in roll.names if name in roll.verdicts and roll.states[name] == DEAD]
 
 
@@ -152,7 +152,7 @@
     start = wall_clock() // 1000 << 20 | drawn & 0xFFFFF
     return Membership(
         loop,
-        MembershipTerms(plan.period, addresses),
+        MembershipConfig(plan.period, addresses),
         name,
         deployment.name,
         deployment.secret,
@@ -212,7 +212,7 @@
     chance = random.Random(fresh_bytes(8))
     if not member.start:
         member = member._replace(start=fresh_bytes(6).hex())
-    terms = RegisterTerms(
+    terms = RegistrationSettings(
         nodes.servers, nodes.path, nodes.session_timeout, nodes.format, deployment.name, nodes.auth
     )
     kept = Registration(loop, terms, member, chance.random, report)
--- a/cedarshift/codec/zookeeper/__init__.py
+++ b/cedarshift/codec/zookeeper/__init__.py
@@ -1,9 +1,9 @@
-"""The ZooKeeper client protocol, free of I/O: jute records, error codes, and the states of a session on either side.
+"""ZooKeeper client protocol without I/O: jute records, error codes and session states.
 
-Source: the Apache ZooKeeper programmer's guide and `zookeeper.jute`, the published description of the records, as of 3.6.
+Follows the Apache ZooKeeper programmer's guide and `zookeeper.jute` as of version 3.6.
 """
 
-from cedarshift.codec.zookeeper.errors import Code, ZooError
-from cedarshift.codec.zookeeper.jute import Broken, Frames
+from cedarshift.codec.zookeeper.errors import Code, ZooKeeperError
+from cedarshift.codec.zookeeper.jute import Frames, ProtocolError
 
-__all__ = ["Broken", "Code", "Frames", "ZooError"]
+__all__ = ["ProtocolError", "Code", "Frames", "ZooKeeperError"]
--- a/cedarshift/codec/zookeeper/errors.py
+++ b/cedarshift/codec/zookeeper/errors.py
@@ -1,4 +1,4 @@
-"""Error codes as they travel in a reply's head, and what each means to who reads it."""
+"""Error codes of reply headers and their descriptions."""
 
 from __future__ import annotations
 
@@ -6,6 +6,8 @@
 
 
 class Code(IntEnum):
+    """Error codes of the ZooKeeper protocol."""
+
     OK = 0
     SYSTEM_ERROR = -1
     RUNTIME_INCONSISTENCY = -2
@@ -40,13 +42,13 @@
     THROTTLED_OP = -127
 
 
-SAID = {
+DESCRIPTIONS = {
     Code.CONNECTION_LOSS: "the connection was lost before the answer came",
     Code.UNIMPLEMENTED: "this server does not know the operation",
     Code.BAD_ARGUMENTS: "the path or the arguments are not allowed",
     Code.NO_NODE: "there is no such node",
     Code.NO_AUTH: "the node's ACL denies it to this session; see `auth` in the deployment file",
-    Code.BAD_VERSION: "the node has another version by now",
+    Code.BAD_VERSION: "the node's version has changed",
     Code.NO_CHILDREN_FOR_EPHEMERALS: "an ephemeral node has no children",
     Code.NODE_EXISTS: "the node exists already",
     Code.NOT_EMPTY: "the node has children",
@@ -54,26 +56,28 @@
     Code.INVALID_ACL: "the ACL is empty or not well formed",
     Code.AUTH_FAILED: "the server does not accept the credentials",
     Code.SESSION_MOVED: "the session has moved to another server",
-    Code.NOT_READ_ONLY: "the server is cut off from its ensemble and only reads",
+    Code.NOT_READ_ONLY: "the server has no quorum and is read-only",
     Code.NO_WATCHER: "there is no such watch",
-    Code.THROTTLED_OP: "the server has too much to do",
+    Code.THROTTLED_OP: "the server is overloaded",
 }
 
 
-class ZooError(Exception):
-    """An answer that is an error: its code, and the path it was about."""
+class ZooKeeperError(Exception):
+    """An error reply: its code and the path of the request."""
 
     def __init__(self, code: int, path: str = "") -> None:
         try:
             known = Code(code)
-            name, said = known.name, SAID.get(known, "")
+            name, description = known.name, DESCRIPTIONS.get(known, "")
         except ValueError:
-            name, said = f"error {code}", "a code that is not in the specification"
+            name, description = f"error {code}", "unknown error code"
         super().__init__(
-            f"{path}: {name}{': ' + said if said else ''}" if path else f"{name}{': ' + said if said else ''}"
+            f"{path}: {name}{': ' + description if description else ''}"
+            if path
+            else f"{name}{': ' + description if description else ''}"
         )
         self.code = code
         self.path = path
 
 
-__all__ = ["Code", "ZooError"]
+__all__ = ["Code", "ZooKeeperError"]
--- a/cedarshift/codec/zookeeper/jute.py
+++ b/cedarshift/codec/zookeeper/jute.py
@@ -1,7 +1,7 @@
-"""Jute, the encoding of the records: big-endian integers, and texts, buffers and vectors headed by their lengths.
+"""Jute encoding: big-endian integers, and length-prefixed strings, buffers and vectors.
 
-A length of -1 stands for null. Whatever length a peer states is held against the bytes that are there before anything is
-made of it, so a stated 4 GB costs nothing.
+A length of -1 means null. Lengths received from a peer are checked against the available bytes before
+anything is allocated.
 """
 
 from __future__ import annotations
@@ -9,33 +9,33 @@
 import struct
 from typing import Any, Callable, NamedTuple, Optional
 
-FRAME_MOST = (
-    4 << 20
-)  # bytes; the servers' own bound (jute.maxbuffer) is 1 MiB for requests, answers may be longer
-TEXT_MOST = 4096  # bytes of a path or name; deeper or longer ones are refused before they are kept
-DEPTH_MOST = 64  # parts of a path
+MAX_FRAME_BYTES = 4 << 20  # servers limit requests to 1 MiB (jute.maxbuffer); replies may be longer
+MAX_STRING_BYTES = 4096
+MAX_PATH_DEPTH = 64  # path components
 
 INT = struct.Struct(">i")
 LONG = struct.Struct(">q")
 
 
-class Broken(Exception):
-    """Bytes that are no such record, or a peer that breaks the order of things; the connection is given up."""
+class ProtocolError(Exception):
+    """Malformed data, or a message that violates the protocol; the connection must be closed."""
 
 
 class Reader:
+    """Decodes values from a buffer; raises ProtocolError for malformed data."""
+
     def __init__(self, data: bytes) -> None:
         self.data = data
-        self.at = 0
+        self.position = 0
 
-    def left(self) -> int:
-        return len(self.data) - self.at
+    def remaining(self) -> int:
+        return len(self.data) - self.position
 
     def _take(self, count: int) -> bytes:
-        if count < 0 or count > self.left():
-            raise Broken(f"{count} bytes stated at byte {self.at}, {self.left()} are left")
-        self.at += count
-        return self.data[self.at - count : self.at]
+        if count < 0 or count > self.remaining():
+            raise ProtocolError(f"{count} bytes stated at byte {self.position}, {self.remaining()} are left")
+        self.position += count
+        return self.data[self.position - count : self.position]
 
     def i32(self) -> int:
         return INT.unpack(self._take(4))[0]
@@ -46,7 +46,7 @@
     def flag(self) -> bool:
         raw = self._take(1)[0]
         if raw > 1:
-            raise Broken(f"a bool of {raw} at byte {self.at - 1}")
+            raise ProtocolError(f"invalid bool {raw} at byte {self.position - 1}")
         return bool(raw)
 
     def buffer(self) -> Optional[bytes]:
@@ -57,28 +57,35 @@
         length = self.i32()
         if length == -1:
             return ""
-        if length > TEXT_MOST:
-            raise Broken(f"a text of {length} bytes at byte {self.at}, {TEXT_MOST} at most")
+        if length > MAX_STRING_BYTES:
+            raise ProtocolError(
+                f"string of {length} bytes at byte {self.position}, {MAX_STRING_BYTES} at most"
+            )
         try:
             return self._take(length).decode()
         except UnicodeDecodeError as error:
-            raise Broken(f"a text that is not UTF-8 before byte {self.at}: {error.reason}") from None
+            raise ProtocolError(f"string is not UTF-8 before byte {self.position}: {error.reason}") from None
 
-    def vector(self, one: Callable[[], Any], least: int = 4) -> list[Any]:
-        """`least`: bytes that an element takes at least, so that a stated count can be held against what is there."""
+    def vector(self, element: Callable[[], Any], min_size: int = 4) -> list[Any]:
+        """`min_size`: minimum bytes per element, to check the count against the remaining data."""
         count = self.i32()
         if count == -1:
             return []
-        if count < 0 or count * least > self.left():
-            raise Broken(f"a vector of {count} at byte {self.at}, {self.left()} bytes are left")
-        return [one() for _ in range(count)]
+        if count < 0 or count * min_size > self.remaining():
+            raise ProtocolError(
+                f"vector of {count} elements at byte {self.position}, {self.remaining()} bytes are left"
+            )
+        return [element() for _ in range(count)]
 
     def end(self) -> None:
-        if self.left():
-            raise Broken(f"{self.left()} bytes too many behind the record")
+        """Raise ProtocolError if data remains."""
+        if self.remaining():
+            raise ProtocolError(f"{self.remaining()} trailing bytes after the record")
 
 
 class Writer:
+    """Encodes values into a buffer."""
+
     def __init__(self) -> None:
         self.parts: list[bytes] = []
 
@@ -100,18 +107,21 @@
     def text(self, value: str) -> None:
         self.buffer(value.encode())
 
-    def vector(self, values: list[Any], one: Callable[[Any], None]) -> None:
+    def vector(self, values: list[Any], element: Callable[[Any], None]) -> None:
         self.i32(len(values))
         for value in values:
-            one(value)
+            element(value)
 
     def done(self) -> bytes:
         return b"".join(self.parts)
 
 
 class Shape(NamedTuple):
-    """A record's fields in their order: (name, kind). Kinds are "i32", "i64", "flag", "buffer", "text", "texts", or a
-    record class; a list holding a record class is a vector of those."""
+    """Fields of a record in order, as (name, kind).
+
+    A kind is "i32", "i64", "flag", "buffer", "text", "texts", a record class, or a list holding a record
+    class (a vector of that record).
+    """
 
     fields: tuple[tuple[str, Any], ...]
 
@@ -119,10 +129,10 @@
 SHAPES: dict[type, Shape] = {}
 
 
-def record(made: type) -> type:
-    """Registers a NamedTuple whose `KINDS` tells the kinds of its fields."""
-    SHAPES[made] = Shape(tuple(zip(made._fields, made.KINDS)))  # type: ignore[attr-defined]
-    return made
+def record(result: type) -> type:
+    """Register a NamedTuple whose `KINDS` attribute lists the kinds of its fields."""
+    SHAPES[result] = Shape(tuple(zip(result._fields, result.KINDS)))  # type: ignore[attr-defined]
+    return result
 
 
 def read(reader: Reader, kind: Any) -> Any:
@@ -132,7 +142,7 @@
         return getattr(reader, kind)()
     if isinstance(kind, list):
         return reader.vector(lambda: read(reader, kind[0]))
-    return kind(*[read(reader, one) for _, one in SHAPES[kind].fields])
+    return kind(*[read(reader, element) for _, element in SHAPES[kind].fields])
 
 
 def write(writer: Writer, kind: Any, value: Any) -> None:
@@ -141,10 +151,10 @@
     elif isinstance(kind, str):
         getattr(writer, kind)(value)
     elif isinstance(kind, list):
-        writer.vector(value, lambda one: write(writer, kind[0], one))
+        writer.vector(value, lambda element: write(writer, kind[0], element))
     else:
-        for name, one in SHAPES[kind].fields:
-            write(writer, one, getattr(value, name))
+        for name, element in SHAPES[kind].fields:
+            write(writer, element, getattr(value, name))
 
 
 def encode(value: Any) -> bytes:
@@ -154,51 +164,51 @@
 
 
 def decode(data: bytes, kind: Any) -> Any:
-    """The whole of `data` as one record. Raises Broken."""
+    """Decode `data` as exactly one record. Raises ProtocolError."""
     reader = Reader(data)
-    made = read(reader, kind)
+    result = read(reader, kind)
     reader.end()
-    return made
+    return result
 
 
-def framed(payload: bytes) -> bytes:
+def length_prefixed(payload: bytes) -> bytes:
     return INT.pack(len(payload)) + payload
 
 
 class Frames:
-    """Cuts a stream into frames; each is headed by its length."""
+    """Splits a byte stream into length-prefixed frames."""
 
-    def __init__(self, most: int = FRAME_MOST) -> None:
-        self.most = most
+    def __init__(self, max_bytes: int = MAX_FRAME_BYTES) -> None:
+        self.max_bytes = max_bytes
         self.buffer = bytearray()
 
     def feed(self, data: bytes) -> list[bytes]:
-        """The frames that are whole by now. Raises Broken for a length that is negative or over the limit."""
+        """Return the frames completed by `data`. Raises ProtocolError for a negative or excessive length."""
         self.buffer += data
-        frames, at = [], 0
-        while len(self.buffer) - at >= 4:
-            length = INT.unpack_from(self.buffer, at)[0]
-            if not 0 <= length <= self.most:
-                raise Broken(f"a frame of {length} bytes, {self.most} at most")
-            if len(self.buffer) - at - 4 < length:
+        frames, position = [], 0
+        while len(self.buffer) - position >= 4:
+            length = INT.unpack_from(self.buffer, position)[0]
+            if not 0 <= length <= self.max_bytes:
+                raise ProtocolError(f"frame of {length} bytes, {self.max_bytes} at most")
+            if len(self.buffer) - position - 4 < length:
                 break
-            frames.append(bytes(self.buffer[at + 4 : at + 4 + length]))
-            at += 4 + length
-        del self.buffer[:at]
+            frames.append(bytes(self.buffer[position + 4 : position + 4 + length]))
+            position += 4 + length
+        del self.buffer[:position]
         return frames
 
 
 def check_path(path: str) -> str:
-    """Why a path is not allowed; empty where it is. As the programmer's guide has it."""
+    """Return why a path is invalid by the ZooKeeper programmer's guide, or "" if it is valid."""
     if not path.startswith("/"):
         return "it does not begin with /"
     if path == "/":
         return ""
-    if len(path.encode()) > TEXT_MOST:
-        return f"it is longer than {TEXT_MOST} bytes"
+    if len(path.encode()) > MAX_STRING_BYTES:
+        return f"it is longer than {MAX_STRING_BYTES} bytes"
     parts = path[1:].split("/")
-    if len(parts) > DEPTH_MOST:
-        return f"it is deeper than {DEPTH_MOST} parts"
+    if len(parts) > MAX_PATH_DEPTH:
+        return f"it is deeper than {MAX_PATH_DEPTH} parts"
     for part in parts:
         if not part:
             return "it has an empty part"
@@ -217,15 +227,15 @@
 
 
 __all__ = [
-    "Broken",
-    "FRAME_MOST",
+    "ProtocolError",
+    "MAX_FRAME_BYTES",
     "Frames",
     "Reader",
     "Writer",
     "check_path",
     "decode",
     "encode",
-    "framed",
+    "length_prefixed",
     "read",
     "record",
     "write",
--- a/cedarshift/codec/zookeeper/records.py
+++ b/cedarshift/codec/zookeeper/records.py
@@ -1,10 +1,10 @@
-"""The records of the protocol, by the names of `zookeeper.jute`, and which operation asks and answers with which."""
+"""Protocol records as in `zookeeper.jute`, and the request and reply types of each operation."""
 
 from __future__ import annotations
 
 from typing import Any, NamedTuple, Optional, Union
 
-from cedarshift.codec.zookeeper.jute import Broken, Reader, Writer, read, record, write
+from cedarshift.codec.zookeeper.jute import ProtocolError, Reader, Writer, read, record, write
 
 # Operations.
 CREATE, DELETE, EXISTS, GET_DATA, SET_DATA, GET_ACL, SET_ACL, GET_CHILDREN, SYNC, PING = (
@@ -30,13 +30,13 @@
 )
 AUTH, SET_WATCHES, SET_WATCHES2, ADD_WATCH, CREATE_SESSION, CLOSE, ERROR = 100, 101, 105, 106, -10, -11, -1
 
-# xids that are not counted.
+# Reserved xids.
 XID_WATCH, XID_PING, XID_AUTH, XID_SET_WATCHES = -1, -2, -4, -8
 
-# Flags of a create.
+# Create flags.
 PERSISTENT, EPHEMERAL, SEQUENTIAL, EPHEMERAL_SEQUENTIAL, CONTAINER, TTL, TTL_SEQUENTIAL = 0, 1, 2, 3, 4, 5, 6
 
-# Watch events, and the session's states that they come with.
+# Watch event types, and the session states sent with them.
 NO_EVENT, CREATED, DELETED, CHANGED, CHILDREN, DATA_WATCH_GONE, CHILD_WATCH_GONE, PERSISTENT_WATCH_GONE = (
     -1,
     1,
@@ -49,11 +49,11 @@
 )
 DISCONNECTED, CONNECTED, AUTH_FAILED, READ_ONLY, EXPIRED = 0, 3, 4, 5, -112
 
-# Modes of addWatch.
+# addWatch modes.
 WATCH_PERSISTENT, WATCH_RECURSIVE = 0, 1
 
 # Permissions.
-MAY_READ, MAY_WRITE, MAY_CREATE, MAY_DELETE, MAY_ADMIN, MAY_ALL = 1, 2, 4, 8, 16, 31
+PERM_READ, PERM_WRITE, PERM_CREATE, PERM_DELETE, PERM_ADMIN, PERM_ALL = 1, 2, 4, 8, 16, 31
 
 
 class Id(NamedTuple):
@@ -74,7 +74,7 @@
     version: int
     cversion: int
     aversion: int
-    owner: int  # the session of an ephemeral node, 0 of others
+    owner: int  # session of an ephemeral node, else 0
     length: int
     children: int
     pzxid: int
@@ -95,12 +95,12 @@
     password: Optional[bytes]
 
 
-class RequestHead(NamedTuple):
+class RequestHeader(NamedTuple):
     xid: int
     op: int
 
 
-class ReplyHead(NamedTuple):
+class ReplyHeader(NamedTuple):
     xid: int
     zxid: int
     err: int
@@ -141,15 +141,15 @@
     version: int
 
 
-class Watched(NamedTuple):
-    """exists, getData, getChildren and getChildren2 ask with this."""
+class WatchRequest(NamedTuple):
+    """Request of exists, getData, getChildren and getChildren2."""
 
     path: str
     watch: bool
 
 
-class OfPath(NamedTuple):
-    """getACL and sync ask with this, sync answers with it."""
+class PathRecord(NamedTuple):
+    """Request of getACL and sync, and reply of sync."""
 
     path: str
 
@@ -230,7 +230,7 @@
     err: int
 
 
-class MultiHead(NamedTuple):
+class MultiHeader(NamedTuple):
     op: int
     done: bool
     err: int
@@ -242,16 +242,16 @@
     Stat: ("i64", "i64", "i64", "i64", "i32", "i32", "i32", "i64", "i32", "i32", "i64"),
     ConnectRequest: ("i32", "i64", "i32", "i64", "buffer"),
     ConnectResponse: ("i32", "i32", "i64", "buffer"),
-    RequestHead: ("i32", "i32"),
-    ReplyHead: ("i32", "i64", "i32"),
+    RequestHeader: ("i32", "i32"),
+    ReplyHeader: ("i32", "i64", "i32"),
     WatchEvent: ("i32", "i32", "text"),
     Create: ("text", "buffer", [Acl], "i32"),
     CreateTtl: ("text", "buffer", [Acl], "i32", "i64"),
     Created: ("text",),
     Created2: ("text", Stat),
     Delete: ("text", "i32"),
-    Watched: ("text", "flag"),
-    OfPath: ("text",),
+    WatchRequest: ("text", "flag"),
+    PathRecord: ("text",),
     StatReply: (Stat,),
     DataReply: ("buffer", Stat),
     SetData: ("text", "buffer", "i32"),
@@ -266,40 +266,40 @@
     AddWatch: ("text", "i32"),
     RemoveWatches: ("text", "i32"),
     ErrorReply: ("i32",),
-    MultiHead: ("i32", "flag", "i32"),
+    MultiHeader: ("i32", "flag", "i32"),
 }
-for _made, _kinds in KINDS.items():
-    _made.KINDS = _kinds  # type: ignore[attr-defined]
-    record(_made)
+for _record_type, _kinds in KINDS.items():
+    _record_type.KINDS = _kinds  # type: ignore[attr-defined]
+    record(_record_type)
 
 
 class Multi(NamedTuple):
-    """Operations that all happen or none: (operation, its record) each."""
+    """Operations that are applied atomically, as (operation, record)."""
 
     ops: list[tuple[int, Any]]
 
 
 class MultiReply(NamedTuple):
-    """(operation, its answer or None, error code) each; where one failed all have an error."""
+    """Results as (operation, reply or None, error code); if one operation fails, all are errors."""
 
     results: list[tuple[int, Any, int]]
 
 
-# Operation -> (what it asks with, what it answers with); None: no body.
-SPOKEN: dict[int, tuple[Optional[type], Optional[type]]] = {
+# Operation -> (request type, reply type); None: no body.
+OPERATIONS: dict[int, tuple[Optional[type], Optional[type]]] = {
     CREATE: (Create, Created),
     CREATE2: (Create, Created2),
     CREATE_CONTAINER: (Create, Created2),
     CREATE_TTL: (CreateTtl, Created2),
     DELETE: (Delete, None),
-    EXISTS: (Watched, StatReply),
-    GET_DATA: (Watched, DataReply),
+    EXISTS: (WatchRequest, StatReply),
+    GET_DATA: (WatchRequest, DataReply),
     SET_DATA: (SetData, StatReply),
-    GET_ACL: (OfPath, AclReply),
+    GET_ACL: (PathRecord, AclReply),
     SET_ACL: (SetAcl, StatReply),
-    GET_CHILDREN: (Watched, ChildrenReply),
-    GET_CHILDREN2: (Watched, Children2Reply),
-    SYNC: (OfPath, OfPath),
+    GET_CHILDREN: (WatchRequest, ChildrenReply),
+    GET_CHILDREN2: (WatchRequest, Children2Reply),
+    SYNC: (PathRecord, PathRecord),
     CHECK: (Check, None),
     PING: (None, None),
     AUTH: (Auth, None),
@@ -310,64 +310,64 @@
     MULTI: (Multi, MultiReply),
     CLOSE: (None, None),
 }
-IN_MULTI = (CREATE, CREATE2, DELETE, SET_DATA, CHECK)
-OPS_MOST = 1_000  # operations of one multi
-END = MultiHead(-1, True, -1)
+MULTI_OPERATIONS = (CREATE, CREATE2, DELETE, SET_DATA, CHECK)
+MAX_MULTI_OPS = 1_000
+MULTI_END = MultiHeader(-1, True, -1)
 
 
 def write_body(writer: Writer, body: Any) -> None:
     if body is None:
         return
     if isinstance(body, Multi):
-        for op, one in body.ops:
-            write(writer, MultiHead, MultiHead(op, False, -1))
-            write(writer, type(one), one)
-        write(writer, MultiHead, END)
+        for op, record_body in body.ops:
+            write(writer, MultiHeader, MultiHeader(op, False, -1))
+            write(writer, type(record_body), record_body)
+        write(writer, MultiHeader, MULTI_END)
     elif isinstance(body, MultiReply):
-        for op, one, err in body.results:
-            if err or op == ERROR:  # those before a failed one are errors of code 0
-                write(writer, MultiHead, MultiHead(ERROR, False, err))
+        for op, record_body, err in body.results:
+            if err or op == ERROR:  # operations before the failed one have code 0
+                write(writer, MultiHeader, MultiHeader(ERROR, False, err))
                 write(writer, ErrorReply, ErrorReply(err))
             else:
-                write(writer, MultiHead, MultiHead(op, False, 0))
-                write_body(writer, one)
-        write(writer, MultiHead, END)
+                write(writer, MultiHeader, MultiHeader(op, False, 0))
+                write_body(writer, record_body)
+        write(writer, MultiHeader, MULTI_END)
     else:
         write(writer, type(body), body)
 
 
 def read_request(op: int, reader: Reader) -> Any:
-    """Raises Broken, and KeyError for an operation that is unknown."""
-    kind = SPOKEN[op][0]
+    """Raises ProtocolError, or KeyError for an unknown operation."""
+    kind = OPERATIONS[op][0]
     if kind is None:
         return None
     if kind is not Multi:
         return read(reader, kind)
     ops: list[tuple[int, Any]] = []
-    while not (head := read(reader, MultiHead)).done:
-        if head.op not in IN_MULTI or len(ops) >= OPS_MOST:
-            raise Broken(f"operation {head.op} as number {len(ops)} of a multi")
-        ops.append((head.op, read(reader, SPOKEN[head.op][0])))
+    while not (header := read(reader, MultiHeader)).done:
+        if header.op not in MULTI_OPERATIONS or len(ops) >= MAX_MULTI_OPS:
+            raise ProtocolError(f"invalid operation {header.op} at index {len(ops)} of a multi request")
+        ops.append((header.op, read(reader, OPERATIONS[header.op][0])))
     return Multi(ops)
 
 
 def read_reply(op: int, reader: Reader) -> Any:
-    kind = SPOKEN[op][1]
+    kind = OPERATIONS[op][1]
     if kind is None:
         return None
     if kind is not MultiReply:
         return read(reader, kind)
     results: list[tuple[int, Any, int]] = []
-    while not (head := read(reader, MultiHead)).done:
-        if len(results) >= OPS_MOST:
-            raise Broken(f"over {OPS_MOST} results of a multi")
-        if head.op == ERROR:
+    while not (header := read(reader, MultiHeader)).done:
+        if len(results) >= MAX_MULTI_OPS:
+            raise ProtocolError(f"more than {MAX_MULTI_OPS} results in a multi reply")
+        if header.op == ERROR:
             results.append((ERROR, None, read(reader, ErrorReply).err))
-        elif head.op in IN_MULTI:
-            below = SPOKEN[head.op][1]
-            results.append((head.op, read(reader, below) if below else None, 0))
+        elif header.op in MULTI_OPERATIONS:
+            reply_type = OPERATIONS[header.op][1]
+            results.append((header.op, read(reader, reply_type) if reply_type else None, 0))
         else:
-            raise Broken(f"operation {head.op} in the answer to a multi")
+            raise ProtocolError(f"invalid operation {header.op} in a multi reply")
     return MultiReply(results)
 
 
--- a/cedarshift/codec/zookeeper/session.py
+++ b/cedarshift/codec/zookeeper/session.py
@@ -1,11 +1,11 @@
-"""The states of one connection, from the client's side and from the server's. Free of I/O.
+"""Connection states of the client and the server side, without I/O.
 
-    client:  NEW --hello()--> GREETING --ConnectResponse--> OPEN --close/broken--> ENDED
-                                        \\--session 0------> EXPIRED
-    server:  NEW --ConnectRequest--> ASKED --welcome()--> OPEN --close/broken--> ENDED
+    client:  NEW --connect_request()--> CONNECTING --ConnectResponse--> OPEN --error--> ENDED
+                                                  \\--session 0------> EXPIRED
+    server:  NEW --ConnectRequest--> CONNECT_RECEIVED --connect_response()--> OPEN --error--> ENDED
 
-Answers come in the order of the requests, so an answer whose xid is not the next one awaited ends the connection, as does a
-zxid that runs back, and a watch event for a path that was never watched here.
+Replies arrive in the order of the requests. The client ends the connection on an unexpected xid, a decreasing
+zxid, or a watch event for a path that it does not watch.
 """
 
 from __future__ import annotations
@@ -15,18 +15,39 @@
 
 from cedarshift.codec.zookeeper import records as r
 from cedarshift.codec.zookeeper.errors import Code
-from cedarshift.codec.zookeeper.jute import FRAME_MOST, Broken, Frames, Reader, Writer, framed, read, write
-
-NEW, GREETING, ASKED, OPEN, EXPIRED, ENDED = "new", "greeting", "asked", "open", "expired", "ended"
-XID_MOST = (1 << 31) - 1
-PENDING_MOST = 10_000  # requests without an answer on one connection
-
-# Which events may come for a watch set by which operation.
-WATCHING = {r.EXISTS: "exists", r.GET_DATA: "data", r.GET_CHILDREN: "children", r.GET_CHILDREN2: "children"}
+from cedarshift.codec.zookeeper.jute import (
+    MAX_FRAME_BYTES,
+    Frames,
+    ProtocolError,
+    Reader,
+    Writer,
+    length_prefixed,
+    read,
+    write,
+)
+
+NEW, CONNECTING, CONNECT_RECEIVED, OPEN, EXPIRED, ENDED = (
+    "new",
+    "greeting",
+    "asked",
+    "open",
+    "expired",
+    "ended",
+)
+MAX_XID = (1 << 31) - 1
+MAX_PENDING_REQUESTS = 10_000  # per connection
+
+# Operations that can set a watch, and the kind of watch.
+WATCH_OPERATIONS = {
+    r.EXISTS: "exists",
+    r.GET_DATA: "data",
+    r.GET_CHILDREN: "children",
+    r.GET_CHILDREN2: "children",
+}
 
 
 class Reply(NamedTuple):
-    """An answer; `body` is None for an error."""
+    """A reply; `body` is None for an error."""
 
     xid: int
     op: int
@@ -36,16 +57,20 @@
 
 
 class Request(NamedTuple):
-    """What a client asks. `problem`: an error code to answer with in place of serving it."""
+    """A request. `error_code`: if not 0, the error to reply with instead of serving the request."""
 
     xid: int
     op: int
     body: Any
-    problem: int = 0
+    error_code: int = 0
 
 
 class ClientSession:
-    """`session` and `password`: of a session to go on with. `last_zxid`: the newest seen, so that an older server refuses."""
+    """Client side of a connection.
+
+    `session` and `password` identify a session to resume. `last_zxid` is the newest zxid seen; a server
+    that is behind it refuses the connection.
+    """
 
     def __init__(
         self,
@@ -54,7 +79,7 @@
         password: bytes = b"\0" * 16,
         last_zxid: int = 0,
         read_only: bool = False,
-        frame_most: int = FRAME_MOST,
+        max_frame_bytes: int = MAX_FRAME_BYTES,
     ) -> None:
         self.state = NEW
         self.timeout_ms = timeout_ms
@@ -63,16 +88,16 @@
         self.last_zxid = last_zxid
         self.read_only = read_only
         self.served_read_only = False
-        self.frames = Frames(frame_most)
+        self.frames = Frames(max_frame_bytes)
         self.xid = 0
         self.pending: deque[tuple[int, int, Any]] = deque()
         self.pings = 0
-        self.watched: set[str] = set()
-        self.trees: set[str] = set()  # watched with all that lies below
+        self.watched_paths: set[str] = set()
+        self.recursive_paths: set[str] = set()  # watched with their subtrees
 
-    def hello(self) -> bytes:
+    def connect_request(self) -> bytes:
         assert self.state == NEW
-        self.state = GREETING
+        self.state = CONNECTING
         writer = Writer()
         write(
             writer,
@@ -80,17 +105,17 @@
             r.ConnectRequest(0, self.last_zxid, self.timeout_ms, self.session, self.password),
         )
         writer.flag(self.read_only)
-        return framed(writer.done())
+        return length_prefixed(writer.done())
 
     def request(self, op: int, body: Any) -> tuple[int, bytes]:
-        """(xid, the frame). Raises Broken where too many wait for their answers."""
+        """Return (xid, frame). Raises ProtocolError if too many requests are pending."""
         assert self.state == OPEN, self.state
-        if len(self.pending) >= PENDING_MOST:
-            raise Broken(f"{len(self.pending)} requests wait for answers")
+        if len(self.pending) >= MAX_PENDING_REQUESTS:
+            raise ProtocolError(f"{len(self.pending)} requests are pending")
         if op in (r.AUTH, r.SET_WATCHES, r.SET_WATCHES2):
             xid = r.XID_AUTH if op == r.AUTH else r.XID_SET_WATCHES
         else:
-            self.xid = self.xid % XID_MOST + 1
+            self.xid = self.xid % MAX_XID + 1
             xid = self.xid
         self._expect_events(op, body)
         self.pending.append((xid, op, body))
@@ -103,150 +128,162 @@
 
     def _frame(self, xid: int, op: int, body: Any) -> bytes:
         writer = Writer()
-        write(writer, r.RequestHead, r.RequestHead(xid, op))
+        write(writer, r.RequestHeader, r.RequestHeader(xid, op))
         r.write_body(writer, body)
-        return framed(writer.done())
+        return length_prefixed(writer.done())
 
     def _expect_events(self, op: int, body: Any) -> None:
-        if op in WATCHING and body.watch:
-            self.watched.add(body.path)
+        if op in WATCH_OPERATIONS and body.watch:
+            self.watched_paths.add(body.path)
         elif op == r.ADD_WATCH:
-            (self.trees if body.mode == r.WATCH_RECURSIVE else self.watched).add(body.path)
+            (self.recursive_paths if body.mode == r.WATCH_RECURSIVE else self.watched_paths).add(body.path)
         elif op in (r.SET_WATCHES, r.SET_WATCHES2):
-            self.watched.update(body.data, body.exists, body.children)
+            self.watched_paths.update(body.data, body.exists, body.children)
             if op == r.SET_WATCHES2:
-                self.watched.update(body.persistent)
-                self.trees.update(body.recursive)
+                self.watched_paths.update(body.persistent)
+                self.recursive_paths.update(body.recursive)
 
     def feed(self, data: bytes) -> list[Any]:
-        """What came: a ConnectResponse once, then Reply and WatchEvent. Raises Broken; the connection has ended then."""
+        """Return the messages received: one ConnectResponse, then Reply and WatchEvent.
+
+        Raises ProtocolError, which ends the connection.
+        """
         found: list[Any] = []
         try:
             for frame in self.frames.feed(data):
-                got = self._greeted(Reader(frame)) if self.state == GREETING else self._heard(Reader(frame))
+                got = (
+                    self._on_connect_response(Reader(frame))
+                    if self.state == CONNECTING
+                    else self._on_frame(Reader(frame))
+                )
                 if got is not None:
                     found.append(got)
                 if self.state != OPEN:
                     break
-        except Broken:
+        except ProtocolError:
             self.state = ENDED
             raise
         return found
 
-    def _greeted(self, reader: Reader) -> r.ConnectResponse:
+    def _on_connect_response(self, reader: Reader) -> r.ConnectResponse:
         got = read(reader, r.ConnectResponse)
-        if reader.left():  # servers before 3.4 do not send it
+        if reader.remaining():  # absent from servers before 3.4
             self.served_read_only = reader.flag()
         reader.end()
         if got.session == 0 or got.timeout <= 0:
             self.state = EXPIRED
             return got
         if self.session and got.session != self.session:
-            raise Broken(f"asked for session {self.session:#x}, the server gives {got.session:#x}")
+            raise ProtocolError(f"requested session {self.session:#x}, the server returned {got.session:#x}")
         self.state = OPEN
         self.session, self.password, self.timeout_ms = got.session, got.password or b"", got.timeout
         return got
 
-    def _heard(self, reader: Reader) -> Any:
+    def _on_frame(self, reader: Reader) -> Any:
         if self.state != OPEN:
-            raise Broken(f"a frame in state {self.state}")
-        head = read(reader, r.ReplyHead)
-        if head.xid == r.XID_WATCH:
+            raise ProtocolError(f"unexpected frame in state {self.state}")
+        header = read(reader, r.ReplyHeader)
+        if header.xid == r.XID_WATCH:
             return self._event(reader)
-        if head.zxid > 0:
-            if head.zxid < self.last_zxid:
-                raise Broken(f"the server's zxid runs back from {self.last_zxid:#x} to {head.zxid:#x}")
-            self.last_zxid = head.zxid
-        if head.xid == r.XID_PING:
+        if header.zxid > 0:
+            if header.zxid < self.last_zxid:
+                raise ProtocolError(
+                    f"the server's zxid decreased from {self.last_zxid:#x} to {header.zxid:#x}"
+                )
+            self.last_zxid = header.zxid
+        if header.xid == r.XID_PING:
             if not self.pings:
-                raise Broken("an answer to a ping that was not sent")
+                raise ProtocolError("reply to a ping that was not sent")
             self.pings -= 1
             return None
-        if not self.pending or self.pending[0][0] != head.xid:
-            wanted = self.pending[0][0] if self.pending else "none"
-            raise Broken(f"an answer to xid {head.xid}, awaited is {wanted}")
+        if not self.pending or self.pending[0][0] != header.xid:
+            expected = self.pending[0][0] if self.pending else "none"
+            raise ProtocolError(f"reply to xid {header.xid}, expected xid: {expected}")
         xid, op, _ = self.pending.popleft()
-        if head.err:
-            return Reply(xid, op, head.zxid, head.err, None)
+        if header.err:
+            return Reply(xid, op, header.zxid, header.err, None)
         body = r.read_reply(op, reader)
         reader.end()
-        return Reply(xid, op, head.zxid, 0, body)
+        return Reply(xid, op, header.zxid, 0, body)
 
     def _event(self, reader: Reader) -> r.WatchEvent:
         event = read(reader, r.WatchEvent)
         reader.end()
         if (
             event.kind != r.NO_EVENT
-            and event.path not in self.watched
+            and event.path not in self.watched_paths
             and not any(
-                event.path == top or event.path.startswith(top.rstrip("/") + "/") for top in self.trees
+                event.path == prefix or event.path.startswith(prefix.rstrip("/") + "/")
+                for prefix in self.recursive_paths
             )
         ):
-            raise Broken(f"a watch event for {event.path!r}, which was never watched here")
+            raise ProtocolError(f"watch event for {event.path!r}, which is not watched")
         return event
 
 
 class ServerSession:
-    """One client's connection, as a server has it."""
+    """Server side of a connection."""
 
-    def __init__(self, frame_most: int = 1 << 20) -> None:
+    def __init__(self, max_frame_bytes: int = 1 << 20) -> None:
         self.state = NEW
-        self.frames = Frames(frame_most)
+        self.frames = Frames(max_frame_bytes)
         self.asked: Optional[r.ConnectRequest] = None
         self.read_only = False
 
     def feed(self, data: bytes) -> list[Any]:
-        """A ConnectRequest once, then Request. Raises Broken."""
+        """Return the messages received: one ConnectRequest, then Request. Raises ProtocolError."""
         found: list[Any] = []
         try:
             for frame in self.frames.feed(data):
                 reader = Reader(frame)
                 if self.state == NEW:
                     self.asked = read(reader, r.ConnectRequest)
-                    self.read_only = reader.flag() if reader.left() else False
+                    self.read_only = reader.flag() if reader.remaining() else False
                     reader.end()
-                    self.state = ASKED
+                    self.state = CONNECT_RECEIVED
                     found.append(self.asked)
                 elif self.state == OPEN:
                     found.append(self._request(reader))
                 else:
-                    raise Broken(f"a frame in state {self.state}")
-        except Broken:
+                    raise ProtocolError(f"unexpected frame in state {self.state}")
+        except ProtocolError:
             self.state = ENDED
             raise
         return found
 
     def _request(self, reader: Reader) -> Request:
-        head = read(reader, r.RequestHead)
-        if head.op not in r.SPOKEN:
-            return Request(head.xid, head.op, None, Code.UNIMPLEMENTED)
-        body = r.read_request(head.op, reader)
+        header = read(reader, r.RequestHeader)
+        if header.op not in r.OPERATIONS:
+            return Request(header.xid, header.op, None, Code.UNIMPLEMENTED)
+        body = r.read_request(header.op, reader)
         reader.end()
-        return Request(head.xid, head.op, body)
+        return Request(header.xid, header.op, body)
 
-    def welcome(self, timeout_ms: int, session: int, password: bytes, read_only: bool = False) -> bytes:
-        """Session 0 tells that it has expired."""
-        assert self.state == ASKED
+    def connect_response(
+        self, timeout_ms: int, session: int, password: bytes, read_only: bool = False
+    ) -> bytes:
+        """Return the connect response; session 0 means that the session has expired."""
+        assert self.state == CONNECT_RECEIVED
         self.state = OPEN if session else EXPIRED
         writer = Writer()
         write(
             writer, r.ConnectResponse, r.ConnectResponse(0, timeout_ms if session else 0, session, password)
         )
         writer.flag(read_only)
-        return framed(writer.done())
+        return length_prefixed(writer.done())
 
     def reply(self, xid: int, zxid: int, err: int, body: Any = None) -> bytes:
         writer = Writer()
-        write(writer, r.ReplyHead, r.ReplyHead(xid, zxid, err))
+        write(writer, r.ReplyHeader, r.ReplyHeader(xid, zxid, err))
         if not err:
             r.write_body(writer, body)
-        return framed(writer.done())
+        return length_prefixed(writer.done())
 
     def event(self, event: r.WatchEvent) -> bytes:
         writer = Writer()
-        write(writer, r.ReplyHead, r.ReplyHead(r.XID_WATCH, -1, 0))
+        write(writer, r.ReplyHeader, r.ReplyHeader(r.XID_WATCH, -1, 0))
         write(writer, r.WatchEvent, event)
-        return framed(writer.done())
+        return length_prefixed(writer.done())
 
 
 __all__ = ["ClientSession", "ENDED", "EXPIRED", "OPEN", "Reply", "Request", "ServerSession"]
--- a/cedarshift/gossip/member.py
+++ b/cedarshift/gossip/member.py
@@ -1,8 +1,10 @@
-"""One member, free of I/O: what it hears and the time go in, datagrams and wishes for streams come out.
+"""Gossip member without I/O: takes datagrams, frames and the time, and returns datagrams and stream requests.
 
-Records that are new to it ride on what it sends anyway, each a bounded number of times, the newest first; a peer whose digest
-stays another one is asked for everything by a stream. What a datagram is about its receiver (a verdict, a report, a newer life)
-always rides along: so that it can answer.
+New records are piggybacked on outgoing messages, each a bounded number of times, newest first. If a peer's
+digest stays different, the full state is exchanged over a stream. Records about the receiver of a message are
+always included, so that it can refute them.
+
+All times are in microseconds.
 """
 
 from __future__ import annotations
@@ -19,44 +21,39 @@
 
 Address = tuple[str, int]
 
-# Constants: unit, then the reason for the size.
-TOLD_LEAST = 6  # times that a record is told on in the smallest fleet, with some lost
-TOLD_MORE = 0.5  # times log2 of the members more: an epidemic needs few where each tells six others
-LOOKS = 4  # times a period that the roll is looked at, at most, where nothing is due sooner
-VOUCH_PART = 2.5  # periods that an answered probe is good for a voucher: a slow one answers late, and a report takes three
-VOUCH_AGAIN = VOUCHER_PERIODS / 3  # periods after which a voucher is given anew while reports stand
-UNLIKE_FOR = 3.0  # periods that a peer's digest may differ from one's own before everything is exchanged
-EXCHANGE_EVERY = 2.0  # periods between two exchanges begun by one member
-EXCHANGE_WITHIN = 1.0  # periods that one may take
-ANSWER_PUT_OFF = (
-    32  # periods at most that a member which is called dead time and again waits before it answers
-)
-ANSWERS_KEPT = 60.0  # periods over which its answers count
-SEND_CAP = 12  # datagrams a subject and period, over all reasons: a bound, several times what is usual
-WINDOW = 64  # newest numbers of a sender by which a datagram that comes again is told
-LEAVING_TOLD = 12  # members that hear of a leaving at once
-BODY_ROOM = (
-    g.DATAGRAM_MOST - g.HEAD.size - 150
-)  # bytes for records, besides names and numbers of the body itself
+MIN_TRANSMISSIONS = 6  # times a record is sent in the smallest fleet
+TRANSMISSIONS_PER_LOG2_MEMBERS = 0.5  # further transmissions in larger fleets
+MAX_UPDATES_PER_PERIOD = 4  # evaluations of the member table
+MAX_VOUCHER_AGE_PERIODS = 2.5  # age up to which an answered probe justifies a voucher
+VOUCHER_RENEWAL_PERIODS = VOUCHER_PERIODS / 3  # while silence reports exist
+DIGEST_MISMATCH_PERIODS = 3.0  # before a full state exchange
+EXCHANGE_INTERVAL_PERIODS = 2.0  # minimum between two exchanges started by one member
+EXCHANGE_TIMEOUT_PERIODS = 1.0
+MAX_REFUTATION_DELAY_PERIODS = 32  # of a member that is repeatedly declared dead
+REFUTATION_MEMORY_PERIODS = 60.0  # for which past refutations count towards the delay
+MAX_DATAGRAMS_PER_SUBJECT = 12  # sent per period
+REPLAY_WINDOW_SIZE = 64  # sequence numbers per sender
+LEAVE_RECIPIENTS = 12  # members notified directly of a departure
+MAX_RECORDS_BYTES = g.DATAGRAM_MOST - g.HEAD.size - 150  # in one datagram, besides the fixed fields
 
 
 class Routes(NamedTuple):
-    """Where a member may be reached: as configured, and where its newest datagram came from."""
+    """Addresses of a member: the configured one, and the source of its newest datagram."""
 
     configured: Optional[Address]
     seen: Optional[Address]
 
 
-class Wish(NamedTuple):
-    """A stream to be opened to `address`; `data` is the first frame, sealed. Its answer goes to `hear_stream`."""
+class StreamRequest(NamedTuple):
+    """A stream to open to `address`. `data`: the sealed first frame. The reply goes to `Member.on_frame`."""
 
     name: str
     address: Address
     data: bytes
 
 
-class Help(NamedTuple):
-    """A probe sent for another."""
+class RelayedProbe(NamedTuple):
+    """An indirect probe sent on behalf of another member."""
 
     asker: Address
     nonce: int
@@ -65,7 +62,7 @@
 
 
 class Rider(NamedTuple):
-    """What a member tells beside the roll; `at`: when it held, by this one's clock."""
+    """Application payload of a member that travels with its messages. `at`: its local time of origin (us)."""
 
     start: int
     seq: int
@@ -73,15 +70,16 @@
     payload: bytes
 
 
-class Window:
-    """Which numbers of a sender's life were heard (RFC 4303, section 3.4.3)."""
+class ReplayWindow:
+    """Anti-replay window over the sequence numbers of one sender (RFC 4303, section 3.4.3)."""
 
     def __init__(self) -> None:
         self.start = -1
         self.newest = 0
         self.seen = 0
 
-    def fresh(self, start: int, seq: int) -> bool:
+    def accept(self, start: int, seq: int) -> bool:
+        """Record a sequence number; return False if it is a duplicate or too old."""
         if start != self.start:
             if start < self.start:
                 return False
@@ -89,18 +87,22 @@
             return True
         ahead = seq - self.newest
         if ahead > 0:
-            self.seen = (self.seen << min(ahead, WINDOW) | 1) & ((1 << WINDOW) - 1)
+            self.seen = (self.seen << min(ahead, REPLAY_WINDOW_SIZE) | 1) & ((1 << REPLAY_WINDOW_SIZE) - 1)
             self.newest = seq
             return True
-        if -ahead >= WINDOW or self.seen >> -ahead & 1:
+        if -ahead >= REPLAY_WINDOW_SIZE or self.seen >> -ahead & 1:
             return False
         self.seen |= 1 << -ahead
         return True
 
 
 class Member:
-    """`addresses`: of all configured members by name, this one's among them; some may be wrong. `start` grows from one life
-    of a name to the next. `on_change(change)` hears of each change of the roll."""
+    """One member of the gossip group.
+
+    `addresses` holds all configured members by name, including this one. `period` is the probe period (us).
+    `start` identifies the life of the process and increases with each restart. `on_change(now, change)` is
+    called for each state change in the member table.
+    """
 
     def __init__(
         self,
@@ -116,42 +118,40 @@
         self.me = me
         self.seal = seal
         self.period = period
-        self.chance = Lcg(seed)
+        self.rng = Lcg(seed)
         self.start = start
         self.incarnation = 0
         self.on_change = on_change
-        self.roll = MemberTable(me, addresses, period)
-        self.detector = Detector(
-            period, self.chance, now + self.chance.draw(period), self._usable, self._vouchers
-        )
+        self.table = MemberTable(me, addresses, period)
+        self.detector = Detector(period, self.rng, now + self.rng.draw(period), self._usable, self._vouchers)
         self.routes = {name: Routes(address, None) for name, address in addresses.items()}
-        self.windows: dict[str, Window] = {}
+        self.windows: dict[str, ReplayWindow] = {}
         self.out: list[tuple[Address, bytes]] = []
-        self.wishes: list[Wish] = []
-        self.queue: OrderedDict[tuple, int] = OrderedDict()  # what is still to be told -> how often
-        self.told_times = TOLD_LEAST + math.ceil(TOLD_MORE * math.log2(len(addresses) + 1))
-        self.riders: dict[str, Rider] = {}  # the newest of each, this one's own among them
-        self.rider_queue: OrderedDict[str, int] = (
-            OrderedDict()
-        )  # others' that are still to be told on -> how often
+        self.stream_requests: list[StreamRequest] = []
+        self.queue: OrderedDict[tuple, int] = OrderedDict()  # record key -> transmissions left
+        self.max_transmissions = MIN_TRANSMISSIONS + math.ceil(
+            TRANSMISSIONS_PER_LOG2_MEMBERS * math.log2(len(addresses) + 1)
+        )
+        self.riders: dict[str, Rider] = {}  # newest per member, including this one
+        self.rider_queue: OrderedDict[str, int] = OrderedDict()  # member -> transmissions left
         self.seq = 0
         self.edge_seq = 0
-        self.helping: dict[int, Help] = {}
-        self.unlike: dict[str, int] = {}  # peers whose digest is another one -> since when
+        self.relayed_probes: dict[int, RelayedProbe] = {}
+        self.mismatched_since: dict[str, int] = {}  # peer with a different digest -> first seen at
         self.digest_since = now
         self.digest = 0
         self.exchanging_until = 0
         self.exchange_at = now
-        self.reach_at = now
-        self.look_at = now
-        self.vouch_at = 1 << 62  # when reports that stand are looked at again for what this one hears
-        self.answers: list[int] = []  # when verdicts on this member were answered
-        self.answer_at: Optional[int] = None
-        self.young = True  # nobody has answered this life yet
+        self.next_absent_ping_at = now
+        self.next_update_at = now
+        self.vouch_at = 1 << 62  # next renewal of vouchers
+        self.refutations: list[int] = []  # times of recent refutations
+        self.refute_at: Optional[int] = None
+        self.unconfirmed = True  # no reply received in this life yet
         self.superseded = False
         self.left = False
-        self.sent_at = now
-        self.room = float(self._cap())
+        self.tokens_at = now
+        self.send_tokens = float(self._send_burst())
         self.counts = {
             "datagrams_sent": 0,
             "datagrams_heard": 0,
@@ -167,67 +167,77 @@
                 for why in ("short", "long", "foreign", "version", "proof", "body", "unknown")
             },
         }
-        self._say_word()
-        self._watch(now)
+        self._announce()
+        self._update_subjects(now)
 
     # ---- time
 
     def due(self) -> int:
-        """When `tick` is wanted next."""
+        """Return the time of the next call to `tick`."""
         if self.superseded or self.left:
             return 1 << 62
         times = [
             self.detector.due(),
-            self.reach_at,
-            max(self.look_at, 0 if self.roll.needs_update else min(self.roll.look_at, self.vouch_at)),
+            self.next_absent_ping_at,
+            max(
+                self.next_update_at, 0 if self.table.needs_update else min(self.table.look_at, self.vouch_at)
+            ),
         ]
-        if self.helping:
-            times.append(min(h.sent for h in self.helping.values()) + int(NACK_TIMEOUT_PERIODS * self.period))
-        if self.answer_at is not None:
-            times.append(self.answer_at)
+        if self.relayed_probes:
+            times.append(
+                min(h.sent for h in self.relayed_probes.values()) + int(NACK_TIMEOUT_PERIODS * self.period)
+            )
+        if self.refute_at is not None:
+            times.append(self.refute_at)
         return min(times)
 
     def tick(self, now: int) -> None:
+        """Run all timers that are due."""
         if self.superseded or self.left:
             return
-        asks, found = self.detector.step(now)
+        probe_requests, found = self.detector.step(now)
         for one in found:
             self._report(now, one)
-        for ask in asks:
-            self._carry_out(now, ask)
-        self._decline_late(now)
-        if now >= self.reach_at:
-            self.reach_at = now + self.period
-            self._reach_out(now)
-        if self.answer_at is not None and now >= self.answer_at:
-            self._answer_verdict(now)
-        if now >= self.look_at and (self.roll.needs_update or now >= min(self.roll.look_at, self.vouch_at)):
-            self._look(now)
-
-    def _look(self, now: int) -> None:
-        self.look_at = now + self.period // LOOKS
-        self.vouch_at = now + self.period if self._vouch(now) else 1 << 62
-        changes = self.roll.update_states(now, self.detector.health, self.detector.heard_at)
+        for probe_request in probe_requests:
+            self._send_probe(now, probe_request)
+        self._send_due_nacks(now)
+        if now >= self.next_absent_ping_at:
+            self.next_absent_ping_at = now + self.period
+            self._ping_absent(now)
+        if self.refute_at is not None and now >= self.refute_at:
+            self._refute_verdict(now)
+        if now >= self.next_update_at and (
+            self.table.needs_update or now >= min(self.table.look_at, self.vouch_at)
+        ):
+            self._update_states(now)
+
+    def _update_states(self, now: int) -> None:
+        self.next_update_at = now + self.period // MAX_UPDATES_PER_PERIOD
+        self.vouch_at = now + self.period if self._renew_vouchers(now) else 1 << 62
+        changes = self.table.update_states(now, self.detector.health, self.detector.heard_at)
         for change in changes:
             self.counts["changes"] += 1
-            if change.after == DEAD and change.name in self.roll.verdicts:
-                self._queue(("v", change.name))
+            if change.after == DEAD and change.name in self.table.verdicts:
+                self._enqueue(("v", change.name))
             self.on_change(now, change)
         if changes:
-            self._watch(now)
-        if self.roll.dead(self.me) is not None and self.answer_at is None:
-            self.answers = [at for at in self.answers if now - at < ANSWERS_KEPT * self.period]
-            wait = min(ANSWER_PUT_OFF, 2 ** len(self.answers) - 1)
-            self.answer_at = now + wait * self.period
-
-    def _watch(self, now: int) -> None:
-        told = [name for name in self._usable() if self._told_silent(name)]
-        self.detector.observe(now, [*self.roll.subjects(), *told])
-        for name in told:  # out of view meanwhile or not: a silence that was told is lifted by who told it
+            self._update_subjects(now)
+        if self.table.dead(self.me) is not None and self.refute_at is None:
+            self.refutations = [
+                at for at in self.refutations if now - at < REFUTATION_MEMORY_PERIODS * self.period
+            ]
+            wait = min(MAX_REFUTATION_DELAY_PERIODS, 2 ** len(self.refutations) - 1)
+            self.refute_at = now + wait * self.period
+
+    def _update_subjects(self, now: int) -> None:
+        reported_silent = [name for name in self._usable() if self._reported_silent(name)]
+        self.detector.observe(now, [*self.table.subjects(), *reported_silent])
+        # A silence is withdrawn by its reporter, even if the subject is no longer assigned to it.
+        for name in reported_silent:
             self.detector.subjects[name].silent = True
 
-    def _told_silent(self, name: str) -> bool:
-        own, word = self.roll.edges.get(name, {}).get(self.me), self.roll.words.get(name)
+    def _reported_silent(self, name: str) -> bool:
+        own, word = self.table.edges.get(name, {}).get(self.me), self.table.words.get(name)
         return (
             own is not None
             and word is not None
@@ -236,110 +246,120 @@
         )
 
     def _usable(self) -> list[str]:
-        return [name for name in self.roll.names if name != self.me and self.roll.usable(name)]
+        return [name for name in self.table.names if name != self.me and self.table.usable(name)]
 
     def _vouchers(self, subject: str) -> list[str]:
         return [
             observer
-            for observer, edge in self.roll.edges.get(subject, {}).items()
-            if edge.hears and observer != self.me and self.roll.usable(observer)
+            for observer, edge in self.table.edges.get(subject, {}).items()
+            if edge.hears and observer != self.me and self.table.usable(observer)
         ]
 
-    # ---- what is found
+    # ---- observations
 
     def _report(self, now: int, found: Reachability) -> None:
-        word = self.roll.words.get(found.subject)
+        word = self.table.words.get(found.subject)
         if word is None:
             return
         self.edge_seq += 1
         edge = Edge(
             self.start, self.edge_seq, found.at, self.incarnation, found.hears, word.start, word.incarnation
         )
-        if self.roll.merge_edge(now, self.me, found.subject, edge):
-            self._queue(("e", self.me, found.subject))
+        if self.table.merge_edge(now, self.me, found.subject, edge):
+            self._enqueue(("e", self.me, found.subject))
 
-    def _vouch(self, now: int) -> bool:
-        """For those whom others report and this one hears; whether anyone is reported."""
+    def _renew_vouchers(self, now: int) -> bool:
+        """Vouch for members that others report silent but this one hears. Return whether any are reported."""
         reported = False
-        for name, edges in list(self.roll.edges.items()):
+        for name, edges in list(self.table.edges.items()):
             if (
                 name == self.me
-                or self.roll.states[name] == DEAD
+                or self.table.states[name] == DEAD
                 or all(edge.hears for edge in edges.values())
             ):
                 continue
             reported = True
             heard = self.detector.heard_at(name)
             own = edges.get(self.me)
-            if heard is None or now - heard > VOUCH_PART * self.period:
+            if heard is None or now - heard > MAX_VOUCHER_AGE_PERIODS * self.period:
                 continue
-            word = self.roll.words.get(name)
+            word = self.table.words.get(name)
             fits = (
                 own is not None
                 and word is not None
                 and own[5:] == (word.start, word.incarnation)
                 and own[3] == self.incarnation
             )
-            if own is None or not fits or not own.hears or heard - own.at >= VOUCH_AGAIN * self.period:
+            if (
+                own is None
+                or not fits
+                or not own.hears
+                or heard - own.at >= VOUCHER_RENEWAL_PERIODS * self.period
+            ):
                 self._report(now, Reachability(name, True, heard))
         return reported
 
-    def _answer_verdict(self, now: int) -> None:
-        """A verdict on this member, which it has put off answering where it had to before."""
-        self.answer_at = None
-        if self.roll.dead(self.me) is None:
+    def _refute_verdict(self, now: int) -> None:
+        """Refute a death verdict on this member by a higher incarnation."""
+        self.refute_at = None
+        if self.table.dead(self.me) is None:
             return
-        self.answers.append(now)
+        self.refutations.append(now)
         self.counts["answers"] += 1
         self.incarnation += 1
-        self._say_word()
-        for subject, edges in list(
-            self.roll.edges.items()
-        ):  # what it has found holds for this incarnation too
+        self._announce()
+        # Reissue this member's own silence reports under the new incarnation.
+        for subject, edges in list(self.table.edges.items()):
             own = edges.get(self.me)
             if own is not None and not own.hears:
                 self._report(now, Reachability(subject, False, own.at))
 
-    def _say_word(self) -> None:
-        self.roll.merge_word(self.me, Word(self.start, self.left, self.incarnation))
-        self._queue(("w", self.me))
+    def _announce(self) -> None:
+        self.table.merge_word(self.me, Word(self.start, self.left, self.incarnation))
+        self._enqueue(("w", self.me))
 
     # ---- sending
 
-    def _carry_out(self, now: int, ask: ProbeRequest) -> None:
-        address = self._route(ask.to, now)
+    def _send_probe(self, now: int, probe_request: ProbeRequest) -> None:
+        address = self._route(probe_request.to, now)
         if address is None:
             return
-        if ask.how == "ping":
-            self._send(now, address, g.PING, ask.to, ask.nonce)
-        elif ask.how == "help":
-            self._send(now, address, g.HELP, ask.to, ask.nonce, ask.about)
+        if probe_request.how == "ping":
+            self._send(now, address, g.PING, probe_request.to, probe_request.nonce)
+        elif probe_request.how == "help":
+            self._send(now, address, g.HELP, probe_request.to, probe_request.nonce, probe_request.about)
         else:
-            self.wishes.append(
-                Wish(ask.to, address, self.seal.close(self._body(now, g.PING, ask.to, ask.nonce)))
+            self.stream_requests.append(
+                StreamRequest(
+                    probe_request.to,
+                    address,
+                    self.seal.close(self._body(now, g.PING, probe_request.to, probe_request.nonce)),
+                )
             )
 
     def _route(self, name: str, now: int) -> Optional[Address]:
-        """As configured; where that brought no answer, in turn with where the member was last seen."""
+        """Return the configured address, or at random the last seen one if the member does not answer."""
         routes = self.routes[name]
         subject = self.detector.subjects.get(name)
-        doubted = self.roll.states[name] in (UNHEARD, DEAD) or (
+        doubted = self.table.states[name] in (UNHEARD, DEAD) or (
             subject is not None and len(subject.missed) > 1
         )
-        if routes.seen is not None and (routes.configured is None or (doubted and self.chance.draw(2))):
+        if routes.seen is not None and (routes.configured is None or (doubted and self.rng.draw(2))):
             return routes.seen
         return routes.configured
 
-    def _cap(self) -> int:
-        return SEND_CAP * (self.roll.rings.count + 2)
+    def _send_burst(self) -> int:
+        return MAX_DATAGRAMS_PER_SUBJECT * (self.table.rings.count + 2)
 
     def _send(self, now: int, address: Address, kind: int, to: str, nonce: int = 0, about: str = "") -> None:
-        self.room = min(self._cap(), self.room + (now - self.sent_at) / self.period * self._cap())
-        self.sent_at = now
-        if self.room < 1:
+        self.send_tokens = min(
+            self._send_burst(), self.send_tokens + (now - self.tokens_at) / self.period * self._send_burst()
+        )
+        self.tokens_at = now
+        if self.send_tokens < 1:
             self.counts["capped"] += 1
             return
-        self.room -= 1
+        self.send_tokens -= 1
         sealed = self.seal.close(self._body(now, kind, to, nonce, about))
         self.counts["datagrams_sent"] += 1
         self.counts["bytes_sent"] += len(sealed)
@@ -348,47 +368,50 @@
     def _body(self, now: int, kind: int, to: str, nonce: int, about: str = "") -> Body:
         self.seq += 1
         body = Body(kind, self.me, self.start, self.incarnation, self.seq, nonce, about, self._digest())
-        room = BODY_ROOM - len(self.me) - len(about)
+        available = MAX_RECORDS_BYTES - len(self.me) - len(about)
         chosen: dict[tuple, None] = {}
         subject = self.detector.subjects.get(to)
-        heard = subject is None or not subject.missed  # what may be lost in a cut is not told yet
-        for key in self._about(to):
-            room -= self._size(key)
+        heard = subject is None or not subject.missed  # else the message is likely lost: not counted
+        for key in self._records_about(to):
+            available -= self._encoded_size(key)
             chosen[key] = None
-        room = self._ride(body, room, now, [self.me])
+        available = self._add_riders(body, available, now, [self.me])
         for key in list(self.queue):
-            size = self._size(key)
-            if size > room:
+            size = self._encoded_size(key)
+            if size > available:
                 break
             if key in chosen:
                 continue
-            room -= size
+            available -= size
             chosen[key] = None
             if heard:
-                self._told(key)
-        self._ride(body, room, now, list(self.rider_queue))
+                self._count_transmission(key)
+        self._add_riders(body, available, now, list(self.rider_queue))
         for key in chosen:
-            self._put(body, key, now)
+            self._add_record(body, key, now)
         return body
 
     # ---- riders
 
-    def carry(self, now: int, payload: bytes) -> None:
-        """What this member tells from now on, in the place of what it told before."""
+    def set_rider(self, now: int, payload: bytes) -> None:
+        """Set the payload that this member attaches to its messages."""
         assert len(payload) <= g.RIDER_MOST, len(payload)
-        former = self.riders.get(self.me)
+        previous = self.riders.get(self.me)
         self.riders[self.me] = Rider(
-            self.start, 1 if former is None or former.start != self.start else former.seq + 1, now, payload
+            self.start,
+            1 if previous is None or previous.start != self.start else previous.seq + 1,
+            now,
+            payload,
         )
 
-    def _ride(self, body: Body, room: int, now: int, names: list[str]) -> int:
-        """Puts in what fits, each told on a bounded number of times but for one's own; the room that is left."""
+    def _add_riders(self, body: Body, available: int, now: int, names: list[str]) -> int:
+        """Add the named riders that fit into `available` bytes; return the bytes left."""
         for name in names:
             rider = self.riders.get(name)
-            size = 0 if rider is None else len(name) + len(rider.payload) + 35  # at most, as msgpack
-            if rider is None or size > room:
+            size = 0 if rider is None else len(name) + len(rider.payload) + 35  # upper bound
+            if rider is None or size > available:
                 continue
-            room -= size
+            available -= size
             body.riders = [
                 *body.riders,
                 RiderOf(name, rider.start, rider.seq, max(0, now - rider.at), rider.payload),
@@ -398,57 +421,57 @@
                 self.rider_queue.move_to_end(name)
                 if self.rider_queue[name] <= 0:
                     del self.rider_queue[name]
-        return room
+        return available
 
-    def _take_rider(self, now: int, said: RiderOf) -> None:
-        if said.name == self.me or said.name not in self.routes:
+    def _merge_rider(self, now: int, record: RiderOf) -> None:
+        if record.name == self.me or record.name not in self.routes:
             return
-        held = self.riders.get(said.name)
-        if held is None or (said.start, said.seq) > (held.start, held.seq):
-            self.riders[said.name] = Rider(said.start, said.seq, now - said.age, said.payload)
-            self.rider_queue[said.name] = self.told_times
-            self.rider_queue.move_to_end(said.name, last=False)
-
-    def _about(self, to: str) -> list[tuple]:
-        """What the receiver has to answer or to know of itself."""
-        keys: list[tuple] = [("w", to)] if to in self.roll.words else []
-        if self.roll.dead(to) is not None:
+        held = self.riders.get(record.name)
+        if held is None or (record.start, record.seq) > (held.start, held.seq):
+            self.riders[record.name] = Rider(record.start, record.seq, now - record.age, record.payload)
+            self.rider_queue[record.name] = self.max_transmissions
+            self.rider_queue.move_to_end(record.name, last=False)
+
+    def _records_about(self, to: str) -> list[tuple]:
+        """Return the keys of the records about `to` itself."""
+        keys: list[tuple] = [("w", to)] if to in self.table.words else []
+        if self.table.dead(to) is not None:
             keys.append(("v", to))
         return keys
 
     @staticmethod
-    def _size(key: tuple) -> int:
-        """At most, as msgpack: numbers take nine bytes, names their length and two."""
+    def _encoded_size(key: tuple) -> int:
+        """Return an upper bound of the record's msgpack size in bytes."""
         return sum(len(part) + 2 for part in key[1:]) + {"w": 21, "e": 57, "v": 30}[key[0]]
 
-    def _queue(self, key: tuple) -> None:
-        self.queue[key] = self.told_times
+    def _enqueue(self, key: tuple) -> None:
+        self.queue[key] = self.max_transmissions
         self.queue.move_to_end(key, last=False)
 
-    def _told(self, key: tuple) -> None:
-        """Told once more; the others come first next time."""
+    def _count_transmission(self, key: tuple) -> None:
+        """Count one transmission of a record and move it to the end of the queue."""
         self.queue[key] -= 1
         if self.queue[key] <= 0:
             del self.queue[key]
         else:
             self.queue.move_to_end(key)
 
-    def _put(self, body: Body, key: tuple, now: int) -> None:
-        roll = self.roll
-        if key[0] == "w" and key[1] in roll.words:
-            word = roll.words[key[1]]
+    def _add_record(self, body: Body, key: tuple, now: int) -> None:
+        table = self.table
+        if key[0] == "w" and key[1] in table.words:
+            word = table.words[key[1]]
             body.words = [*body.words, WordOf(key[1], word.start, word.left, word.incarnation)]
         elif key[0] == "v":
-            verdict = roll.verdicts.get(key[1]) or roll.minority_verdicts.get(key[1])
+            verdict = table.verdicts.get(key[1]) or table.minority_verdicts.get(key[1])
             if verdict is not None:
                 body.verdicts = [*body.verdicts, VerdictOf(key[1], *verdict)]
         elif key[0] == "e":
-            edge = roll.edges.get(key[2], {}).get(key[1])
+            edge = table.edges.get(key[2], {}).get(key[1])
             if edge is not None:
-                body.edges = [*body.edges, self._edge_of(key[1], key[2], edge, now)]
+                body.edges = [*body.edges, self._edge_record(key[1], key[2], edge, now)]
 
     @staticmethod
-    def _edge_of(observer: str, subject: str, edge: Edge, now: int) -> EdgeOf:
+    def _edge_record(observer: str, subject: str, edge: Edge, now: int) -> EdgeOf:
         return EdgeOf(
             observer,
             subject,
@@ -461,69 +484,75 @@
             edge.incarnation,
         )
 
-    def _reach_out(self, now: int) -> None:
-        """To one a period of those that are not observed: dead ones may be back, unheard ones may have come."""
+    def _ping_absent(self, now: int) -> None:
+        """Ping one dead or unheard member: it may have started since."""
         away = [
-            name for name in self.roll.names if name != self.me and self.roll.states[name] in (DEAD, UNHEARD)
+            name
+            for name in self.table.names
+            if name != self.me and self.table.states[name] in (DEAD, UNHEARD)
         ]
         if away:
-            name = self.chance.pick(away)
+            name = self.rng.pick(away)
             address = self._route(name, now)
             if address is not None:
                 self._send(now, address, g.PING, name, self.detector.nonce())
-        if self.young and now >= self.exchange_at:
-            others = [name for name in self.roll.names if name != self.me]
+        if self.unconfirmed and now >= self.exchange_at:
+            others = [name for name in self.table.names if name != self.me]
             if others:
-                self._exchange(now, self.chance.pick(others))
+                self._exchange(now, self.rng.pick(others))
 
-    def _decline_late(self, now: int) -> None:
+    def _send_due_nacks(self, now: int) -> None:
         for nonce in [
-            n for n, h in self.helping.items() if now - h.sent >= NACK_TIMEOUT_PERIODS * self.period
+            n for n, h in self.relayed_probes.items() if now - h.sent >= NACK_TIMEOUT_PERIODS * self.period
         ]:
-            helped = self.helping.pop(nonce)
-            self._send(now, helped.asker, g.NACK, "", helped.nonce, helped.about)
+            relayed = self.relayed_probes.pop(nonce)
+            self._send(now, relayed.asker, g.NACK, "", relayed.nonce, relayed.about)
 
-    # ---- hearing
+    # ---- receiving
 
-    def hear(self, now: int, data: bytes, source: Address) -> None:
-        """A datagram. What is not the deployment's changes nothing but a count."""
+    def on_datagram(self, now: int, data: bytes, source: Address) -> None:
+        """Handle a datagram. Invalid ones are only counted."""
         body = self._open(data, g.DATAGRAM_MOST)
         if body is None or self.left:
             return
         self.counts["datagrams_heard"] += 1
         self.counts["bytes_heard"] += len(data)
-        if not self.windows.setdefault(body.sender, Window()).fresh(body.start, body.seq):
+        if not self.windows.setdefault(body.sender, ReplayWindow()).accept(body.start, body.seq):
             self.counts["again"] += 1
             return
         self.detector.last_heard_at = now
         self.routes[body.sender] = self.routes[body.sender]._replace(seen=source)
-        self._take(now, body)
-        self._compare(now, body)
+        self._merge(now, body)
+        self._compare_digest(now, body)
         if self.superseded:
             return
         if body.kind == g.PING:
             self._send(now, source, g.ACK, body.sender, body.nonce, self.me)
         elif body.kind == g.ACK:
-            self._acked(now, body)
-        elif body.kind == g.HELP and body.about in self.routes and len(self.helping) < self._cap():
-            self._help(now, body, source)
+            self._on_ack(now, body)
+        elif (
+            body.kind == g.HELP
+            and body.about in self.routes
+            and len(self.relayed_probes) < self._send_burst()
+        ):
+            self._relay_probe(now, body, source)
         elif body.kind == g.NACK:
             self.detector.on_nack(body.nonce, body.sender)
 
-    def hear_stream(self, now: int, data: bytes) -> Optional[bytes]:
-        """A frame of a stream; the frame that answers it, sealed, if it wants one."""
+    def on_frame(self, now: int, data: bytes) -> Optional[bytes]:
+        """Handle a frame of a stream; return the sealed reply, if any."""
         body = self._open(data, g.FRAME_MOST)
         if body is None or self.left or self.superseded:
             return None
-        self._take(now, body)
+        self._merge(now, body)
         if body.kind == g.PING:
             return self.seal.close(self._body(now, g.ACK, body.sender, body.nonce, self.me))
         if body.kind == g.ACK:
-            self._acked(now, body)
+            self._on_ack(now, body)
         elif body.kind == g.WHOLE:
-            return self.whole(now, g.WHOLE_BACK)
+            return self.full_state(now, g.WHOLE_BACK)
         elif body.kind == g.WHOLE_BACK:
-            self.young = False
+            self.unconfirmed = False
             self.exchanging_until = 0
         return None
 
@@ -538,147 +567,147 @@
             return None
         return body
 
-    def _acked(self, now: int, body: Body) -> None:
-        helped = self.helping.pop(body.nonce, None)
-        if helped is not None and body.sender == helped.about:
-            self._send(now, helped.asker, g.ACK, "", helped.nonce, helped.about)
+    def _on_ack(self, now: int, body: Body) -> None:
+        relayed = self.relayed_probes.pop(body.nonce, None)
+        if relayed is not None and body.sender == relayed.about:
+            self._send(now, relayed.asker, g.ACK, "", relayed.nonce, relayed.about)
             return
-        self.young = False
+        self.unconfirmed = False
         found = self.detector.on_answer(now, body.nonce)
         if found is not None:
             self._report(now, found)
 
-    def _help(self, now: int, body: Body, source: Address) -> None:
+    def _relay_probe(self, now: int, body: Body, source: Address) -> None:
         nonce = self.detector.nonce()
         address = self._route(body.about, now)
         if address is not None:
-            self.helping[nonce] = Help(source, body.nonce, body.about, now)
+            self.relayed_probes[nonce] = RelayedProbe(source, body.nonce, body.about, now)
             self._send(now, address, g.PING, body.about, nonce)
 
-    def _take(self, now: int, body: Body) -> None:
-        """The records, the sender's own word first."""
-        roll = self.roll
-        self._take_word(now, WordOf(body.sender, body.start, False, body.incarnation))
-        for said in body.words:
-            self._take_word(now, said)
-        for said_edge in body.edges:
-            if said_edge.observer == self.me:
-                continue  # what this member finds it says itself
+    def _merge(self, now: int, body: Body) -> None:
+        """Merge the records of a message, the sender's own first."""
+        table = self.table
+        self._merge_word(now, WordOf(body.sender, body.start, False, body.incarnation))
+        for record in body.words:
+            self._merge_word(now, record)
+        for observation in body.edges:
+            if observation.observer == self.me:
+                continue  # own observations are never taken from others
             edge = Edge(
-                said_edge.observer_start,
-                said_edge.seq,
-                now - max(0, said_edge.age),
-                said_edge.observer_incarnation,
-                said_edge.hears,
-                said_edge.start,
-                said_edge.incarnation,
+                observation.observer_start,
+                observation.seq,
+                now - max(0, observation.age),
+                observation.observer_incarnation,
+                observation.hears,
+                observation.start,
+                observation.incarnation,
             )
-            if roll.merge_edge(now, said_edge.observer, said_edge.subject, edge):
-                self._queue(("e", said_edge.observer, said_edge.subject))
+            if table.merge_edge(now, observation.observer, observation.subject, edge):
+                self._enqueue(("e", observation.observer, observation.subject))
         for rider in body.riders:
-            self._take_rider(now, rider)
+            self._merge_rider(now, rider)
         for one in body.verdicts:
             verdict = Verdict(one.start, one.incarnation, one.side)
-            if roll.merge_verdict(one.name, verdict):
-                self._queue(("v", one.name))
+            if table.merge_verdict(one.name, verdict):
+                self._enqueue(("v", one.name))
             elif (
                 one.name == self.me
                 and (one.start, one.incarnation) == (self.start, self.incarnation)
-                and self.me not in roll.minority_verdicts
+                and self.me not in table.minority_verdicts
             ):
-                roll.minority_verdicts[self.me] = verdict  # a minority's: it is answered all the same
-                roll.needs_update = True
-
-    def _take_word(self, now: int, said: WordOf) -> None:
-        word = Word(said.start, said.left, said.incarnation)
-        if said.name == self.me:
-            self._take_own_word(word)
-        elif self.roll.merge_word(said.name, word):
-            self._queue(("w", said.name))
+                table.minority_verdicts[self.me] = verdict  # to be refuted too
+                table.needs_update = True
+
+    def _merge_word(self, now: int, record: WordOf) -> None:
+        word = Word(record.start, record.left, record.incarnation)
+        if record.name == self.me:
+            self._merge_own_word(word)
+        elif self.table.merge_word(record.name, word):
+            self._enqueue(("w", record.name))
             if (
-                said.name in self.detector.subjects
-            ):  # another life, or one that has answered: misses of before tell nothing
-                self.detector.subjects[said.name].missed.clear()
-                self.detector.subjects[said.name].silent = False
+                record.name in self.detector.subjects
+            ):  # earlier misses concern the previous life or incarnation
+                self.detector.subjects[record.name].missed.clear()
+                self.detector.subjects[record.name].silent = False
 
-    def _take_own_word(self, word: Word) -> None:
-        """Of another life of this name, or of this one as the others have it."""
+    def _merge_own_word(self, word: Word) -> None:
+        """Merge a record about this member's own name, from this life or another one."""
         if word.start > self.start or (word.start == self.start and word.left and not self.left):
-            if self.young:  # an older life had the later clock
+            if self.unconfirmed:  # the clock ran ahead in an earlier life
                 self.start = word.start + 1
-                self._say_word()
+                self._announce()
             else:
                 self.superseded = True
         elif word.start == self.start and word.incarnation > self.incarnation:
             self.incarnation = word.incarnation
-            self._say_word()
+            self._announce()
 
-    # ---- everything at once
+    # ---- full state exchange
 
-    def _compare(self, now: int, body: Body) -> None:
-        """A peer whose picture stays another one is asked for all of it."""
+    def _compare_digest(self, now: int, body: Body) -> None:
+        """Start a full state exchange with a peer whose digest stays different."""
         if self._digest() != self.digest:
             self.digest, self.digest_since = self._digest(), now
         if body.digest == self.digest:
-            self.unlike.pop(body.sender, None)
+            self.mismatched_since.pop(body.sender, None)
             return
-        since = self.unlike.setdefault(body.sender, now)
-        # One that is held for dead and speaks: a cut has healed, and what was found beyond it is told at once.
-        awhile = UNLIKE_FOR * self.period if self.roll.states[body.sender] != DEAD else -1.0
+        since = self.mismatched_since.setdefault(body.sender, now)
+        # A message from a member considered dead means that a partition has healed: exchange at once.
+        patience = DIGEST_MISMATCH_PERIODS * self.period if self.table.states[body.sender] != DEAD else -1.0
         gap = now >= self.exchange_at and now >= self.exchanging_until
-        if gap and now - since > awhile and now - self.digest_since > awhile / 2:
-            self.unlike.clear()
+        if gap and now - since > patience and now - self.digest_since > patience / 2:
+            self.mismatched_since.clear()
             self._exchange(now, body.sender)
 
     def _digest(self) -> int:
-        """Of all that has to be alike at all: words, verdicts, and the reports that stand."""
-        return self.roll.digest ^ self.roll.silence_digest
+        """Return the digest over words, verdicts and current silence reports."""
+        return self.table.digest ^ self.table.silence_digest
 
     def _exchange(self, now: int, name: str) -> None:
         address = self._route(name, now)
         if address is None:
             return
-        self.exchange_at = now + int(EXCHANGE_EVERY * self.period) + self.chance.draw(self.period)
-        self.exchanging_until = now + int(EXCHANGE_WITHIN * self.period)
+        self.exchange_at = now + int(EXCHANGE_INTERVAL_PERIODS * self.period) + self.rng.draw(self.period)
+        self.exchanging_until = now + int(EXCHANGE_TIMEOUT_PERIODS * self.period)
         self.counts["exchanges"] += 1
-        self.wishes.append(Wish(name, address, self.whole(now, g.WHOLE)))
+        self.stream_requests.append(StreamRequest(name, address, self.full_state(now, g.WHOLE)))
 
-    def whole(self, now: int, kind: int) -> bytes:
-        """All that is known, as one frame."""
+    def full_state(self, now: int, kind: int) -> bytes:
+        """Return the sealed frame with all records."""
         self.seq += 1
         body = Body(kind, self.me, self.start, self.incarnation, self.seq, 0, "", self._digest())
-        body.words = [WordOf(name, *word) for name, word in self.roll.words.items()]
+        body.words = [WordOf(name, *word) for name, word in self.table.words.items()]
         body.edges = [
-            self._edge_of(observer, subject, edge, now)
-            for subject, edges in self.roll.edges.items()
+            self._edge_record(observer, subject, edge, now)
+            for subject, edges in self.table.edges.items()
             for observer, edge in edges.items()
         ]
-        body.verdicts = [VerdictOf(name, *verdict) for name, verdict in self.roll.verdicts.items()]
+        body.verdicts = [VerdictOf(name, *verdict) for name, verdict in self.table.verdicts.items()]
         return self.seal.close(body)
 
-    # ---- ends, and what others may ask
+    # ---- shutdown and status
 
     def leave(self, now: int) -> None:
-        """Says that it leaves, to some members at once; nothing is answered any more."""
+        """Announce the departure to some members; nothing is handled afterwards."""
         if self.left or self.superseded:
             return
         self.left = True
-        self._say_word()
-        some = self.chance.sample(self._usable(), LEAVING_TOLD)
-        for name in [*some, *some]:  # twice: a datagram may be lost
+        self._announce()
+        some = self.rng.sample(self._usable(), LEAVE_RECIPIENTS)
+        for name in [*some, *some]:  # twice, against packet loss
             address = self.routes[name].configured or self.routes[name].seen
             if address is not None:
                 self._send(now, address, g.NOTE, name)
 
-    def shown(self, now: int) -> dict[str, object]:
-        """For people: each member's state, life, since when, and who does and does not hear it."""
+    def status(self, now: int) -> dict[str, object]:
+        """Return the status page: state, life and observers of each member."""
         rows = []
-        for name in self.roll.names:
-            standing = self.roll.standing(name)
+        for name in self.table.names:
+            standing = self.table.standing(name)
             state, start, incarnation = (
-                self.roll.view()[name]
-                if len(self.roll.names) <= 64
-                else (self.roll.states[name], *self.roll._life(name))
+                self.table.view()[name]
+                if len(self.table.names) <= 64
+                else (self.table.states[name], *self.table._life(name))
             )
             rows.append(
                 {
@@ -686,8 +715,8 @@
                     "state": state,
                     "start": start,
                     "incarnation": incarnation,
-                    "since_s": (now - self.roll.changed_at[name]) / 1e6
-                    if name in self.roll.changed_at
+                    "since_s": (now - self.table.changed_at[name]) / 1e6
+                    if name in self.table.changed_at
                     else None,
                     "silent_to": sorted(o for o, e in standing.items() if not e.hears),
                     "heard_by": sorted(o for o, e in standing.items() if e.hears),
@@ -697,8 +726,8 @@
             "me": self.me,
             "period_s": self.period / 1e6,
             "health": self.detector.health,
-            "side": self.roll.side(),
-            "configured": len(self.roll.names),
+            "side": self.table.side(),
+            "configured": len(self.table.names),
             "superseded": self.superseded,
             "members": rows,
             "counts": dict(self.counts),
--- a/cedarshift/gossip/service.py
+++ b/cedarshift/gossip/service.py
@@ -1,7 +1,7 @@
-"""A member on the loop: its datagrams, the streams that it opens and takes, and its timer.
+"""Runs a gossip member on the event loop: its datagrams, streams and timer.
 
-One port for datagrams and one listener for streams, at the same address. A stream carries one question and one answer; who says
-nothing sealed within a moment is sent away, and there is never room for many.
+Datagrams and streams share one address. A stream carries one request and one reply; it is closed if no valid
+frame arrives in time.
 """
 
 from __future__ import annotations
@@ -10,36 +10,37 @@
 
 from cedarshift.codec import gossip as g
 from cedarshift.codec.gossip import NotOurs, Seal
-from cedarshift.gossip.member import Address, Member, Wish
+from cedarshift.gossip.member import Address, Member, StreamRequest
 from cedarshift.judge.roll import ALIVE, CUT, SUSPECT, Change
 from cedarshift.loop import Loop, StreamBroken, TimedOut, datagrams, dial, listen
 from cedarshift.loop.core import Coroutine, Waker
 
-# Constants: unit, then the reason for the size.
-STREAMS_MOST = 64  # taken at a time; a member asks few others, and rarely
-FIRST_WITHIN = 1_000_000  # us for a whole question
-STREAMS_OPEN = 16  # opened at a time
-HEARD_A_SPAN = (
-    4_000  # datagrams a second that are looked at: a fleet of thousands sends a member some dozens a period
-)
-SPAN = 1_000_000  # us
-REPORT_EVERY = 10_000_000  # us between two log lines about what was dropped
+MAX_INCOMING_STREAMS = 64
+STREAM_TIMEOUT_US = 1_000_000
+MAX_OUTGOING_STREAMS = 16
+MAX_DATAGRAMS_PER_WINDOW = 4_000  # further ones are dropped unread
+RATE_WINDOW_US = 1_000_000
+DROP_REPORT_INTERVAL_US = 10_000_000
 
 
-class MembershipTerms(NamedTuple):
-    """`period` in us; `addresses` of all pilots by name."""
+class MembershipConfig(NamedTuple):
+    """`period`: the probe period (us). `addresses`: gossip addresses of all pilots by name."""
 
     period: int
     addresses: dict[str, Address]
 
 
 class Membership:
-    """`start` grows from one life of the name to the next, `seed` draws. `told(change)` hears of each change."""
+    """Membership service of one pilot.
+
+    `start` increases with each restart of the process; `seed` seeds the random generator. `on_change(change)`
+    is called for each state change of a member.
+    """
 
     def __init__(
         self,
         loop: Loop,
-        terms: MembershipTerms,
+        terms: MembershipConfig,
         name: str,
         deployment: str,
         secret: bytes,
@@ -47,15 +48,15 @@
         seed: int,
         report: Callable[..., None],
         listen_at: Optional[Address] = None,
-        told: Callable[[Change], None] = lambda change: None,
+        on_change: Callable[[Change], None] = lambda change: None,
     ) -> None:
         self.loop = loop
         self.name = name
         self.report = report
-        self.told = told
+        self.on_change = on_change
         address = listen_at or terms.addresses[name]
         self.port = datagrams(loop, address, g.DATAGRAM_MOST)
-        self.door = listen(loop, self.port.address, STREAMS_MOST, g.FRAME_MOST * 2)
+        self.listener = listen(loop, self.port.address, MAX_INCOMING_STREAMS, g.FRAME_MOST * 2)
         self.member = Member(
             name,
             terms.addresses,
@@ -67,22 +68,22 @@
             self._on_change,
         )
         self.waker: Optional[Waker] = None
-        self.open = 0
-        self.span_at = loop.now()
-        self.span_heard = 0
+        self.open_streams = 0
+        self.window_started_at = loop.now()
+        self.window_datagrams = 0
         self.flooded = 0
-        self.told_dropped = 0
+        self.reported_drops = 0
         self.was_superseded = False
         self.tasks = [
-            loop.spawn(self._hear(), "gossip"),
-            loop.spawn(self._tick(), "gossip timer"),
-            loop.spawn(self._accept(), "gossip streams"),
-            loop.spawn(self._tell_dropped(), "gossip drops"),
+            loop.spawn(self._receive_loop(), "gossip"),
+            loop.spawn(self._timer_loop(), "gossip timer"),
+            loop.spawn(self._accept_loop(), "gossip streams"),
+            loop.spawn(self._drop_report_loop(), "gossip drops"),
         ]
 
     # ---- time and datagrams
 
-    def _tick(self) -> Coroutine:
+    def _timer_loop(self) -> Coroutine:
         while True:
             now = self.loop.now()
             if now >= self.member.due():
@@ -96,17 +97,17 @@
             finally:
                 self.waker = None
 
-    def _hear(self) -> Coroutine:
+    def _receive_loop(self) -> Coroutine:
         while True:
             data, source = yield from self.port.receive()
             now = self.loop.now()
-            if now - self.span_at >= SPAN:
-                self.span_at, self.span_heard = now, 0
-            self.span_heard += 1
-            if self.span_heard > HEARD_A_SPAN:
+            if now - self.window_started_at >= RATE_WINDOW_US:
+                self.window_started_at, self.window_datagrams = now, 0
+            self.window_datagrams += 1
+            if self.window_datagrams > MAX_DATAGRAMS_PER_WINDOW:
                 self.flooded += 1
                 continue
-            self.member.hear(now, data, source)
+            self.member.on_datagram(now, data, source)
             self._flush()
 
     def _flush(self) -> None:
@@ -114,11 +115,11 @@
         out, member.out = member.out, []
         for address, data in out:
             self.port.send(data, address)
-        wishes, member.wishes = member.wishes, []
-        for wish in wishes:
-            if self.open < STREAMS_OPEN:
-                self.open += 1
-                self.loop.spawn(self._ask(wish), f"gossip to {wish.name}")
+        stream_requests, member.stream_requests = member.stream_requests, []
+        for request in stream_requests:
+            if self.open_streams < MAX_OUTGOING_STREAMS:
+                self.open_streams += 1
+                self.loop.spawn(self._send_request(request), f"gossip to {request.name}")
         if member.superseded and not self.was_superseded:
             self.was_superseded = True
             self.report("member_superseded", start=member.start)
@@ -127,45 +128,45 @@
 
     # ---- streams
 
-    def _ask(self, wish: Wish) -> Coroutine:
+    def _send_request(self, request: StreamRequest) -> Coroutine:
         try:
-            stream = yield from dial(self.loop, wish.address, max(self.member.period, FIRST_WITHIN))
+            stream = yield from dial(self.loop, request.address, max(self.member.period, STREAM_TIMEOUT_US))
             try:
-                stream.write(g.framed(wish.data))
-                answer = yield from self._frame(stream, g.FRAME_MOST)
+                stream.write(g.framed(request.data))
+                answer = yield from self._read_frame(stream, g.FRAME_MOST)
                 if answer is not None:
-                    self.member.hear_stream(self.loop.now(), answer)
+                    self.member.on_frame(self.loop.now(), answer)
                     self._flush()
             finally:
                 stream.close()
         except (StreamBroken, TimedOut, NotOurs):
-            pass  # an answer that does not come is what the member counts on
+            pass  # the member handles a missing reply by its timeouts
         finally:
-            self.open -= 1
+            self.open_streams -= 1
 
-    def _accept(self) -> Coroutine:
+    def _accept_loop(self) -> Coroutine:
         while True:
             try:
-                stream = yield from self.door.accept()
+                stream = yield from self.listener.accept()
             except StreamBroken:
                 return
-            self.loop.spawn(self._answer(stream), "gossip stream")
+            self.loop.spawn(self._serve_stream(stream), "gossip stream")
 
-    def _answer(self, stream: Any) -> Coroutine:
+    def _serve_stream(self, stream: Any) -> Coroutine:
         try:
-            asked = yield from self._frame(stream, g.FRAME_MOST)
-            answer = None if asked is None else self.member.hear_stream(self.loop.now(), asked)
+            question = yield from self._read_frame(stream, g.FRAME_MOST)
+            answer = None if question is None else self.member.on_frame(self.loop.now(), question)
             if answer is not None:
                 stream.write(g.framed(answer))
             self._flush()
         except (StreamBroken, TimedOut, NotOurs):
             pass
         finally:
-            stream.finish(FIRST_WITHIN)
+            stream.finish(STREAM_TIMEOUT_US)
 
-    def _frame(self, stream: Any, most: int) -> Coroutine:
-        """The first frame, whole; None where the stream ends before."""
-        frames, until = g.Frames(most), self.loop.now() + FIRST_WITHIN
+    def _read_frame(self, stream: Any, max_bytes: int) -> Coroutine:
+        """Read the first frame; return None if the stream ends before."""
+        frames, until = g.Frames(max_bytes), self.loop.now() + STREAM_TIMEOUT_US
         while True:
             data = yield from stream.read(until)
             if not data:
@@ -173,7 +174,7 @@
             for one in frames.feed(data):
                 return one
 
-    # ---- for people, and for those who build on it
+    # ---- changes, status and metrics
 
     def _on_change(self, now: int, change: Change) -> None:
         self.report(
@@ -190,49 +191,53 @@
             configured=change.configured,
             agreed=change.agreed,
         )
-        self.told(change)
+        self.on_change(change)
 
-    def _tell_dropped(self) -> Coroutine:
+    def _drop_report_loop(self) -> Coroutine:
         while True:
-            yield from self.loop.sleep(REPORT_EVERY)
+            yield from self.loop.sleep(DROP_REPORT_INTERVAL_US)
             dropped = {
                 name: count
                 for name, count in self.member.counts.items()
                 if name.startswith("dropped_") and count
             }
             total = sum(dropped.values()) + self.flooded + self.port.counts["too_long"]
-            if total != self.told_dropped:
-                self.told_dropped = total
+            if total != self.reported_drops:
+                self.reported_drops = total
                 self.report(
                     "gossip_dropped", flooded=self.flooded, too_long=self.port.counts["too_long"], **dropped
                 )
 
-    def living(self) -> list[str]:
-        """The others that may be asked for something, those that nobody reports first."""
-        states = self.member.roll.states
+    def live_members(self) -> list[str]:
+        """Return the other members that may be reachable, healthy ones first."""
+        states = self.member.table.states
         rank = {ALIVE: 0, SUSPECT: 1, CUT: 2}
         return sorted(
             (name for name, state in states.items() if state in rank and name != self.name),
             key=lambda name: (rank[states[name]], name),
         )
 
-    def shown(self) -> dict[str, object]:
-        return {**self.member.shown(self.loop.now()), "flooded": self.flooded, "port": dict(self.port.counts)}
+    def status(self) -> dict[str, object]:
+        return {
+            **self.member.status(self.loop.now()),
+            "flooded": self.flooded,
+            "port": dict(self.port.counts),
+        }
 
     def gauges(self) -> dict[str, float]:
-        counts = self.member.roll.counts()
+        counts = self.member.table.counts()
         return {
             **{
                 f"pilots_{state}": float(counts.get(state, 0))
                 for state in ("alive", "suspect", "cut", "dead", "left", "unheard")
             },
-            "pilots_side": float(self.member.roll.side()),
+            "pilots_side": float(self.member.table.side()),
             "pilots_health": float(self.member.detector.health),
             **{f"gossip_{name}": float(count) for name, count in self.member.counts.items()},
         }
 
     def leave(self) -> None:
-        """Says that it leaves; then nothing more."""
+        """Announce the departure; nothing is sent afterwards."""
         self.member.leave(self.loop.now())
         self._flush()
 
@@ -240,4 +245,4 @@
         for task in self.tasks:
             task.cancel()
         self.port.close()
-        self.door.close()
+        self.listener.close()
--- a/cedarshift/overload/pilot.py
+++ b/cedarshift/overload/pilot.py
@@ -177,7 +177,7 @@
         living = (
             [self.name]
             if self.membership is None
-            else [name for name in self.membership.member.roll.names if name not in gone]
+            else [name for name in self.membership.member.table.names if name not in gone]
         )
         before, self.on_trial = self.on_trial, self.trials.step(now, self.endpoints(), living)
         if self.on_trial != before:
@@ -206,7 +206,7 @@
     def _gone(self) -> list[str]:
         if self.membership is None:
             return []
-        roll = self.membership.member.roll
+        roll = self.membership.member.table
         return [name for name in roll.names if roll.states[name] in (DEAD, LEFT)]
 
     def _hear_others(self) -> None:
@@ -259,7 +259,7 @@
             self._try_endpoints(now, gone)
         if self.membership is not None:
             row = self.row._replace(share=self.answer.share, state=self.answer.state)
-            self.membership.member.carry(
+            self.membership.member.set_rider(
                 now, packed(row, self.trials.report() if self.endpoints is not None else None)
             )
         self._log(before)
--- a/cedarshift/pilot/admin.py
+++ b/cedarshift/pilot/admin.py
@@ -62,12 +62,12 @@
     gauges = {"list_age_seconds": -1.0 if source.confirmed is None else (now - source.confirmed) / 1e6}
     if isinstance(source, EphemeralSource):
         gauges["source_connected"] = float(source.client.state == "connected")
-        gauges["members"] = float(len(source.judge.nodes))
-        gauges["members_vanished"] = float(len(source.judge.gone))
-        gauges["members_in_doubt"] = float(len(source.judge.retained))
+        gauges["members"] = float(len(source.tracker.nodes))
+        gauges["members_vanished"] = float(len(source.tracker.gone))
+        gauges["members_in_doubt"] = float(len(source.tracker.retained))
         gauges["nodes_refused"] = float(len(source.refused))
         gauges.update({f"source_{name}": float(count) for name, count in source.client.counts.items()})
-        gauges.update({f"members_{name}_ever": float(count) for name, count in source.judge.counts.items()})
+        gauges.update({f"members_{name}_ever": float(count) for name, count in source.tracker.counts.items()})
     return gauges
 
 
@@ -94,7 +94,7 @@
                 200, msgspec.json.encode(service.members()), (("content-type", "application/json"),)
             )
         if request.target == "/pilots":
-            pilots = service.membership.shown() if service.membership is not None else {}
+            pilots = service.membership.status() if service.membership is not None else {}
             return HttpReply(200, msgspec.json.encode(pilots), (("content-type", "application/json"),))
         if request.target == "/budgets":
             budgets = service.budgets.shown() if service.budgets is not None else {}
--- a/cedarshift/pilot/learning.py
+++ b/cedarshift/pilot/learning.py
@@ -134,7 +134,7 @@
     def _next_lender(self, names: list[str], at: int) -> str:
         """Picks lenders round robin, from the live ones if membership is known."""
         membership = self.service.membership
-        live = [name for name in membership.living() if name in names] if membership is not None else []
+        live = [name for name in membership.live_members() if name in names] if membership is not None else []
         return (live or names)[at % len(live or names)]
 
     def _fetch_all(self, name: str) -> Coroutine:
--- a/cedarshift/pilot/rights.py
+++ b/cedarshift/pilot/rights.py
@@ -28,7 +28,7 @@
     def live_pilots() -> list[str]:
         if service.membership is None:
             return [pilot.name for pilot in service.deployment.pilots]
-        roll = service.membership.member.roll
+        roll = service.membership.member.table
         return [name for name in roll.names if roll.states[name] not in (DEAD, LEFT)]
 
     fleet = Fleet(
--- a/cedarshift/pilot/service.py
+++ b/cedarshift/pilot/service.py
@@ -35,7 +35,7 @@
 from cedarshift.pilot.lending import Lending
 from cedarshift.pilot.store_client import StoreClient
 from cedarshift.pilot.terms import TICK_US, down, module_config, up
-from cedarshift.roster import EphemeralSource, EphemeralTerms, FileSource, ServiceSource
+from cedarshift.roster import EphemeralSettings, EphemeralSource, FileSource, ServiceSource
 from cedarshift.roster.sources import SavedList
 
 MAX_MESSAGES_PER_S = 400  # from one proxy
@@ -44,9 +44,9 @@
 JOIN_BURSTS_PER_S = 4  # a burst of joins is one second's joins divided by this
 
 
-def ephemeral_terms(nodes: NodeRoster) -> EphemeralTerms:
+def ephemeral_terms(nodes: NodeRoster) -> EphemeralSettings:
     """Converts the deployment's block on ephemeral nodes to the settings of their source."""
-    return EphemeralTerms(
+    return EphemeralSettings(
         nodes.servers,
         nodes.path,
         nodes.session_timeout,
@@ -623,7 +623,7 @@
         elif verb == "install":
             batch.installs[decision[1]] = decision[3]
         elif verb == "ask_list":
-            self.source.ask()
+            self.source.request_list()
         elif verb == "note":
             self.report("note", text=decision[1])
         else:
@@ -807,7 +807,7 @@
             }
             for _, e in sorted(self.listed.items())
         ]
-        return {"pilot": self.name, **self.source.shown(), "listed": listed}
+        return {"pilot": self.name, **self.source.status(), "listed": listed}
 
     def status(self) -> dict[str, Any]:
         """Returns the pilot's tables, proxies and latest decisions for `cedarshift tables`."""
--- a/cedarshift/rehearsal/crowd.py
+++ b/cedarshift/rehearsal/crowd.py
@@ -1,8 +1,8 @@
 """Many members on one virtual clock, free of sockets: links that lose, delay, double and cut each way by itself, members that
 are killed, paused, slow or started anew, and what may and must have happened in the end. A run is the same for its seed.
 
-It hosts the very `gossip.Member` that a pilot runs, bytes and all, or anything with its `hear`, `hear_stream`, `tick`, `due`,
-`out` and `wishes`: baselines are played on the same days.
+It hosts the very `gossip.Member` that a pilot runs, bytes and all, or anything with its `on_datagram`, `on_frame`, `tick`, `due`,
+`out` and `stream_requests`: baselines are played on the same days.
 """
 
 from __future__ import annotations
@@ -191,7 +191,7 @@
             place.paused = False
             member.tick(self.now)  # timers that are due come first, as in the loop
             while place.inbox:
-                member.hear(self.now, *place.inbox.popleft())
+                member.on_datagram(self.now, *place.inbox.popleft())
             self._pump(place)
 
     def _unsound(self, place: Place, until: int) -> None:
@@ -242,9 +242,9 @@
             self.at(self.now + self.links.took() + target.slow, self._arrive, target, data, place.address)
             if self.links.doubled and self.chance.random() < self.links.doubled:
                 self.at(self.now + self.links.took(), self._arrive, target, data, place.address)
-        wishes, member.wishes = member.wishes, []
-        for wish in wishes:
-            self._stream(place, member, wish)
+        stream_requests, member.stream_requests = member.stream_requests, []
+        for request in stream_requests:
+            self._stream(place, member, request)
 
     def _arrive(self, place: Place, data: bytes, source: Address) -> None:
         if not place.alive:
@@ -252,11 +252,11 @@
         if place.paused:
             place.inbox.append((data, source))
             return
-        place.member.hear(self.now, data, source)
+        place.member.on_datagram(self.now, data, source)
         self._pump(place)
 
-    def _stream(self, place: Place, member: Any, wish: Any) -> None:
-        target = self.by_address.get(wish.address)
+    def _stream(self, place: Place, member: Any, request: Any) -> None:
+        target = self.by_address.get(request.address)
         if target is None:
             return
         there = self.links.stream_took(place.name, target.name)
@@ -269,13 +269,13 @@
                 place,
                 member,
                 target,
-                wish.data,
+                request.data,
             )
 
     def _stream_there(self, place: Place, member: Any, target: Place, data: bytes) -> None:
         if not target.alive or target.paused:
             return
-        answer = target.member.hear_stream(self.now, data)
+        answer = target.member.on_frame(self.now, data)
         self._pump(target)
         back = self.links.stream_took(target.name, place.name)
         if answer is not None and back is not None:
@@ -283,7 +283,7 @@
 
     def _stream_back(self, place: Place, member: Any, data: bytes) -> None:
         if place.alive and not place.paused and place.member is member:
-            member.hear_stream(self.now, data)
+            member.on_frame(self.now, data)
             self._pump(place)
 
     # ---- what is to hold
@@ -297,7 +297,7 @@
 
     def views(self) -> dict[str, tuple]:
         """As those hold them who are alive: what each says of each."""
-        return {name: tuple(sorted(self.places[name].member.roll.view().items())) for name in self.living()}
+        return {name: tuple(sorted(self.places[name].member.table.view().items())) for name in self.living()}
 
     def alike(self) -> bool:
         return len(set(self.views().values())) <= 1
@@ -306,10 +306,10 @@
         """What is wrong in any living member's view now, once faults are long over."""
         wrong = []
         for name in self.living():
-            states = self.places[name].member.roll.states
+            states = self.places[name].member.table.states
             for place in self.places.values():
                 here = place.alive and not place.paused
-                known = self.places[name].member.roll.words.get(place.name)
+                known = self.places[name].member.table.words.get(place.name)
                 gone: tuple[str, ...] = (
                     DEAD,
                     UNHEARD,
--- a/cedarshift/rehearsal/virtual.py
+++ b/cedarshift/rehearsal/virtual.py
@@ -20,7 +20,7 @@
 from cedarshift.budgets.pilot import open_budgets
 from cedarshift.codec import Badge
 from cedarshift.deployment import Deployment, load
-from cedarshift.gossip.service import Membership, MembershipTerms
+from cedarshift.gossip.service import Membership, MembershipConfig
 from cedarshift.loop import Loop, listen
 from cedarshift.loop.core import Coroutine
 from cedarshift.loop.world import Host, World
@@ -166,7 +166,7 @@
         )  # a later life has a higher one, as a wall clock gives
         return Membership(
             loop,
-            MembershipTerms(deployment.membership.period, addresses),
+            MembershipConfig(deployment.membership.period, addresses),
             name,
             deployment.name,
             deployment.secret,
--- a/cedarshift/roster/__init__.py
+++ b/cedarshift/roster/__init__.py
@@ -1,15 +1,15 @@
-"""Sources of the endpoint list: a watched file, a list service, ephemeral nodes; and the newest list kept for the next start."""
+"""Endpoint list sources: a watched file, a list service, and ephemeral ZooKeeper nodes."""
 
-from cedarshift.roster.entries import ListRefused, Starts, parse_list
-from cedarshift.roster.ephemeral import EphemeralSource, EphemeralTerms
+from cedarshift.roster.entries import InvalidList, StartTimes, parse_list
+from cedarshift.roster.ephemeral import EphemeralSettings, EphemeralSource
 from cedarshift.roster.sources import FileSource, ServiceSource
 
 __all__ = [
     "EphemeralSource",
-    "EphemeralTerms",
+    "EphemeralSettings",
     "FileSource",
-    "ListRefused",
+    "InvalidList",
     "ServiceSource",
-    "Starts",
+    "StartTimes",
     "parse_list",
 ]
--- a/cedarshift/roster/entries.py
+++ b/cedarshift/roster/entries.py
@@ -1,4 +1,4 @@
-"""Entries of a list as they are written, checked, and as the module takes them."""
+"""Parses endpoint lists and converts their entries to those of the decision module."""
 
 from __future__ import annotations
 
@@ -8,16 +8,19 @@
 
 from cedarshift.interface import Entry
 
-UNIT = 100  # us in a tenth of a millisecond
-ENTRIES_MOST = 20_000
+TICK_US = 100  # time unit of the decision module
+MAX_ENTRIES = 20_000
 
 
-class ListRefused(Exception):
-    """A list that can't be read, with the entry and the reason; the one before it stays in force."""
+class InvalidList(Exception):
+    """An invalid list; the message names the entry and the reason. The previous list stays in force."""
 
 
-class Listed(msgspec.Struct):
-    """`start` names the process: another text is another start. `age_ms`: how long ago it started, if known."""
+class ListEntry(msgspec.Struct):
+    """One endpoint of a list.
+
+    `start` identifies the process: a new value means a restart. `age_ms`: time since its start, if known.
+    """
 
     endpoint: str
     phase: str = "on"
@@ -27,63 +30,75 @@
     age_ms: Optional[int] = None
 
 
-class WholeList(msgspec.Struct):
-    """`name`: which list this is, and which life of the service that counts its `rev`s; two pilots that are told the same
-    name can compare what they have seen."""
+class EndpointList(msgspec.Struct):
+    """A complete list ("replace") or a set of changes ("update").
+
+    `name` identifies the list and the run of the service that numbers its revisions; `rev`s are comparable
+    between pilots only under the same name.
+    """
 
-    endpoints: list[Listed]
+    endpoints: list[ListEntry]
     kind: str = "replace"
     rev: int = 0
     name: str = ""
 
 
-DECODER = msgspec.json.Decoder(WholeList)
+DECODER = msgspec.json.Decoder(EndpointList)
 ENCODER = msgspec.json.Encoder()
 
 
-def parse_list(raw: bytes, where: str) -> WholeList:
-    """Raises ListRefused with the entry that is wrong; an unknown field is passed over."""
+def parse_list(raw: bytes, where: str) -> EndpointList:
+    """Decode and validate a list; unknown fields are ignored. Raises InvalidList."""
     try:
         found = DECODER.decode(raw)
     except (msgspec.DecodeError, UnicodeDecodeError) as error:
-        raise ListRefused(f"{where}: {error}") from None
+        raise InvalidList(f"{where}: {error}") from None
     if found.kind not in ("replace", "update"):
-        raise ListRefused(f'{where}: kind {found.kind!r}, "replace" and "update" are allowed')
-    if len(found.endpoints) > ENTRIES_MOST:
-        raise ListRefused(f"{where}: {len(found.endpoints)} endpoints, {ENTRIES_MOST} at most")
+        raise InvalidList(f'{where}: kind {found.kind!r}, "replace" and "update" are allowed')
+    if len(found.endpoints) > MAX_ENTRIES:
+        raise InvalidList(f"{where}: {len(found.endpoints)} endpoints, {MAX_ENTRIES} at most")
     seen: set[str] = set()
-    for number, one in enumerate(found.endpoints):
-        place = f"{where}: endpoints[{number}] {one.endpoint!r}"
-        if not one.endpoint or one.endpoint in seen:
-            raise ListRefused(f"{place}: {'stands twice' if one.endpoint else 'has no name'}")
-        if one.phase not in ("on", "fading", "off"):
-            raise ListRefused(f'{place}: phase {one.phase!r}, "on", "fading" and "off" are allowed')
-        if not 0 < one.size < 1e9:
-            raise ListRefused(f"{place}: size {one.size}, it must lie above 0")
-        seen.add(one.endpoint)
+    for number, entry_row in enumerate(found.endpoints):
+        prefix = f"{where}: endpoints[{number}] {entry_row.endpoint!r}"
+        if not entry_row.endpoint or entry_row.endpoint in seen:
+            raise InvalidList(f"{prefix}: {'stands twice' if entry_row.endpoint else 'has no name'}")
+        if entry_row.phase not in ("on", "fading", "off"):
+            raise InvalidList(f'{prefix}: phase {entry_row.phase!r}, "on", "fading" and "off" are allowed')
+        if not 0 < entry_row.size < 1e9:
+            raise InvalidList(f"{prefix}: size {entry_row.size}, it must lie above 0")
+        seen.add(entry_row.endpoint)
     return found
 
 
-class Starts:
-    """When each process started, on this pilot's clock: worked out once for each start, so that it never wavers."""
+class StartTimes:
+    """Start times of processes on this pilot's clock, computed once per start so that they stay constant."""
 
     def __init__(self) -> None:
         self.known: dict[str, tuple[str, Optional[int]]] = {}
-        self.primed = False  # a whole list was taken
+        self.primed = False  # a complete list was applied
 
-    def entries(self, now: int, listed: list[Listed]) -> list[Entry]:
-        made = [self.entry(now, one) for one in listed]
+    def entries(self, now: int, listed: list[ListEntry]) -> list[Entry]:
+        made = [self.entry(now, entry_row) for entry_row in listed]
         self.primed = True
         return made
 
-    def entry(self, now: int, one: Listed) -> Entry:
-        """`now` in us. Without an age, what stands in the first list counts as started long ago; what comes or changes
-        later counts as started now: it may be cold, and nothing says that it is not."""
-        before = self.known.get(one.endpoint)
-        if before is None or before[0] != one.start:
-            if one.age_ms is not None:
-                started: Optional[int] = max(1, (now - one.age_ms * 1000) // UNIT)
+    def entry(self, now: int, entry_row: ListEntry) -> Entry:
+        """Convert one entry; `now` in us.
+
+        Without an age, endpoints of the first list count as started long ago, and those added or restarted
+        later as started now, since they may be cold.
+        """
+        before = self.known.get(entry_row.endpoint)
+        if before is None or before[0] != entry_row.start:
+            if entry_row.age_ms is not None:
+                started: Optional[int] = max(1, (now - entry_row.age_ms * 1000) // TICK_US)
             else:
-                started = now // UNIT if self.primed else None
-            self.known[one.endpoint] = (one.start, started)
-        return Entry(one.endpoint, one.phase, one.size, one.zone, self.known[one.endpoint][1])
+                started = now // TICK_US if self.primed else None
+            self.known[entry_row.endpoint] = (entry_row.start, started)
+        return Entry(
+            entry_row.endpoint,
+            entry_row.phase,
+            entry_row.size,
+            entry_row.zone,
+            self.known[entry_row.endpoint][1],
+        )
--- a/cedarshift/roster/ephemeral.py
+++ b/cedarshift/roster/ephemeral.py
@@ -1,5 +1,8 @@
-"""The list read from ephemeral nodes: a client, a follower of the members' path, and the judgement between them and the
-module. It has the calls of the other sources, and hears the data plane's sums beside."""
+"""Endpoint list from ephemeral ZooKeeper nodes.
+
+Combines the client, the watcher of the members' path and the membership rules. It has the interface of the
+other sources and additionally takes outcomes reported by the data plane.
+"""
 
 from __future__ import annotations
 
@@ -9,22 +12,22 @@
 from cedarshift.judge.membership import MassVanishing, MemberEntry, Membership, Node
 from cedarshift.loop import Loop
 from cedarshift.loop.core import Timer
-from cedarshift.roster.entries import UNIT, Listed, ListRefused, Starts, WholeList
-from cedarshift.roster.formats import NodeRefused, is_member, read_member
-from cedarshift.roster.members import Follower, Raw
-from cedarshift.roster.sources import SavedList, Tell
-from cedarshift.roster.zookeeper import CONNECTED, GONE, LOST, ZooClient
+from cedarshift.roster.entries import TICK_US, EndpointList, InvalidList, ListEntry, StartTimes
+from cedarshift.roster.formats import InvalidNode, is_member, read_member
+from cedarshift.roster.members import ChildrenWatcher, NodeData
+from cedarshift.roster.sources import ListHandler, SavedList
+from cedarshift.roster.zookeeper import CONNECTED, DISCONNECTED, SESSION_ENDED, ZooKeeperClient
 from cedarshift.units import up
 
-MASS_AGAIN = 5_000_000  # us; one report for each vanishing
-MASS_LOOK = 500_000  # us after it was noticed
-SOON = 20_000  # us; sums come in bursts, and each look goes over the whole list
-SAVE_WITHIN = 1_000_000  # us after a change
-REFUSED_SHOWN = 20  # broken nodes named in a report
+MASS_REPORT_INTERVAL_US = 5_000_000  # minimum between two reports
+MASS_REPORT_DELAY_US = 500_000  # by then it is known whether this pilot's session expired too
+REEVALUATION_DELAY_US = 20_000  # combines bursts of outcome reports
+SAVE_DELAY_US = 1_000_000  # combines many changes into one write
+MAX_REPORTED_NODES = 20  # invalid nodes that are logged
 
 
-class EphemeralTerms(NamedTuple):
-    """Where the members' nodes are and how to read them. Spans in us; `auth` are (scheme, credential) pairs."""
+class EphemeralSettings(NamedTuple):
+    """Location and format of the member nodes. Durations in us; `auth` holds (scheme, credential) pairs."""
 
     servers: tuple[tuple[str, int], ...]
     path: str
@@ -38,176 +41,187 @@
 
 
 class EphemeralSource:
-    """`chance()` draws from 0 to 1: for the order of servers and for waits. `pools`: each zone is one of its own."""
+    """Source that publishes the members registered below a ZooKeeper path.
+
+    `pools`: each zone is a pool of its own. `random()` returns a float in [0, 1). `on_list(kind, entries)` is
+    called for each change of the list.
+    """
 
     def __init__(
         self,
         loop: Loop,
-        terms: EphemeralTerms,
+        settings: EphemeralSettings,
         pools: bool,
-        chance: Callable[[], float],
+        random: Callable[[], float],
         saved: SavedList,
-        tell: Tell,
+        on_list: ListHandler,
         report: Callable[..., None],
     ) -> None:
         self.loop = loop
-        self.terms = terms
-        self.tell = tell
+        self.settings = settings
+        self.on_list = on_list
         self.report = report
-        self.name = f"zookeeper:{terms.path}"
-        self.rev = 0  # the newest transaction that is in the list
-        self.starts = Starts()
-        self.judge = Membership(terms.hold, pools)
-        self.refused: dict[str, str] = {}  # nodes that can't be read, and why
+        self.name = f"zookeeper:{settings.path}"
+        self.rev = 0  # zxid of the newest transaction in the list
+        self.starts = StartTimes()
+        self.tracker = Membership(settings.hold, pools)
+        self.refused: dict[str, str] = {}  # invalid node -> reason
         self.saved = saved
-        self.primed = False  # everything was read once
-        self.whole_told = False
-        self.seen_at: dict[str, int] = {}  # node -> when it was last read or heard of
-        self.timer: Optional[Timer] = None
-        self.saving: Optional[Timer] = None
-        self.mass_at = -MASS_AGAIN
+        self.primed = False  # all nodes were read once
+        self.published = False
+        self.read_at: dict[str, int] = {}  # node -> time of the last read
+        self.update_timer: Optional[Timer] = None
+        self.save_timer: Optional[Timer] = None
+        self.mass_reported_at = -MASS_REPORT_INTERVAL_US
         self.expired_at: Optional[int] = None
-        self.follower = Follower(
+        self.watcher = ChildrenWatcher(
             loop,
-            terms.path,
-            terms.recursive,
-            lambda name: is_member(name, terms.form),
-            self._nodes,
+            settings.path,
+            settings.recursive,
+            lambda name: is_member(name, settings.form),
+            self._on_nodes,
             report,
-            chance,
+            random,
         )
-        self.client = ZooClient(
+        self.client = ZooKeeperClient(
             loop,
-            list(terms.servers),
-            terms.session_timeout,
-            chance,
-            self._state,
-            self.follower.on_event,
+            list(settings.servers),
+            settings.session_timeout,
+            random,
+            self._on_state,
+            self.watcher.on_event,
             report,
-            terms.auth,
-            terms.read_only,
+            settings.auth,
+            settings.read_only,
         )
-        self.follower.attach(self.client)
+        self.watcher.attach(self.client)
         self.state_since = loop.now()
         self.lost_at: Optional[int] = None
-        self._restore()
+        self._load_saved()
 
-    def _restore(self) -> None:
-        """What the last life kept is better than nothing while no server answers."""
+    def _load_saved(self) -> None:
+        """Publish the saved list until a server answers."""
         try:
-            kept = self.saved.restore()
-        except (OSError, ListRefused) as error:
+            saved_list = self.saved.load()
+        except (OSError, InvalidList) as error:
             self.report("saved_list_refused", reason=str(error))
             return
-        if kept is not None:
-            entries = self.starts.entries(self.loop.now(), kept.endpoints)
-            self.loop.at(self.loop.now(), self._tell_restored, entries)
+        if saved_list is not None:
+            entries = self.starts.entries(self.loop.now(), saved_list.endpoints)
+            self.loop.at(self.loop.now(), self._publish_restored, entries)
 
-    def _tell_restored(self, entries: list[Entry]) -> None:
-        if not self.whole_told:
-            self.tell("restored", entries)
+    def _publish_restored(self, entries: list[Entry]) -> None:
+        if not self.published:
+            self.on_list("restored", entries)
 
     @property
     def confirmed(self) -> Optional[int]:
-        """When a server of the ensemble's majority last answered with all read; a server that is cut off confirms nothing."""
+        """Time of the last reply from a server with quorum while all nodes were read, None if never."""
         if not self.primed:
             return None
-        if self.client.state == CONNECTED and not (self.follower.list_dirty or self.follower.dirty):
+        if self.client.state == CONNECTED and not (self.watcher.list_dirty or self.watcher.dirty):
             return self.client.heard_at
         return self.lost_at
 
-    def ask(self) -> None:
-        """The nodes are watched anyway."""
+    def request_list(self) -> None:
+        """Do nothing: the nodes are always watched."""
 
     def stop(self) -> None:
-        self.follower.stop()
+        self.watcher.stop()
         self.client.stop()
-        if self.timer is not None:
-            self.timer.cancel()
-        if self.saving is not None:
-            self.saving.cancel()
+        if self.update_timer is not None:
+            self.update_timer.cancel()
+        if self.save_timer is not None:
+            self.save_timer.cancel()
             self._save()
 
     def on_sums(self, endpoint: str, tries: int, aborted: int) -> None:
-        """What the proxies met there; it decides whether a vanished endpoint is dead."""
-        self.judge.on_sums(self.loop.now(), endpoint, tries, aborted)
-        if endpoint in self.judge.gone:
-            self._look_at(self.loop.now() + SOON)
+        """Record the outcomes of an endpoint, which decide whether a vanished endpoint is dead."""
+        self.tracker.on_sums(self.loop.now(), endpoint, tries, aborted)
+        if endpoint in self.tracker.gone:
+            self._update_at(self.loop.now() + REEVALUATION_DELAY_US)
 
-    # ---- from the nodes to the list
+    # ---- nodes to list
 
-    def _state(self, state: str) -> None:
-        if state in (LOST, GONE) and self.client.heard_at is not None:
+    def _on_state(self, state: str) -> None:
+        if state in (DISCONNECTED, SESSION_ENDED) and self.client.heard_at is not None:
             self.lost_at = self.client.heard_at
-        if state == GONE:
+        if state == SESSION_ENDED:
             self.expired_at = self.loop.now()
         self.state_since = self.loop.now()
         self.report("source_state", state=state)
-        self.follower.on_state(state)
+        self.watcher.on_state(state)
 
-    def _nodes(self, seen: dict[str, Raw], gone: set[str], whole: bool) -> None:
+    def _on_nodes(self, seen: dict[str, NodeData], gone: set[str], full_read: bool) -> None:
         now = self.loop.now()
         nodes: dict[str, Node] = {}
         for name, raw in seen.items():
-            self.seen_at[name] = now
-            node = self._read(name, raw)
-            if (
-                node is not None
-            ):  # one that can't be read any more keeps what it said last: a bad write must not
-                nodes[name] = node  # take an endpoint away
-        if whole:
-            gone = set(self.judge.nodes) - set(self.follower.nodes)
-            self.seen_at = {name: self.seen_at.get(name, now) for name in self.follower.nodes}
-            self.refused = {name: why for name, why in self.refused.items() if name in self.follower.nodes}
+            self.read_at[name] = now
+            node = self._parse_node(name, raw)
+            if node is not None:  # an invalid write leaves the previous data in force
+                nodes[name] = node
+        if full_read:
+            gone = set(self.tracker.nodes) - set(self.watcher.nodes)
+            self.read_at = {name: self.read_at.get(name, now) for name in self.watcher.nodes}
+            self.refused = {
+                name: reason for name, reason in self.refused.items() if name in self.watcher.nodes
+            }
             self.primed = True
         for name in gone:
-            self.seen_at.pop(name, None)
+            self.read_at.pop(name, None)
             self.refused.pop(name, None)
-        self.judge.on_nodes(now, nodes, gone)
+        self.tracker.on_nodes(now, nodes, gone)
         self.rev = max(self.rev, self.client.last_zxid)
-        self._hand_on()
+        self._publish_changes()
 
-    def _read(self, name: str, raw: Raw) -> Optional[Node]:
+    def _parse_node(self, name: str, raw: NodeData) -> Optional[Node]:
         try:
-            member = read_member(raw.data, self.terms.form, self.terms.port_name)
-        except NodeRefused as error:
+            member = read_member(raw.data, self.settings.form, self.settings.port_name)
+        except InvalidNode as error:
             if self.refused.get(name) != str(error):
                 self.refused[name] = str(error)
-                if len(self.refused) <= REFUSED_SHOWN:
-                    self.report("node_refused", node=f"{self.terms.path}/{name}", reason=str(error))
+                if len(self.refused) <= MAX_REPORTED_NODES:
+                    self.report("node_refused", node=f"{self.settings.path}/{name}", reason=str(error))
             return None
         self.refused.pop(name, None)
         return Node(
-            member.endpoint, member.phase, member.size, member.zone, member.start, raw.owner, raw.born
+            member.endpoint,
+            member.phase,
+            member.size,
+            member.zone,
+            member.start,
+            raw.owner,
+            raw.creation_zxid,
         )
 
-    def _hand_on(self) -> None:
-        """Nothing before all was read once: half a list would call the other half's owners gone."""
+    def _publish_changes(self) -> None:
+        """Publish pending changes, once all nodes have been read: a partial list would drop endpoints."""
         if not self.primed:
             return
-        self._tell_of_mass()
-        changed, kind = self.judge.take(self.loop.now()), "update" if self.whole_told else "replace"
-        if changed or not self.whole_told:
-            self.whole_told = True
-            listed = [self._listed(told) for told in changed]
-            self._keep(WholeList(listed, kind))
+        self._check_mass()
+        changed, kind = self.tracker.take(self.loop.now()), "update" if self.published else "replace"
+        if changed or not self.published:
+            self.published = True
+            listed = [self._listed(member) for member in changed]
+            self._save_later(EndpointList(listed, kind))
             entries = self.starts.entries(self.loop.now(), listed)
-            self.tell(
-                kind, [entry._replace(late=up(told.late, UNIT)) for entry, told in zip(entries, changed)]
+            self.on_list(
+                kind,
+                [entry._replace(late=up(member.late, TICK_US)) for entry, member in zip(entries, changed)],
             )
-        self._look_again()
+        self._schedule_update()
 
-    def _tell_of_mass(self) -> None:
-        """Once for each vanishing of many, a moment later: by then it shows whether this pilot's session expired too."""
+    def _check_mass(self) -> None:
+        """Schedule one report if many members vanished at once."""
         now = self.loop.now()
-        mass = self.judge.mass(now)
-        if mass is not None and now - self.mass_at >= MASS_AGAIN:
-            self.mass_at = now
-            self.loop.at(now + MASS_LOOK, self._report_mass, mass)
+        mass = self.tracker.mass(now)
+        if mass is not None and now - self.mass_reported_at >= MASS_REPORT_INTERVAL_US:
+            self.mass_reported_at = now
+            self.loop.at(now + MASS_REPORT_DELAY_US, self._report_mass, mass)
 
     def _report_mass(self, mass: MassVanishing) -> None:
         now = self.loop.now()
-        mass = self.judge.mass(now) or mass
+        mass = self.tracker.mass(now) or mass
         expired = self.expired_at is not None and now - self.expired_at <= 2 * self.client.timeout
         self.report(
             "mass_vanishing",
@@ -218,44 +232,44 @@
             own_session="expired too" if expired else "lived",
         )
 
-    def _keep(self, got: WholeList) -> None:
-        """Nodes change one by one, and a write is the whole list with a sync: many changes make one write, a moment later."""
+    def _save_later(self, got: EndpointList) -> None:
+        """Schedule a write of the list to disk."""
         self.saved.take(got)
-        if self.saving is None:
-            self.saving = self.loop.at(self.loop.now() + SAVE_WITHIN, self._save)
+        if self.save_timer is None:
+            self.save_timer = self.loop.at(self.loop.now() + SAVE_DELAY_US, self._save)
 
     def _save(self) -> None:
-        self.saving = None
+        self.save_timer = None
         try:
             self.saved.write()
         except OSError as error:
             self.report("list_not_saved", reason=str(error))
 
     @staticmethod
-    def _listed(told: MemberEntry) -> Listed:
-        return Listed(told.endpoint, told.phase, told.size, told.zone, told.process)
-
-    def _look_again(self) -> None:
-        if self.timer is not None:
-            self.timer.cancel()
-            self.timer = None
-        due = self.judge.due()
+    def _listed(member: MemberEntry) -> ListEntry:
+        return ListEntry(member.endpoint, member.phase, member.size, member.zone, member.process)
+
+    def _schedule_update(self) -> None:
+        if self.update_timer is not None:
+            self.update_timer.cancel()
+            self.update_timer = None
+        due = self.tracker.due()
         if due is not None:
-            self._look_at(due)
+            self._update_at(due)
 
-    def _look_at(self, due: int) -> None:
-        """At the earliest of what was asked for."""
-        if self.timer is None or self.timer.call is None or self.timer.at > due:
-            if self.timer is not None:
-                self.timer.cancel()
-            self.timer = self.loop.at(due, self._hand_on)
+    def _update_at(self, due: int) -> None:
+        """Update at `due`, or earlier if an update is already scheduled."""
+        if self.update_timer is None or self.update_timer.call is None or self.update_timer.at > due:
+            if self.update_timer is not None:
+                self.update_timer.cancel()
+            self.update_timer = self.loop.at(due, self._publish_changes)
 
-    # ---- for people
+    # ---- status
 
-    def shown(self) -> dict[str, Any]:
-        now, judge, client = self.loop.now(), self.judge, self.client
+    def status(self) -> dict[str, Any]:
+        now, tracker, client = self.loop.now(), self.tracker, self.client
         rows = []
-        for name, node in sorted(judge.nodes.items()):
+        for name, node in sorted(tracker.nodes.items()):
             rows.append(
                 {
                     "node": name,
@@ -265,12 +279,12 @@
                     "zone": node.zone,
                     "start": node.start,
                     "session": f"{node.owner:#x}",
-                    "age_s": (now - self.seen_at.get(name, now)) / 1e6,
+                    "age_s": (now - self.read_at.get(name, now)) / 1e6,
                 }
             )
         held = [
-            {"endpoint": name, "since_s": (now - one.since) / 1e6, "in_doubt": name in judge.retained}
-            for name, one in sorted(judge.gone.items())
+            {"endpoint": name, "since_s": (now - one.since) / 1e6, "in_doubt": name in tracker.retained}
+            for name, one in sorted(tracker.gone.items())
         ]
         server = "" if client.server is None else f"{client.server[0]}:{client.server[1]}"
         heard = None if client.heard_at is None else (now - client.heard_at) / 1e6
@@ -283,16 +297,16 @@
             "session": f"{client.session:#x}",
             "timeout_ms": client.timeout // 1000,
             "zxid": f"{client.last_zxid:#x}",
-            "watch": "recursive" if self.follower.recursive else "one-shot",
-            "denied": self.follower.denied,
+            "watch": "recursive" if self.watcher.recursive else "one-shot",
+            "denied": self.watcher.denied_reason,
             "members": rows,
             "vanished": held,
             "refused": [
-                {"node": name, "reason": why}
-                for name, why in sorted({**self.refused, **self.follower.unreadable}.items())
+                {"node": name, "reason": reason}
+                for name, reason in sorted({**self.refused, **self.watcher.denied_nodes}.items())
             ],
-            "counts": {**client.counts, **judge.counts},
+            "counts": {**client.counts, **tracker.counts},
         }
 
 
-__all__ = ["EphemeralSource", "EphemeralTerms"]
+__all__ = ["EphemeralSource", "EphemeralSettings"]
--- a/cedarshift/roster/formats.py
+++ b/cedarshift/roster/formats.py
@@ -1,11 +1,12 @@
-"""What a member's node holds, in the forms that installations use; and the same forms written, for who registers itself.
+"""Reads and writes the data of member nodes in the common formats.
 
 "serverset": JSON of Finagle's and Twitter commons' server sets, nodes named `member_...`:
-    {"serviceEndpoint": {"host", "port"}, "additionalEndpoints": {name: {"host", "port"}}, "status": "ALIVE", "shard": 3}
-"curator": JSON of Apache Curator's ServiceInstance: {"name", "id", "address", "port", "enabled", "payload", ...}
+    {"serviceEndpoint": {"host", "port"}, "additionalEndpoints": {name: {"host", "port"}}, "status": "ALIVE"}
+"curator": JSON of Apache Curator's ServiceInstance:
+    {"name", "id", "address", "port", "enabled", "payload", ...}
 "plain": {"endpoint": "host:port", "phase", "size", "zone", "start"}
 
-Neither of the first two has a size, zone or start; they are read from `metadata` and `payload`, where installations put such.
+The first two have no fields for size, zone and start; these are read from `metadata` and `payload`.
 """
 
 from __future__ import annotations
@@ -14,9 +15,9 @@
 
 import msgspec
 
-DATA_MOST = 64 << 10  # bytes of a member's node
+MAX_NODE_BYTES = 64 << 10
 FORMATS = ("serverset", "curator", "plain")
-STATUS = {
+STATUS_PHASES = {
     "ALIVE": "on",
     "WARNING": "on",
     "STARTING": "off",
@@ -24,15 +25,15 @@
     "STOPPED": "off",
     "DEAD": "off",
 }
-MEMBER = "member_"
+MEMBER_PREFIX = "member_"
 
 
-class NodeRefused(Exception):
-    """A node that can't be read, and why; the others stand."""
+class InvalidNode(Exception):
+    """Invalid node data; other nodes are not affected."""
 
 
 class Member(NamedTuple):
-    """One node as read. `start` names the process, "" where the node does not tell."""
+    """A parsed node. `start` identifies the process, "" if unknown."""
 
     endpoint: str
     phase: str
@@ -41,21 +42,21 @@
     start: str
 
 
-def _object(data: Optional[bytes]) -> dict[str, Any]:
+def _decode_object(data: Optional[bytes]) -> dict[str, Any]:
     if not data:
-        raise NodeRefused("it holds nothing")
-    if len(data) > DATA_MOST:
-        raise NodeRefused(f"it holds {len(data)} bytes, {DATA_MOST} at most")
+        raise InvalidNode("the node has no data")
+    if len(data) > MAX_NODE_BYTES:
+        raise InvalidNode(f"node has {len(data)} bytes, {MAX_NODE_BYTES} at most")
     try:
         found = msgspec.json.decode(data)
     except (msgspec.DecodeError, UnicodeDecodeError) as error:
-        raise NodeRefused(f"it is no JSON: {error}") from None
+        raise InvalidNode(f"invalid JSON: {error}") from None
     if not isinstance(found, dict):
-        raise NodeRefused(f"it holds a {type(found).__name__}, an object is wanted")
+        raise InvalidNode(f"expected an object, got {type(found).__name__}")
     return found
 
 
-def _place(host: Any, port: Any, what: str) -> str:
+def _format_address(host: Any, port: Any, what: str) -> str:
     if (
         not isinstance(host, str)
         or not host
@@ -63,82 +64,85 @@
         or isinstance(port, bool)
         or not 0 < port < 65_536
     ):
-        raise NodeRefused(f"{what} is host {host!r}, port {port!r}")
+        raise InvalidNode(f"{what} is host {host!r}, port {port!r}")
     return f"{host}:{port}"
 
 
-def _more(about: Any, what: str) -> tuple[float, str, str]:
-    """(size, zone, start) out of an object beside the address; texts of numbers are numbers, as in Java's string maps."""
-    if about is None:
+def _parse_details(details: Any, what: str) -> tuple[float, str, str]:
+    """Return (size, zone, start). Numbers may be strings, as in Java string maps."""
+    if details is None:
         return 1.0, "", ""
-    if not isinstance(about, dict):
-        raise NodeRefused(f"{what} is a {type(about).__name__}, an object is wanted")
-    raw: Any = about.get("size", about.get("weight", 1.0))
+    if not isinstance(details, dict):
+        raise InvalidNode(f"{what}: expected an object, got {type(details).__name__}")
+    raw: Any = details.get("size", details.get("weight", 1.0))
     try:
         size = float(raw)
     except (TypeError, ValueError):
-        raise NodeRefused(f"{what} has size {raw!r}") from None
+        raise InvalidNode(f"{what} has size {raw!r}") from None
     if not 0 < size < 1e9:
-        raise NodeRefused(f"{what} has size {size}, it must lie above 0")
-    zone, start = about.get("zone", ""), about.get("start", "")
+        raise InvalidNode(f"{what} has size {size}, it must lie above 0")
+    zone, start = details.get("zone", ""), details.get("start", "")
     if not isinstance(zone, str) or not isinstance(start, (str, int)):
-        raise NodeRefused(f"{what} has zone {zone!r}, start {start!r}")
+        raise InvalidNode(f"{what} has zone {zone!r}, start {start!r}")
     return size, zone, str(start)
 
 
-def _serverset(found: dict[str, Any], port_name: str) -> Member:
+def _read_serverset(found: dict[str, Any], port_name: str) -> Member:
     status = found.get("status", "ALIVE")
-    if status not in STATUS:
-        raise NodeRefused(f"status {status!r}; known: {', '.join(STATUS)}")
+    if status not in STATUS_PHASES:
+        raise InvalidNode(f"status {status!r}; known: {', '.join(STATUS_PHASES)}")
     more = found.get("additionalEndpoints") or {}
-    where = more.get(port_name) if port_name and isinstance(more, dict) else found.get("serviceEndpoint")
+    address = more.get(port_name) if port_name and isinstance(more, dict) else found.get("serviceEndpoint")
     what = f"additionalEndpoints[{port_name!r}]" if port_name else "serviceEndpoint"
-    if not isinstance(where, dict):
-        raise NodeRefused(f"{what} is missing")
+    if not isinstance(address, dict):
+        raise InvalidNode(f"{what} is missing")
     return Member(
-        _place(where.get("host"), where.get("port"), what),
-        STATUS[status],
-        *_more(found.get("metadata"), "metadata"),
+        _format_address(address.get("host"), address.get("port"), what),
+        STATUS_PHASES[status],
+        *_parse_details(found.get("metadata"), "metadata"),
     )
 
 
-def _curator(found: dict[str, Any], port_name: str) -> Member:
+def _read_curator(found: dict[str, Any], port_name: str) -> Member:
     enabled = found.get("enabled", True)
     if not isinstance(enabled, bool):
-        raise NodeRefused(f"enabled is {enabled!r}")
+        raise InvalidNode(f"enabled is {enabled!r}")
     port = (
         found.get(port_name or "port") if found.get(port_name or "port") is not None else found.get("sslPort")
     )
-    place = _place(found.get("address"), port, "address")
-    return Member(place, "on" if enabled else "fading", *_more(found.get("payload"), "payload"))
+    endpoint = _format_address(found.get("address"), port, "address")
+    return Member(endpoint, "on" if enabled else "fading", *_parse_details(found.get("payload"), "payload"))
 
 
-def _plain(found: dict[str, Any], port_name: str) -> Member:
+def _read_plain(found: dict[str, Any], port_name: str) -> Member:
     endpoint, phase = found.get("endpoint"), found.get("phase", "on")
     if not isinstance(endpoint, str) or not endpoint:
-        raise NodeRefused(f"endpoint is {endpoint!r}")
+        raise InvalidNode(f"endpoint is {endpoint!r}")
     if phase not in ("on", "fading", "off"):
-        raise NodeRefused(f'phase {phase!r}; "on", "fading" and "off" are allowed')
-    return Member(endpoint, phase, *_more(found, "the node"))
+        raise InvalidNode(f'phase {phase!r}; "on", "fading" and "off" are allowed')
+    return Member(endpoint, phase, *_parse_details(found, "the node"))
 
 
-READERS = {"serverset": _serverset, "curator": _curator, "plain": _plain}
+READERS = {"serverset": _read_serverset, "curator": _read_curator, "plain": _read_plain}
 
 
 def is_member(name: str, form: str) -> bool:
-    """Server sets keep other nodes beside the members' (`vector_...`, say)."""
-    return form != "serverset" or name.startswith(MEMBER)
+    """Return whether the node describes a member; server sets contain others too, such as `vector_...`."""
+    return form != "serverset" or name.startswith(MEMBER_PREFIX)
 
 
 def read_member(data: Optional[bytes], form: str, port_name: str = "") -> Member:
-    """Raises NodeRefused with the reason. `port_name`: the additional endpoint that is meant, or Curator's other port."""
-    return READERS[form](_object(data), port_name)
+    """Parse node data. `port_name`: name of an additional endpoint, or of Curator's port field.
+
+    Raises InvalidNode.
+    """
+    return READERS[form](_decode_object(data), port_name)
 
 
 def write_member(member: Member, form: str, name: str = "") -> bytes:
-    """The node's data; `name` is the service's, for Curator."""
+    """Return the node data. `name`: the service name, for Curator."""
     host, port = member.endpoint.rsplit(":", 1)
-    about = {"size": member.size, "zone": member.zone, "start": member.start}
+    details = {"size": member.size, "zone": member.zone, "start": member.start}
     if form == "serverset":
         status = {"on": "ALIVE", "fading": "STOPPING", "off": "STOPPED"}[member.phase]
         return msgspec.json.encode(
@@ -146,7 +150,7 @@
                 "serviceEndpoint": {"host": host, "port": int(port)},
                 "additionalEndpoints": {},
                 "status": status,
-                "metadata": {key: str(value) for key, value in about.items()},
+                "metadata": {key: str(value) for key, value in details.items()},
             }
         )
     if form == "curator":
@@ -157,13 +161,13 @@
                 "address": host,
                 "port": int(port),
                 "sslPort": None,
-                "payload": about,
+                "payload": details,
                 "serviceType": "DYNAMIC",
                 "uriSpec": None,
                 "enabled": member.phase == "on",
             }
         )
-    return msgspec.json.encode({"endpoint": member.endpoint, "phase": member.phase, **about})
+    return msgspec.json.encode({"endpoint": member.endpoint, "phase": member.phase, **details})
 
 
-__all__ = ["FORMATS", "MEMBER", "Member", "NodeRefused", "is_member", "read_member", "write_member"]
+__all__ = ["FORMATS", "MEMBER_PREFIX", "Member", "InvalidNode", "is_member", "read_member", "write_member"]
--- a/cedarshift/sim/planted.py
+++ b/cedarshift/sim/planted.py
@@ -207,14 +207,14 @@
 
 def _list_without_name() -> Patches:
     """As it was until run 312 found it."""
-    call = ServiceSource._call
+    call = ServiceSource._fetch
 
     def called(self: Any) -> Coroutine:
         name, self.name = self.name, "unnamed"
         self.name = name.removeprefix("list:")
         yield from call(self)
 
-    return [(ServiceSource, "_call", called)]
+    return [(ServiceSource, "_fetch", called)]
 
 
 def _taken_at_once() -> Patches:
@@ -350,7 +350,7 @@
 
 
 def _gone_is_kept() -> Patches:
-    call = ServiceSource._call
+    call = ServiceSource._fetch
 
     def kept(self: Any) -> Coroutine:
         tell = self.tell
@@ -360,7 +360,7 @@
         finally:
             self.tell = tell
 
-    return [(ServiceSource, "_call", kept)]
+    return [(ServiceSource, "_fetch", kept)]
 
 
 def _marks_come_again() -> Patches:
--- a/cedarshift/standins/endpoint.py
+++ b/cedarshift/standins/endpoint.py
@@ -15,7 +15,7 @@
 from cedarshift.loop import Loop, listen
 from cedarshift.loop.core import Coroutine, Waker
 from cedarshift.roster.formats import Member
-from cedarshift.roster.register import RegisterTerms, Registration
+from cedarshift.roster.register import Registration, RegistrationSettings
 from cedarshift.standins.record import Recorder
 from cedarshift.web import HttpReply, HttpRequest, serve_http
 
@@ -86,7 +86,7 @@
         self.registration = self._register(plan.node) if plan.node is not None else None
 
     def _register(self, node: OwnNode) -> Registration:
-        terms = RegisterTerms(
+        terms = RegistrationSettings(
             tuple(node.servers),
             node.path,
             node.timeout_us,
--- a/cedarshift/standins/ensemble.py
+++ b/cedarshift/standins/ensemble.py
@@ -20,20 +20,20 @@
 
 import msgspec
 
-from cedarshift.codec.zookeeper import Broken, Code, ZooError
+from cedarshift.codec.zookeeper import Code, ProtocolError, ZooKeeperError
 from cedarshift.codec.zookeeper import records as r
 from cedarshift.codec.zookeeper.jute import check_path
 from cedarshift.codec.zookeeper.session import Request, ServerSession
 from cedarshift.loop import Loop, Stream, StreamBroken, TimedOut, listen
 from cedarshift.loop.core import Coroutine
-from cedarshift.roster.formats import NodeRefused, read_member
+from cedarshift.roster.formats import InvalidNode, read_member
 from cedarshift.standins.record import Recorder
 from cedarshift.web import HttpReply, HttpRequest, serve_http
 
 HANDSHAKE = 3_000_000  # us for a ConnectRequest
 TICK = 20_000  # us between two looks at what has expired
 TIMEOUT_LEAST, TIMEOUT_MOST = 400, 60_000  # ms that a session's time-out may have
-DATA_MOST = 1 << 20  # bytes of a node
+MAX_NODE_BYTES = 1 << 20  # bytes of a node
 VERSION = "3.6.0-stand-in"
 ANYONE = r.Id("world", "anyone")
 
@@ -99,7 +99,7 @@
     """One server's tree. `apply` carries out one transaction that the leader has found sound."""
 
     def __init__(self) -> None:
-        self.nodes: dict[str, ZNode] = {"/": ZNode(b"", [r.Acl(r.MAY_ALL, ANYONE)], 0, 0, 0)}
+        self.nodes: dict[str, ZNode] = {"/": ZNode(b"", [r.Acl(r.PERM_ALL, ANYONE)], 0, 0, 0)}
         self.of_session: dict[int, set[str]] = {}
         self.zxid = 0
 
@@ -281,7 +281,7 @@
                         return
                     connection.live.heard_at = loop.now()
                     connection.hear(request)
-        except (StreamBroken, TimedOut, Broken):
+        except (StreamBroken, TimedOut, ProtocolError):
             pass
         finally:
             self.connections.discard(connection)
@@ -309,19 +309,19 @@
                 asked.session or -1 - self.number, asked.password or b"", asked.timeout * 1000, 0
             )
             connection.stream.write(
-                codec.welcome(asked.timeout, connection.live.number, connection.live.password, True)
+                codec.connect_response(asked.timeout, connection.live.number, connection.live.password, True)
             )
             return True
         timeout = max(TIMEOUT_LEAST, min(TIMEOUT_MOST, asked.timeout))
         live = ensemble.sessions.get(asked.session) if asked.session else ensemble.new_session(timeout * 1000)
         if live is None or (asked.session and live.password != asked.password):
-            connection.stream.write(codec.welcome(0, 0, b"\0" * 16))
+            connection.stream.write(codec.connect_response(0, 0, b"\0" * 16))
             return False
         if live.connection is not None:  # the session moves: what it had elsewhere is closed
             live.connection.stream.close()
         live.connection, live.heard_at, live.timeout = connection, ensemble.loop.now(), timeout * 1000
         connection.live = live
-        connection.stream.write(codec.welcome(timeout, live.number, live.password))
+        connection.stream.write(codec.connect_response(timeout, live.number, live.password))
         return True
 
     # ---- requests
@@ -329,18 +329,18 @@
     def serve(self, connection: Connection, request: Request) -> None:
         codec, zxid = connection.codec, self.tree.zxid
         try:
-            if request.problem:
-                raise ZooError(request.problem)
+            if request.error_code:
+                raise ZooKeeperError(request.error_code)
             if request.op in WRITES:
                 if self.cut:
-                    raise ZooError(Code.NOT_READ_ONLY)
+                    raise ZooKeeperError(Code.NOT_READ_ONLY)
                 zxid, body = self.ensemble.write(connection, request.op, request.body)
             else:
                 body = self._read(connection, request)
             connection.say(zxid, codec.reply(request.xid, zxid, 0, body))
             if request.op == r.CLOSE:
                 self.ensemble.end_session(connection.live)
-        except ZooError as error:
+        except ZooKeeperError as error:
             failed = max(zxid, self.ensemble.zxid if request.op in WRITES and not self.cut else 0)
             connection.say(failed, codec.reply(request.xid, failed, error.code))
             if error.code == Code.AUTH_FAILED:
@@ -359,7 +359,7 @@
         watching, node = connection.watching, self.tree.nodes.get(body.path)
         if op == r.ADD_WATCH:
             if body.mode not in (r.WATCH_PERSISTENT, r.WATCH_RECURSIVE):
-                raise ZooError(Code.BAD_ARGUMENTS)
+                raise ZooKeeperError(Code.BAD_ARGUMENTS)
             (watching.recursive if body.mode == r.WATCH_RECURSIVE else watching.persistent).add(body.path)
             return r.ErrorReply(0)
         if op == r.REMOVE_WATCHES:
@@ -368,14 +368,14 @@
             if op == r.EXISTS and body.watch:
                 watching.exists.add(body.path)
             self.ensemble.note_missing(connection, body.path)
-            raise ZooError(Code.NO_NODE)
+            raise ZooKeeperError(Code.NO_NODE)
         if op == r.EXISTS:
             if body.watch:
                 watching.data.add(body.path)
             return r.StatReply(node.stat())
         if op == r.GET_ACL:
             return r.AclReply(node.acl, node.stat())
-        self.ensemble.allow(connection.ids, node, r.MAY_READ)
+        self.ensemble.allow(connection.ids, node, r.PERM_READ)
         if op == r.GET_DATA:
             if body.watch:
                 watching.data.add(body.path)
@@ -389,7 +389,7 @@
 
     def _auth(self, connection: Connection, body: r.Auth) -> None:
         if body.scheme != "digest" or not body.auth or b":" not in body.auth:
-            raise ZooError(Code.AUTH_FAILED)
+            raise ZooKeeperError(Code.AUTH_FAILED)
         user = body.auth.split(b":", 1)[0].decode(errors="replace")
         digest = b64encode(hashlib.sha1(body.auth).digest()).decode()
         connection.ids.add(r.Id("digest", f"{user}:{digest}"))
@@ -435,7 +435,7 @@
             (watching.children, watching.data, watching.exists, watching.persistent, watching.recursive),
         )
         if not any(body.path in paths for paths in kinds):
-            raise ZooError(Code.NO_WATCHER)
+            raise ZooKeeperError(Code.NO_WATCHER)
         for paths in kinds:
             paths.discard(body.path)
 
@@ -540,7 +540,7 @@
 
     def allow(self, ids: set[r.Id], node: ZNode, wanted: int) -> None:
         if not any(one.perms & wanted and one.who in ids for one in node.acl):
-            raise ZooError(Code.NO_AUTH)
+            raise ZooKeeperError(Code.NO_AUTH)
 
     def write(self, connection: Connection, op: int, body: Any) -> tuple[int, Any]:
         """(zxid, answer). Raises ZooError."""
@@ -567,7 +567,7 @@
                     trial.apply(self.zxid + 1, self.loop.now() // 1000, [change])
                     changes.append(change)
                 paths.append(path)
-            except ZooError as error:
+            except ZooKeeperError as error:
                 codes = [Code.RUNTIME_INCONSISTENCY] * len(body.ops)
                 codes[:n] = [Code.OK] * n
                 codes[n] = Code(error.code)
@@ -582,48 +582,52 @@
         if op in (r.CREATE_CONTAINER, r.CREATE_TTL) or (
             op in (r.CREATE, r.CREATE2) and body.flags not in range(4)
         ):
-            raise ZooError(Code.UNIMPLEMENTED)
+            raise ZooKeeperError(Code.UNIMPLEMENTED)
         if op in (r.CREATE, r.CREATE2):
             return self._sound_create(connection, body, tree)
         node = tree.nodes.get(body.path)
         if node is None:
-            raise ZooError(Code.NO_NODE)
+            raise ZooKeeperError(Code.NO_NODE)
         have = node.aversion if op == r.SET_ACL else node.version
         if body.version not in (-1, have):
-            raise ZooError(Code.BAD_VERSION)
+            raise ZooKeeperError(Code.BAD_VERSION)
         if op == r.CHECK:
-            self.allow(connection.ids, node, r.MAY_READ)
+            self.allow(connection.ids, node, r.PERM_READ)
             return None, body.path
         if op == r.DELETE:
             if body.path == "/":
-                raise ZooError(Code.BAD_ARGUMENTS)
-            self.allow(connection.ids, tree.nodes[parent_of(body.path)], r.MAY_DELETE)
+                raise ZooKeeperError(Code.BAD_ARGUMENTS)
+            self.allow(connection.ids, tree.nodes[parent_of(body.path)], r.PERM_DELETE)
             if node.children:
-                raise ZooError(Code.NOT_EMPTY)
+                raise ZooKeeperError(Code.NOT_EMPTY)
             return ("delete", body.path), body.path
         if op == r.SET_ACL:
-            self.allow(connection.ids, node, r.MAY_ADMIN)
+            self.allow(connection.ids, node, r.PERM_ADMIN)
             return ("acl", body.path, self._sound_acl(connection, body.acl)), body.path
-        self.allow(connection.ids, node, r.MAY_WRITE)
-        if len(body.data or b"") > DATA_MOST:
-            raise ZooError(Code.BAD_ARGUMENTS)
+        self.allow(connection.ids, node, r.PERM_WRITE)
+        if len(body.data or b"") > MAX_NODE_BYTES:
+            raise ZooKeeperError(Code.BAD_ARGUMENTS)
         return ("set", body.path, body.data), body.path
 
     def _sound_create(self, connection: Connection, body: r.Create, tree: Tree) -> tuple[tuple, str]:
         path = body.path
         sequential = body.flags in (r.SEQUENTIAL, r.EPHEMERAL_SEQUENTIAL)
-        if check_path(path + ("0" if sequential else "")) or path == "/" or len(body.data or b"") > DATA_MOST:
-            raise ZooError(Code.BAD_ARGUMENTS)
+        if (
+            check_path(path + ("0" if sequential else ""))
+            or path == "/"
+            or len(body.data or b"") > MAX_NODE_BYTES
+        ):
+            raise ZooKeeperError(Code.BAD_ARGUMENTS)
         above = tree.nodes.get(parent_of(path))
         if above is None:
-            raise ZooError(Code.NO_NODE)
-        self.allow(connection.ids, above, r.MAY_CREATE)
+            raise ZooKeeperError(Code.NO_NODE)
+        self.allow(connection.ids, above, r.PERM_CREATE)
         if above.owner:
-            raise ZooError(Code.NO_CHILDREN_FOR_EPHEMERALS)
+            raise ZooKeeperError(Code.NO_CHILDREN_FOR_EPHEMERALS)
         if sequential:  # counted by the parent's changes, as the specification has it
             path += f"{above.cversion:010d}"
         if path in tree.nodes:
-            raise ZooError(Code.NODE_EXISTS)
+            raise ZooKeeperError(Code.NODE_EXISTS)
         assert connection.live is not None
         owner = connection.live.number if body.flags in (r.EPHEMERAL, r.EPHEMERAL_SEQUENTIAL) else 0
         return ("create", path, body.data, self._sound_acl(connection, body.acl), owner), path
@@ -636,14 +640,14 @@
             if one.who.scheme == "auth":
                 mine = [who for who in connection.ids if who != ANYONE]
                 if not mine:
-                    raise ZooError(Code.INVALID_ACL)
+                    raise ZooKeeperError(Code.INVALID_ACL)
                 made += [r.Acl(one.perms, who) for who in sorted(mine)]
             elif one.who.scheme in ("world", "digest"):
                 made.append(one)
             else:
-                raise ZooError(Code.INVALID_ACL)
+                raise ZooKeeperError(Code.INVALID_ACL)
         if not made:
-            raise ZooError(Code.INVALID_ACL)
+            raise ZooKeeperError(Code.INVALID_ACL)
         return made
 
     # ---- the record: what each reader was told of the members, so that the rules can be held against it
@@ -663,7 +667,7 @@
             return
         try:
             member = read_member(data, self.plan.form)
-        except NodeRefused:
+        except InvalidNode:
             return
         self.believed[connection.live.user, name] = member.endpoint
         self._told(connection, [[member.endpoint, member.phase, member.start]])
--- a/cedarshift/standins/lists.py
+++ b/cedarshift/standins/lists.py
@@ -13,7 +13,7 @@
 
 from cedarshift.loop import Loop, TimedOut, listen
 from cedarshift.loop.core import Coroutine, Waker
-from cedarshift.roster.entries import Listed, WholeList
+from cedarshift.roster.entries import EndpointList, ListEntry
 from cedarshift.standins.record import Recorder
 from cedarshift.web import HttpReply, HttpRequest, serve_http
 
@@ -68,11 +68,13 @@
     def _told(self, since: int, by: str) -> HttpReply:
         changed = [e for name, e in sorted(self.entries.items()) if self.changed_at[name] > since]
         rows = [
-            Listed(e["endpoint"], e["phase"], e["size"], e["zone"], e["start"], self._age(e)) for e in changed
+            ListEntry(e["endpoint"], e["phase"], e["size"], e["zone"], e["start"], self._age(e))
+            for e in changed
         ]
         self.recorder.note("told", by, self.rev, [[e["endpoint"], e["phase"], e["start"]] for e in changed])
         return HttpReply(
-            200, msgspec.json.encode(WholeList(rows, "update" if since else "replace", self.rev, self.name))
+            200,
+            msgspec.json.encode(EndpointList(rows, "update" if since else "replace", self.rev, self.name)),
         )
 
     def _age(self, entry: dict[str, Any]) -> Optional[int]:
--- a/tests/test_gossip.py
+++ b/tests/test_gossip.py
@@ -10,8 +10,8 @@
 from cedarshift.codec.gossip import Body, NotOurs, Seal, WordOf
 from cedarshift.deployment import FileRefused, load
 from cedarshift.deployment.render import render
-from cedarshift.gossip.member import Member, Window
-from cedarshift.gossip.service import Membership, MembershipTerms
+from cedarshift.gossip.member import Member, ReplayWindow
+from cedarshift.gossip.service import Membership, MembershipConfig
 from cedarshift.judge.chance import Lcg
 from cedarshift.judge.detector import MAX_HEALTH_SCORE, MISSES_FOR_SILENCE, Detector, Reachability
 from cedarshift.judge.roll import ALIVE, CUT, DEAD, LEFT, SUSPECT, Edge, MemberTable, Rings, Verdict, Word
@@ -169,11 +169,11 @@
     crowd = Crowd(10, 5623)
     crowd.run_for(10)
     member = crowd.places["p9"].member
-    away = next(name for name in member.roll.names if name not in member.roll.subjects() and name != "p9")
+    away = next(name for name in member.table.names if name not in member.table.subjects() and name != "p9")
     member._report(crowd.now, Reachability(away, False, crowd.now))
-    member._watch(crowd.now)
+    member._update_subjects(crowd.now)
     crowd.run_for(6)
-    assert member.roll.edges[away]["p9"].hears
+    assert member.table.edges[away]["p9"].hears
 
 
 def test_reports_of_one_that_is_given_up_itself_count_for_nothing():
@@ -282,53 +282,53 @@
 @given(st.binary(max_size=300), st.integers(0, 400), st.integers(0, 255))
 def test_no_bytes_bring_a_member_down_or_change_it(junk, at, value):
     member = Member("a", {one: (one, 1) for one in NAMES}, SEAL, SECOND, 5, 1, 0)
-    before = dict(member.roll.words)
+    before = dict(member.table.words)
     sound = bytearray(SEAL.close(body()))
     sound[at % len(sound)] ^= value or 1
     for data in (junk, g.MAGIC + junk, bytes(sound)):
-        member.hear(1, data, ("b", 1))
-        member.hear_stream(1, data)
+        member.on_datagram(1, data, ("b", 1))
+        member.on_frame(1, data)
         frames = g.Frames(1_000)
         try:
             list(frames.feed(data))
         except NotOurs:
             pass
-    assert dict(member.roll.words) == before
+    assert dict(member.table.words) == before
 
 
 def test_the_same_datagram_again_changes_nothing_and_is_not_answered():
     member = Member("a", {one: (one, 1) for one in NAMES}, SEAL, SECOND, 5, 1, 0)
     data = SEAL.close(body())
-    member.hear(1, data, ("b", 1))
+    member.on_datagram(1, data, ("b", 1))
     assert len(member.out) == 1
-    member.hear(2, data, ("b", 1))
+    member.on_datagram(2, data, ("b", 1))
     assert len(member.out) == 1 and member.counts["again"] == 1
 
 
 @given(st.lists(st.integers(1, 90), max_size=60))
 def test_a_window_takes_each_number_once(numbers):
-    window, taken = Window(), []
+    window, taken = ReplayWindow(), []
     for one in numbers:
-        if window.fresh(1, one):
+        if window.accept(1, one):
             taken.append(one)
     assert len(taken) == len(set(taken))
 
 
-@pytest.mark.parametrize("young, start", [(True, 11), (False, 5)])
+@pytest.mark.parametrize("unconfirmed, start", [(True, 11), (False, 5)])
 def test_a_new_life_takes_a_later_start_than_one_of_a_clock_that_was_ahead_and_an_old_one_gives_way(
-    young, start
+    unconfirmed, start
 ):
     member = Member("a", {one: (one, 1) for one in NAMES}, SEAL, SECOND, 5, 1, 0)
-    member.young = young
-    member.hear(1, SEAL.close(body(words=[WordOf("a", 10, False, 3)])), ("b", 1))
-    assert member.start == start and member.superseded is not young
+    member.unconfirmed = unconfirmed
+    member.on_datagram(1, SEAL.close(body(words=[WordOf("a", 10, False, 3)])), ("b", 1))
+    assert member.start == start and member.superseded is not unconfirmed
 
 
 def test_datagrams_stay_under_their_size_however_much_there_is_to_tell():
     names = {f"a-rather-long-name-{n:03d}": (f"h{n}", 1) for n in range(300)}
     member = Member(next(iter(names)), names, SEAL, SECOND, 5, 1, 0)
     for n, one in enumerate(names):
-        member._take_word(1, WordOf(one, 2**60 + n, False, 2**40))
+        member._merge_word(1, WordOf(one, 2**60 + n, False, 2**40))
     member._send(1, ("h1", 1), g.PING, "a-rather-long-name-001", 1)
     assert len(member.out[0][1]) <= g.DATAGRAM_MOST and len(member.queue) > 0
 
@@ -369,7 +369,7 @@
     world = World(5)
     names = [f"p{n}" for n in range(5)]
     hosts = {one: world.host(one) for one in names}
-    terms = MembershipTerms(200_000, {one: ("127.0.0.1", 100 + n) for n, one in enumerate(names)})
+    terms = MembershipConfig(200_000, {one: ("127.0.0.1", 100 + n) for n, one in enumerate(names)})
     made = {
         one: Membership(hosts[one].loop, terms, one, "trial", b"", 1, n, lambda event, **fields: None)
         for n, one in enumerate(names)
@@ -378,17 +378,17 @@
 
     def day():
         yield from runner.loop.sleep(3 * SECOND)
-        assert all(set(made[one].member.roll.states.values()) == {ALIVE} for one in names)
+        assert all(set(made[one].member.table.states.values()) == {ALIVE} for one in names)
         hosts["p0"].end()
         hosts["p1"].pause()
         yield from runner.loop.sleep(6 * SECOND)
         assert all(
-            made[one].member.roll.states["p0"] == made[one].member.roll.states["p1"] == DEAD
+            made[one].member.table.states["p0"] == made[one].member.table.states["p1"] == DEAD
             for one in names[2:]
         )
         hosts["p1"].resume()
         yield from runner.loop.sleep(6 * SECOND)
-        return [made[one].member.roll.states["p1"] for one in names[1:]]
+        return [made[one].member.table.states["p1"] for one in names[1:]]
 
     assert world.run(runner.loop.spawn(day(), "day")) == [ALIVE] * 4
     world.dispose()
@@ -435,13 +435,13 @@
 
 
 @pytest.mark.parametrize(
-    "living, asked",
+    "live_members, asked",
     [(["p2"], ["p2", "p2"]), (["p3", "p1"], ["p3", "p1"]), ([], ["p1", "p2"]), (["p9"], ["p1", "p2"])],
 )
-def test_facts_are_asked_of_those_that_live(living, asked):
+def test_facts_are_asked_of_those_that_live(live_members, asked):
     class Service:
         class membership:
-            living = staticmethod(lambda: living)
+            live_members = staticmethod(lambda: live_members)
 
     learning = Learning.__new__(Learning)
     learning.service = Service
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -12,8 +12,8 @@
 from cedarshift.pilot.channel import PacedChannel
 from cedarshift.pilot.intake import Intake
 from cedarshift.rehearsal.bench_day import map_day
-from cedarshift.roster import FileSource, ListRefused, ServiceSource, Starts, parse_list
-from cedarshift.roster.entries import Listed
+from cedarshift.roster import FileSource, InvalidList, ServiceSource, StartTimes, parse_list
+from cedarshift.roster.entries import ListEntry
 from cedarshift.roster.sources import SavedList
 from cedarshift.standins.lists import ListPlan, ListService
 from cedarshift.web import HttpReply, Pool, serve_http
@@ -90,18 +90,20 @@
     ],
 )
 def test_an_invalid_list_is_refused_with_entry_and_reason(raw, reason):
-    with pytest.raises(ListRefused, match=reason):
+    with pytest.raises(InvalidList, match=reason):
         parse_list(raw, "list")
 
 
 def test_a_start_time_is_computed_once_and_stays():
-    s = Starts()
-    assert [e.started for e in s.entries(50 * SECOND, [Listed("a", start="1")])] == [None]
-    assert s.entry(55 * SECOND, Listed("c", start="1")).started == 550_000  # added later, so it may be cold
-    first = s.entry(60 * SECOND, Listed("b", start="1", age_ms=2_000)).started
+    s = StartTimes()
+    assert [e.started for e in s.entries(50 * SECOND, [ListEntry("a", start="1")])] == [None]
+    assert (
+        s.entry(55 * SECOND, ListEntry("c", start="1")).started == 550_000
+    )  # added later, so it may be cold
+    first = s.entry(60 * SECOND, ListEntry("b", start="1", age_ms=2_000)).started
     assert first == 580_000
-    assert s.entry(61 * SECOND, Listed("b", start="1", age_ms=3_007)).started == first
-    assert s.entry(62 * SECOND, Listed("a", start="2")).started == 620_000
+    assert s.entry(61 * SECOND, ListEntry("b", start="1", age_ms=3_007)).started == first
+    assert s.entry(62 * SECOND, ListEntry("a", start="2")).started == 620_000
 
 
 def test_an_invalid_file_leaves_the_list_in_force(tmp_path):
@@ -182,7 +184,7 @@
     )
     loop.run(loop.spawn(loop.sleep(SECOND), "wait"))
     assert kinds == []
-    source.ask()
+    source.request_list()
     loop.run(loop.spawn(loop.sleep(SECOND), "wait"))
     assert kinds == ["unavailable"]
 
--- a/tests/test_register.py
+++ b/tests/test_register.py
@@ -15,7 +15,7 @@
 from cedarshift.cli.main import main
 from cedarshift.loop.epoll import real_loop
 from cedarshift.rehearsal.fleet import Ports
-from cedarshift.roster.ephemeral import EphemeralSource, EphemeralTerms
+from cedarshift.roster.ephemeral import EphemeralSettings, EphemeralSource
 from cedarshift.roster.sources import SavedList
 
 ROOT = os.path.dirname(__file__) + "/.."
@@ -64,7 +64,9 @@
 def test_a_registered_member_is_listed_drains_on_sigterm_and_leaves(town):
     loop, path, servers = town
     listed = {}
-    terms = EphemeralTerms(tuple(servers), "/svc/tiles", 2 * SECOND, "plain", "", True, True, SECOND // 5, ())
+    terms = EphemeralSettings(
+        tuple(servers), "/svc/tiles", 2 * SECOND, "plain", "", True, True, SECOND // 5, ()
+    )
     source = EphemeralSource(
         loop,
         terms,
--- a/tests/test_roster_pilot.py
+++ b/tests/test_roster_pilot.py
@@ -12,7 +12,7 @@
 from cedarshift.deployment import load
 from cedarshift.pilot.intake import ZoneTotals
 from cedarshift.roster.formats import Member
-from cedarshift.roster.register import RegisterTerms, Registration
+from cedarshift.roster.register import Registration, RegistrationSettings
 from cedarshift.roster.sources import FileSource
 from cedarshift.standins.ensemble import Ensemble, EnsemblePlan
 
@@ -43,7 +43,7 @@
         self.run(12)
 
     def member(self, name, start="1"):
-        terms = RegisterTerms(tuple(PLACES), PATH, 2 * SECOND, "plain", "", ())
+        terms = RegistrationSettings(tuple(PLACES), PATH, 2 * SECOND, "plain", "", ())
         self.members[name] = Registration(
             self.loop,
             terms,
@@ -144,11 +144,11 @@
     town.ensemble.commit([("create", f"{PATH}/odd", b"{", [r.Acl(31, r.Id("world", "anyone"))], 0)])
     town.ensemble.commit([("create", f"{PATH}/shut", b"{", [], 0)])
     town.members["a"].stop()
-    while not town.fleet.pilots["p0"].source.judge.gone:
+    while not town.fleet.pilots["p0"].source.tracker.gone:
         town.run(0.1)
     text = shown_members(msgspec.json.encode(town.fleet.pilots["p0"].members()))
     assert "connected for" in text and "b:1" in text and "recursive watch" in text
-    assert "held back: a:1" in text and "odd: it is no JSON" in text and "shut: " in text
+    assert "held back: a:1" in text and "odd: invalid JSON" in text and "shut: " in text
 
 
 def test_a_reload_takes_another_path_over(tmp_path):
