--- a/tests/test_zookeeper.py
+++ b/tests/test_zookeeper.py
@@ -8,14 +8,14 @@
 from program import SECOND, virtual_loop
 from zoo import DOORS, PATH, PLACES, Zoo
 
-from cedarshift.codec.zookeeper import Broken, Code, ZooError
+from cedarshift.codec.zookeeper import Code, ProtocolError, ZooKeeperError
 from cedarshift.codec.zookeeper import records as r
 from cedarshift.codec.zookeeper.jute import Frames, check_path, decode, encode
 from cedarshift.codec.zookeeper.session import EXPIRED, ClientSession, Reply, ServerSession
 from cedarshift.loop import listen
 from cedarshift.roster import members as members_module
-from cedarshift.roster.formats import Member, NodeRefused, read_member, write_member
-from cedarshift.roster.zookeeper import ZooClient
+from cedarshift.roster.formats import InvalidNode, Member, read_member, write_member
+from cedarshift.roster.zookeeper import ZooKeeperClient
 
 STAT = r.Stat(1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11)
 OPEN_ACL = [r.Acl(31, r.Id("world", "anyone"))]
@@ -25,14 +25,14 @@
         r.ConnectRequest(0, 0, 6000, 0, b"\0" * 16),
         "00000000000000000000000000001770000000000000000000000010" + "00" * 16,
     ),
-    (r.RequestHead(1, r.GET_CHILDREN2), "000000010000000c"),
-    (r.Watched("/a", True), "000000022f6101"),
+    (r.RequestHeader(1, r.GET_CHILDREN2), "000000010000000c"),
+    (r.WatchRequest("/a", True), "000000022f6101"),
     (
         r.Create("/a", b"x", OPEN_ACL, r.EPHEMERAL),
         "000000022f610000000178000000010000001f00000005776f726c6400000006616e796f6e6500000001",
     ),
     (r.Delete("/a", -1), "000000022f61ffffffff"),
-    (r.ReplyHead(1, 0x100000002, -101), "000000010000000100000002ffffff9b"),
+    (r.ReplyHeader(1, 0x100000002, -101), "000000010000000100000002ffffff9b"),
     (r.WatchEvent(r.DELETED, r.CONNECTED, "/a"), "0000000200000003000000022f61"),
     (r.AddWatch("/a", r.WATCH_RECURSIVE), "000000022f6100000001"),
     (r.SetData("/a", None, 0), "000000022f61ffffffff00000000"),
@@ -61,27 +61,27 @@
 @pytest.mark.parametrize(
     "kind, raw",
     [
-        (r.Watched, "ffffff9c2f6101"),
-        (r.Watched, "7fffffff2f6101"),
-        (r.Watched, "000000022f6102"),
-        (r.Watched, "000000022f610100"),
-        (r.Watched, "00000002fffe01"),
+        (r.WatchRequest, "ffffff9c2f6101"),
+        (r.WatchRequest, "7fffffff2f6101"),
+        (r.WatchRequest, "000000022f6102"),
+        (r.WatchRequest, "000000022f610100"),
+        (r.WatchRequest, "00000002fffe01"),
         (r.ChildrenReply, "7fffffff"),
         (r.ChildrenReply, "fffffffe"),
         (r.DataReply, "f0000000"),
-        (r.Watched, "000000022f"),
+        (r.WatchRequest, "000000022f"),
         (r.Stat, "00" * 67),
-        (r.Watched, "00001001" + "61" * 4097 + "01"),
+        (r.WatchRequest, "00001001" + "61" * 4097 + "01"),
     ],
 )
 def test_garbage_is_refused_without_being_kept(kind, raw):
-    with pytest.raises(Broken):
+    with pytest.raises(ProtocolError):
         decode(bytes.fromhex(raw), kind)
 
 
 @pytest.mark.parametrize("head", ["ffffffff", "7fffffff", "00400001"])
 def test_a_frame_of_a_negative_or_a_huge_length_is_refused_at_its_head(head):
-    with pytest.raises(Broken):
+    with pytest.raises(ProtocolError):
         Frames().feed(bytes.fromhex(head))
 
 
@@ -100,7 +100,7 @@
     for kind in (r.ChildrenReply, r.Create, r.AclReply, r.SetWatches2):
         try:
             decode(raw, kind)
-        except Broken:
+        except ProtocolError:
             pass
 
 
@@ -127,8 +127,8 @@
 def opened(last_zxid=0):
     """A client's and a server's session, greeted."""
     client, server = ClientSession(4000, last_zxid=last_zxid), ServerSession()
-    server.feed(client.hello())
-    client.feed(server.welcome(4000, 7, b"p" * 16))
+    server.feed(client.connect_request())
+    client.feed(server.connect_response(4000, 7, b"p" * 16))
     return client, server
 
 
@@ -137,11 +137,11 @@
     [
         (r.CREATE2, r.Create("/a", b"", OPEN_ACL, 0), r.Created2("/a", STAT)),
         (r.DELETE, r.Delete("/a", -1), None),
-        (r.GET_DATA, r.Watched("/a", True), r.DataReply(b"x", STAT)),
-        (r.GET_CHILDREN, r.Watched("/", False), r.ChildrenReply(["a", "b"])),
-        (r.GET_ACL, r.OfPath("/a"), r.AclReply(OPEN_ACL, STAT)),
+        (r.GET_DATA, r.WatchRequest("/a", True), r.DataReply(b"x", STAT)),
+        (r.GET_CHILDREN, r.WatchRequest("/", False), r.ChildrenReply(["a", "b"])),
+        (r.GET_ACL, r.PathRecord("/a"), r.AclReply(OPEN_ACL, STAT)),
         (r.SET_ACL, r.SetAcl("/a", OPEN_ACL, -1), r.StatReply(STAT)),
-        (r.SYNC, r.OfPath("/a"), r.OfPath("/a")),
+        (r.SYNC, r.PathRecord("/a"), r.PathRecord("/a")),
         (r.SET_WATCHES, r.SetWatches(3, ["/a"], [], ["/"]), None),
         (r.SET_WATCHES2, r.SetWatches2(3, ["/a"], [], [], ["/p"], ["/r"]), None),
         (r.AUTH, r.Auth(0, "digest", b"u:p"), None),
@@ -171,8 +171,8 @@
 
 def test_an_expired_session_is_told_by_session_nought():
     client, server = ClientSession(4000, session=9), ServerSession()
-    server.feed(client.hello())
-    client.feed(server.welcome(0, 0, b"\0" * 16))
+    server.feed(client.connect_request())
+    client.feed(server.connect_response(0, 0, b"\0" * 16))
     assert client.state == EXPIRED
 
 
@@ -181,11 +181,11 @@
     [
         (lambda s: s.reply(5, 9, 0, r.Created("/a")), "xid 5"),
         (lambda s: s.reply(r.XID_PING, 9, 0), "ping"),
-        (lambda s: s.event(r.WatchEvent(r.DELETED, 3, "/b")), "never watched"),
-        (lambda s: s.reply(1, 2, 0, r.StatReply(STAT)), "runs back"),
+        (lambda s: s.event(r.WatchEvent(r.DELETED, 3, "/b")), "is not watched"),
+        (lambda s: s.reply(1, 2, 0, r.StatReply(STAT)), "zxid decreased"),
         (
             lambda s: s.reply(1, 9, 0, r.StatReply(STAT)) + s.reply(1, 9, 0, r.StatReply(STAT)),
-            "awaited is none",
+            "expected xid: none",
         ),
         (lambda s: s.reply(1, 9, 0, r.Created("/a")), "stated"),
         (lambda s: b"\xff\xff\xff\xf0", "frame of"),
@@ -193,16 +193,16 @@
 )
 def test_a_server_that_breaks_the_order_of_things_is_left(frames, said):
     client, server = opened(last_zxid=5)
-    client.request(r.EXISTS, r.Watched("/a", True))
-    with pytest.raises(Broken, match=said):
+    client.request(r.EXISTS, r.WatchRequest("/a", True))
+    with pytest.raises(ProtocolError, match=said):
         client.feed(frames(server))
 
 
 def test_an_operation_that_is_unknown_is_answered_and_an_endless_multi_refused():
     client, server = opened()
     (got,) = server.feed(struct.pack(">iii", 8, 1, 16))
-    assert got.problem == Code.UNIMPLEMENTED
-    with pytest.raises(Broken):
+    assert got.error_code == Code.UNIMPLEMENTED
+    with pytest.raises(ProtocolError):
         server.feed(client.request(r.MULTI, r.Multi([(r.CHECK, r.Check("/a", 1))] * 1001))[1])
 
 
@@ -254,15 +254,15 @@
 def test_an_additional_endpoint_may_be_meant():
     raw = b'{"serviceEndpoint":{"host":"a","port":1},"additionalEndpoints":{"admin":{"host":"a","port":9}}}'
     assert read_member(raw, "serverset", "admin").endpoint == "a:9"
-    with pytest.raises(NodeRefused, match="additionalEndpoints"):
+    with pytest.raises(InvalidNode, match="additionalEndpoints"):
         read_member(raw, "serverset", "thrift")
 
 
 @pytest.mark.parametrize(
     "form, raw, said",
     [
-        ("plain", b"", "nothing"),
-        ("plain", None, "nothing"),
+        ("plain", b"", "no data"),
+        ("plain", None, "no data"),
         ("plain", b"[1]", "list"),
         ("plain", b"{", "JSON"),
         ("plain", b"{}", "endpoint"),
@@ -278,7 +278,7 @@
     ],
 )
 def test_a_broken_node_is_refused_with_the_reason(form, raw, said):
-    with pytest.raises(NodeRefused, match=said):
+    with pytest.raises(InvalidNode, match=said):
         read_member(raw, form)
 
 
@@ -313,7 +313,7 @@
     zoo.expire(*zoo.members)
     zoo.run(8)
     assert zoo.told == [] and zoo.listed == before and len(zoo.on()) == count
-    assert zoo.source.judge.counts["returned"] == count and zoo.source.judge.counts["restarts"] == 0
+    assert zoo.source.tracker.counts["returned"] == count and zoo.source.tracker.counts["restarts"] == 0
 
 
 @WATCHES
@@ -321,9 +321,9 @@
     zoo = Zoo(recursive=recursive, members=2)
     zoo.members["h:9000"].stop()
     zoo.run(1.2)
-    assert zoo.on() == ["h:9000", "h:9001"] and not zoo.source.judge.gone  # its session lives
+    assert zoo.on() == ["h:9000", "h:9001"] and not zoo.source.tracker.gone  # its session lives
     zoo.run(0.9)
-    vanished = zoo.source.judge.gone["h:9000"].since
+    vanished = zoo.source.tracker.gone["h:9000"].since
     zoo.run(2)
     assert zoo.on() == ["h:9001"]
     at = next(at for at, name, phase in zoo.told if name == "h:9000" and phase == "off")
@@ -345,7 +345,7 @@
     zoo.ensemble.commit([("create", path, newer, OPEN_ACL, 0)])
     zoo.run(3)
     assert "x:1" in zoo.on() and zoo.phases("x:1") == ["on"]  # told once: another process, never gone
-    assert zoo.source.judge.nodes["x"].start == "2" and not zoo.source.judge.gone
+    assert zoo.source.tracker.nodes["x"].start == "2" and not zoo.source.tracker.gone
 
 
 @WATCHES
@@ -381,7 +381,7 @@
     zoo.ensemble.control({"heal": [0, 1, 2]})
     zoo.run(8)
     assert zoo.source.client.counts["expiries"] == 1 and zoo.on() == ["h:9000", "h:9001", "h:9002"]
-    assert zoo.phases("h:9003") == ["off"] and zoo.source.follower.recursive == recursive
+    assert zoo.phases("h:9003") == ["off"] and zoo.source.watcher.recursive == recursive
 
 
 def test_a_server_that_is_cut_off_is_read_and_left_when_one_that_writes_is_found():
@@ -456,7 +456,7 @@
     for member in zoo.members.values():
         member.stop()
     zoo.run(3)
-    assert zoo.on() == sorted(zoo.members) and zoo.source.shown()["vanished"][0]["in_doubt"]
+    assert zoo.on() == sorted(zoo.members) and zoo.source.status()["vanished"][0]["in_doubt"]
     assert zoo.reports("mass_vanishing")[0]["own_session"] == "expired too"
     zoo.source.on_sums("h:9000", 20, 20)  # the data plane loses ops there: it is dead
     zoo.run(0.1)
@@ -469,7 +469,7 @@
 def test_a_herd_of_300_is_read_with_bounded_calls_in_flight(monkeypatch):
     zoo = Zoo(delay=2_000)
     most = []
-    real = members_module.Follower._read_dirty
+    real = members_module.ChildrenWatcher._read_dirty
 
     def watched(self):
         task = real(self)
@@ -482,11 +482,11 @@
             most.append(len(zoo.source.client.calls))
             yield value
 
-    monkeypatch.setattr(members_module.Follower, "_read_dirty", watched)
+    monkeypatch.setattr(members_module.ChildrenWatcher, "_read_dirty", watched)
     for n in range(300):
         zoo.member(f"h:{n}")
     zoo.run(3)
-    assert len(zoo.on()) == 300 and 0 < max(most) <= members_module.IN_FLIGHT + 2
+    assert len(zoo.on()) == 300 and 0 < max(most) <= members_module.MAX_IN_FLIGHT + 2
 
 
 def test_one_broken_node_is_named_and_leaves_the_others_in_force():
@@ -507,10 +507,10 @@
     zoo.source = zoo.reader(2)
     zoo.listed.clear()
     zoo.run(2)
-    assert "ACL denies" in zoo.source.shown()["denied"] and zoo.on() == []
+    assert "ACL denies" in zoo.source.status()["denied"] and zoo.on() == []
     zoo.ensemble.commit([("acl", PATH, OPEN_ACL)])
     zoo.run(10)
-    assert zoo.on() == ["h:9000"] and zoo.source.shown()["denied"] == ""
+    assert zoo.on() == ["h:9000"] and zoo.source.status()["denied"] == ""
 
 
 @pytest.mark.parametrize("credential, state", [(b"p0:secret", "connected"), (b"nonsense", "refused")])
@@ -527,7 +527,7 @@
     zoo.member("h:1", auth=(("digest", b"m:pw"),))
     zoo.run(1)
     heard = []
-    other = ZooClient(
+    other = ZooKeeperClient(
         zoo.loop, PLACES, 2 * SECOND, lambda: 0.3, lambda state: None, lambda event: None, zoo.loop.report
     )
     zoo.run(0.5)
@@ -535,7 +535,7 @@
     def tries():
         try:
             yield from other.call(r.SET_DATA, r.SetData(f"{PATH}/h:1", b"", -1))
-        except ZooError as error:
+        except ZooKeeperError as error:
             heard.append(error.code)
 
     zoo.loop.spawn(tries(), "tries")
@@ -546,7 +546,7 @@
 def test_a_path_that_is_not_there_yet_is_an_empty_list_and_is_seen_when_it_is_made():
     for recursive in (True, False):
         zoo = Zoo(recursive=recursive)
-        assert zoo.source.whole_told and zoo.on() == []
+        assert zoo.source.published and zoo.on() == []
         zoo.member("h:1")
         zoo.run(1)
         assert zoo.on() == ["h:1"], recursive
@@ -559,7 +559,7 @@
 
     def older(self, connection, request):
         if request.op == r.ADD_WATCH:
-            raise ZooError(Code.UNIMPLEMENTED)
+            raise ZooKeeperError(Code.UNIMPLEMENTED)
         return real(self, connection, request)
 
     monkeypatch.setattr(ensemble.Server, "_read", older)
@@ -606,7 +606,7 @@
     def talk(self, stream):
         codec = ServerSession()
         codec.feed((yield from stream.read()))
-        stream.write(codec.welcome(2000, 7, b"p" * 16))
+        stream.write(codec.connect_response(2000, 7, b"p" * 16))
         while (yield from stream.read()):
             stream.write(self.speech(codec))
 
@@ -626,15 +626,15 @@
     loop = virtual_loop()
     rogue = Rogue(loop, speech)
     failed = []
-    client = ZooClient(
+    client = ZooKeeperClient(
         loop, [PLACES[0]], 2 * SECOND, lambda: 0.5, lambda state: None, lambda event: None, loop.report
     )
 
     def asks():
         while True:
             try:
-                yield from client.call(r.EXISTS, r.Watched("/a", False))
-            except ZooError as error:
+                yield from client.call(r.EXISTS, r.WatchRequest("/a", False))
+            except ZooKeeperError as error:
                 failed.append(error.code)
             yield from loop.sleep(20_000)
 
@@ -649,7 +649,9 @@
     tried = []
     real = loop.network.dial
     loop.network.dial = lambda address: tried.append(loop.now()) or real(address)
-    ZooClient(loop, PLACES, 2 * SECOND, lambda: 0.999, lambda state: None, lambda event: None, loop.report)
+    ZooKeeperClient(
+        loop, PLACES, 2 * SECOND, lambda: 0.999, lambda state: None, lambda event: None, loop.report
+    )
     loop.run(loop.spawn(loop.sleep(60 * SECOND), "wait"))
     waits = [b - a for a, b in zip(tried, tried[1:])]
     assert 60 < len(tried) < 130 and max(waits) <= 2 * SECOND + 10_000 and max(waits[:6]) < 300_000
@@ -784,8 +786,8 @@
                 zoo.source.on_sums(name, 20, 0 if name in zoo.members else 20)
             late.extend(
                 name
-                for name, one in zoo.source.judge.gone.items()
-                if now > one.until + 10_000 and name not in zoo.source.judge.retained
+                for name, one in zoo.source.tracker.gone.items()
+                if now > one.until + 10_000 and name not in zoo.source.tracker.retained
             )
             if serving and not zoo.on() and not any(zoo.listed[n].phase == "fading" for n in serving):
                 empty.append((now, serving))
@@ -799,10 +801,10 @@
     registered = {name for name, member in zoo.members.items() if member.registered}
     assert registered == set(zoo.members)
     there = {
-        zoo.source.judge.nodes[name].endpoint: zoo.source.judge.nodes[name].phase
-        for name in zoo.source.judge.nodes
+        zoo.source.tracker.nodes[name].endpoint: zoo.source.tracker.nodes[name].phase
+        for name in zoo.source.tracker.nodes
     }
-    assert set(zoo.ensemble._children()) == set(zoo.source.judge.nodes)
+    assert set(zoo.ensemble._children()) == set(zoo.source.tracker.nodes)
     assert {name: entry.phase for name, entry in zoo.listed.items() if entry.phase != "off"} == there
     assert set(there) == set(zoo.members) and not late and not empty
     assert not [fields for event, fields in zoo.loop.events if event == "task_failed"]
@@ -811,7 +813,7 @@
 def test_what_an_event_overtook_is_not_told():
     zoo = Zoo(members=1)
     told = []
-    follower = members_module.Follower(
+    watcher = members_module.ChildrenWatcher(
         zoo.loop,
         PATH,
         True,
@@ -821,10 +823,10 @@
         lambda: 0.5,
     )
     batch = members_module.Batch()
-    batch.seen = {"x": members_module.Raw(b"", 0, 1), "y": members_module.Raw(b"", 0, 2)}
-    follower.dirty["x"] = None
-    follower._tell(batch)
-    assert [set(seen) for seen, _, _ in told] == [{"y"}] and set(follower.nodes) == {"y"}
+    batch.seen = {"x": members_module.NodeData(b"", 0, 1), "y": members_module.NodeData(b"", 0, 2)}
+    watcher.dirty["x"] = None
+    watcher._flush(batch)
+    assert [set(seen) for seen, _, _ in told] == [{"y"}] and set(watcher.nodes) == {"y"}
 
 
 @WATCHES
--- a/tests/zoo.py
+++ b/tests/zoo.py
@@ -4,9 +4,9 @@
 
 from program import SECOND, virtual_loop
 
-from cedarshift.roster.ephemeral import EphemeralSource, EphemeralTerms
+from cedarshift.roster.ephemeral import EphemeralSettings, EphemeralSource
 from cedarshift.roster.formats import Member
-from cedarshift.roster.register import RegisterTerms, Registration
+from cedarshift.roster.register import Registration, RegistrationSettings
 from cedarshift.roster.sources import SavedList
 from cedarshift.standins.ensemble import Ensemble, EnsemblePlan
 
@@ -60,7 +60,7 @@
         self.loop.run(self.loop.spawn(self.loop.sleep(int(seconds * SECOND)), "wait"))
 
     def reader(self, seed=1):
-        terms = EphemeralTerms(
+        terms = EphemeralSettings(
             tuple(PLACES), PATH, TIMEOUT, self.form, "", self.recursive, self.read_only, self.hold, self.auth
         )
         return EphemeralSource(
@@ -81,7 +81,7 @@
             self.listed[entry.endpoint] = entry
 
     def member(self, endpoint, zone="z", start="", size=1.0, auth=()):
-        terms = RegisterTerms(tuple(self.doors), PATH, TIMEOUT, self.form, "tiles", auth)
+        terms = RegistrationSettings(tuple(self.doors), PATH, TIMEOUT, self.form, "tiles", auth)
         seed = random.Random(f"{endpoint} {len(self.members)}")
         made = self.members[endpoint] = Registration(
             self.loop, terms, Member(endpoint, "on", size, zone, start), seed.random, self.loop.report
