--- a/tests/pilots.py
+++ b/tests/pilots.py
@@ -1,4 +1,4 @@
-"""Pilots as processes with a relay on each of their links, faults between them, and what each of them held and when."""
+"""Runs pilots as processes with a relay on each link, injects faults, and reads their member states."""
 
 import json
 import os
@@ -9,15 +9,15 @@
 import time
 import urllib.request
 
-PERIOD = 0.25  # s
-STEPPED = """
+PERIOD_S = 0.25  # s
+SHIFTED_CLOCK_PROGRAM = """
 import sys, time
 true = time.time_ns
 time.time_ns = lambda: true() + {hours} * 3_600_000_000_000
 from cedarshift.cli.main import main
 main()
 """
-TEXT = """
+DEPLOYMENT_TEMPLATE = """
 deployment "roll" {{
   slices = 0
   secret_file = "{secret}"
@@ -35,42 +35,44 @@
 
 
 def free_ports(count):
-    """Free for streams and for datagrams."""
-    held, ports = [], []
+    """Returns ports that are free for TCP and UDP."""
+    opened, ports = [], []
     while len(ports) < count:
         stream = socket.socket()
         stream.bind(("127.0.0.1", 0))
         port = stream.getsockname()[1]
         datagram = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
-        held += [stream, datagram]
+        opened += [stream, datagram]
         try:
             datagram.bind(("127.0.0.1", port))
         except OSError:
             continue
         ports.append(port)
-    for one in held:
+    for one in opened:
         one.close()
     return ports
 
 
-class Pilots:
+class PilotProcesses:
+    """A set of pilot processes, connected by one relay."""
+
     def __init__(self, folder, count):
         self.folder = folder
         self.names = [f"p{n}" for n in range(count)]
-        self.running, self.old = {}, []
+        self.running, self.superseded = {}, []
         ports = iter(free_ports(3 * count + count * (count - 1) + 1))
         self.listen = {name: next(ports) for name in self.names}
         self.admin = {name: next(ports) for name in self.names}
         self.gossip = {name: next(ports) for name in self.names}
-        self.doors = {(a, b): next(ports) for a in self.names for b in self.names if a != b}
+        self.link_ports = {(a, b): next(ports) for a in self.names for b in self.names if a != b}
         self.control = next(ports)
         (folder / "list.json").write_text('{"endpoints": [{"endpoint": "e", "phase": "on", "start": "1"}]}')
         (folder / "secret").write_text("a secret of sixteen\n")
         for name in self.names:
             self.write_file(name)
         links = {
-            f"{a}>{b}": (("127.0.0.1", door), ("127.0.0.1", self.gossip[b]))
-            for (a, b), door in self.doors.items()
+            f"{a}>{b}": (("127.0.0.1", link_port), ("127.0.0.1", self.gossip[b]))
+            for (a, b), link_port in self.link_ports.items()
         }
         plan = {"address": ("127.0.0.1", self.control), "links": links, "datagrams": list(links), "seed": 5}
         (folder / "plan.json").write_text(json.dumps(plan))
@@ -92,23 +94,23 @@
     def write_file(self, name):
         rows = "\n".join(
             f'pilot "{other}" {{\n listen = "127.0.0.1:{self.listen[other]}"\n admin = "127.0.0.1:{self.admin[other]}"\n'
-            f' gossip = "127.0.0.1:{self.gossip[other] if other == name else self.doors[name, other]}"\n }}'
+            f' gossip = "127.0.0.1:{self.gossip[other] if other == name else self.link_ports[name, other]}"\n }}'
             for other in self.names
         )
-        (self.folder / f"{name}.hcl").write_text(TEXT.format(secret="secret", pilots=rows))
+        (self.folder / f"{name}.hcl").write_text(DEPLOYMENT_TEMPLATE.format(secret="secret", pilots=rows))
 
     def start(self, name, hours=0):
-        """`hours`: how far its wall clock is off."""
+        """Starts a pilot whose wall clock is off by `hours`."""
         log = open(self.folder / f"log-{name}.txt", "ab")
-        program = ["-m", "cedarshift"] if not hours else ["-c", STEPPED.format(hours=hours)]
+        program = ["-m", "cedarshift"] if not hours else ["-c", SHIFTED_CLOCK_PROGRAM.format(hours=hours)]
         self.running[name] = subprocess.Popen(
             [sys.executable, *program, "--log", "json", "pilot", str(self.folder / f"{name}.hcl"), name],
             stdout=log,
             stderr=log,
         )
 
-    def end(self):
-        for process in [*self.running.values(), *self.old, self.relay]:
+    def stop(self):
+        for process in [*self.running.values(), *self.superseded, self.relay]:
             if process.poll() is None:
                 process.send_signal(signal.SIGCONT)
                 process.kill()
@@ -130,22 +132,22 @@
         process.send_signal(signal.SIGTERM)
         assert process.wait(10) == 0
 
-    def order(self, links, **order):
-        body = json.dumps({"links": links, **order}).encode()
+    def set_link_mode(self, links, **settings):
+        body = json.dumps({"links": links, **settings}).encode()
         with urllib.request.urlopen(f"http://127.0.0.1:{self.control}/control", body, 5) as reply:
             assert reply.status == 200
 
     def cut(self, source, target, mode="drop"):
-        """What `source` says does not reach `target`; the other way is left as it is."""
-        self.order([f"{source}>{target}"], mode=mode, way="there")
-        self.order([f"{target}>{source}"], mode=mode, way="back")
+        """Cuts the direction from `source` to `target` only."""
+        self.set_link_mode([f"{source}>{target}"], mode=mode, way="there")
+        self.set_link_mode([f"{target}>{source}"], mode=mode, way="back")
 
-    def mend(self):
-        self.order([f"{a}>{b}" for a, b in self.doors], mode="pass")
+    def heal(self):
+        self.set_link_mode([f"{a}>{b}" for a, b in self.link_ports], mode="pass")
 
-    # ---- what they hold
+    # ---- member states
 
-    def ask(self, name):
+    def fetch_status(self, name):
         try:
             with urllib.request.urlopen(f"http://127.0.0.1:{self.admin[name]}/pilots", timeout=2) as reply:
                 return json.load(reply)
@@ -153,11 +155,13 @@
             return None
 
     def states(self, name):
-        held = self.ask(name)
-        return {row["name"]: row["state"] for row in held["members"]} if held and "members" in held else {}
+        status = self.fetch_status(name)
+        return (
+            {row["name"]: row["state"] for row in status["members"]} if status and "members" in status else {}
+        )
 
-    def hold(self, observers, **wanted):
-        """Whether each observer holds each named member for the wanted state (or one of them, parted by "_or_")."""
+    def agree(self, observers, **wanted):
+        """Returns whether all observers report the wanted states; alternatives are separated by "_or_"."""
         for one in observers:
             states = self.states(one)
             if any(states.get(name) not in state.split("_or_") for name, state in wanted.items()):
@@ -166,21 +170,21 @@
 
     def all_alive(self, among=None):
         among = among or self.names
-        return self.hold(among, **{name: "alive" for name in among})
+        return self.agree(among, **{name: "alive" for name in among})
 
-    def until(self, true, periods, what):
-        end = time.monotonic() + periods * PERIOD
-        while not true():
-            assert time.monotonic() < end, f"{what} within {periods} periods: " + "; ".join(
+    def until(self, condition, periods, failure):
+        deadline = time.monotonic() + periods * PERIOD_S
+        while not condition():
+            assert time.monotonic() < deadline, f"{failure} within {periods} periods: " + "; ".join(
                 f"{name}: {self.states(name)}" for name in self.running
             )
-            time.sleep(PERIOD / 2)
+            time.sleep(PERIOD_S / 2)
 
     def wait(self, periods):
-        time.sleep(periods * PERIOD)
+        time.sleep(periods * PERIOD_S)
 
     def changes(self, name=None):
-        """(who, member, after, agreed) of all that was logged, by all or by one."""
+        """Returns (observer, member, new state, agreed) of all logged changes, of one pilot or all."""
         found = []
         for who in [name] if name else self.names:
             path = self.folder / f"log-{who}.txt"
@@ -191,7 +195,7 @@
         return found
 
     def removed(self, *names):
-        """Verdicts agreed on by most against any of these, by others than themselves."""
+        """Returns the majority death verdicts on these members by others."""
         return [
             change
             for change in self.changes()
@@ -200,15 +204,15 @@
 
 
 def measure(folder, count, rounds):
-    """How soon a killed one is held for dead by each of the others, in periods."""
-    p, found = Pilots(folder, count), []
+    """Measures the detection time of a killed pilot at each other pilot, in periods."""
+    p, found = PilotProcesses(folder, count), []
     try:
-        for turn in range(rounds):
-            name = p.names[turn % count]
+        for round_number in range(rounds):
+            name = p.names[round_number % count]
             at = time.monotonic()
             p.kill(name)
             others = [one for one in p.names if one != name]
-            p.until(lambda: p.hold(others, **{name: "dead"}), 60, "not found")
+            p.until(lambda: p.agree(others, **{name: "dead"}), 60, "not found")
             for one in others:
                 rows = [
                     json.loads(line)
@@ -221,13 +225,13 @@
                         for row in reversed(rows)
                         if row["member"] == name and row["after"] == "dead"
                     )
-                    / PERIOD
+                    / PERIOD_S
                 )
             p.start(name)
             p.until(p.all_alive, 120, "not back")
-        sent = [p.ask(name)["counts"] for name in p.names]
+        sent = [p.fetch_status(name)["counts"] for name in p.names]
     finally:
-        p.end()
+        p.stop()
     return sorted(found), sent
 
 
@@ -239,6 +243,6 @@
         with tempfile.TemporaryDirectory() as made_folder:
             times, _ = measure(pathlib.Path(made_folder), int(size), 5)
         print(
-            f"{size} processes, period {PERIOD} s, {len(times)} findings: p50 {times[len(times) // 2]:.1f} periods, "
+            f"{size} processes, period {PERIOD_S} s, {len(times)} findings: p50 {times[len(times) // 2]:.1f} periods, "
             f"p99 {times[int(len(times) * 0.99)]:.1f}, max {times[-1]:.1f}"
         )
--- a/tests/test_gossip.py
+++ b/tests/test_gossip.py
@@ -1,4 +1,4 @@
-"""The roll, the detector, the sealed bodies and whole crowds on a virtual clock, without processes."""
+"""Tests the member table, the detector, the message codec and simulated fleets on a virtual clock."""
 
 import random
 
@@ -34,18 +34,18 @@
 )
 
 
-def merged(records):
-    """Edges of one observer with one number say the same, as a real observer's do."""
-    roll = MemberTable("a", NAMES, SECOND)
+def merge_records(records):
+    """Merges records. Edges of one observer with the same number have the same content."""
+    table = MemberTable("a", NAMES, SECOND)
     for one in records:
         if one[0] == "word":
-            roll.merge_word(one[1], one[2])
+            table.merge_word(one[1], one[2])
         elif one[0] == "verdict":
-            roll.merge_verdict(one[1], one[2])
+            table.merge_verdict(one[1], one[2])
         else:
             _, observer, subject, start, seq, hears, of, incarnation = one
             draw = random.Random(f"{observer} {subject} {start} {seq}")
-            roll.merge_edge(
+            table.merge_edge(
                 0,
                 observer,
                 subject,
@@ -59,11 +59,11 @@
                     draw.randrange(3),
                 ),
             )
-    roll._drop_outdated_edges()
-    return roll.words, roll.edges, roll.verdicts, roll.digest
+    table._drop_outdated_edges()
+    return table.words, table.edges, table.verdicts, table.digest
 
 
-# An edge that another order forgets; `Random(9)` applies the word before the first edge.
+# With `Random(9)` the word is applied before the first edge, and the edge is then lost.
 FORGOTTEN_EDGE = [
     ("edge", "a", "b", 3, 0, False, 0, 0),
     ("word", "b", Word(0, False, 1)),
@@ -77,19 +77,19 @@
 def test_what_is_said_merges_to_the_same_in_any_order_and_however_often(records, chance):
     mixed = records + chance.sample(records, len(records) // 2)
     chance.shuffle(mixed)
-    assert merged(records) == merged(mixed)
+    assert merge_records(records) == merge_records(mixed)
 
 
 @settings(max_examples=200, deadline=None)
 @given(st.lists(record, max_size=20), st.lists(record, max_size=20))
 def test_nothing_older_undoes_what_is_newer(first, later):
-    words, _, _, _ = merged(first)
-    after, _, _, _ = merged(first + later)
+    words, _, _, _ = merge_records(first)
+    after, _, _, _ = merge_records(first + later)
     assert all(after[one] >= word for one, word in words.items())
 
 
 @pytest.mark.parametrize("count", [3, 9, 10, 40, 200])
-def test_observers_and_subjects_are_each_others(count):
+def test_observers_and_subjects_are_symmetric(count):
     names = [f"p{n}" for n in range(count)]
     rings, gone = Rings(names), {"p1"}
     usable = lambda one: one not in gone  # noqa: E731
@@ -100,17 +100,17 @@
     assert all(2 <= len(rings.observers(one, usable)) <= 8 or count == 3 for one in names)
 
 
-def roll(me="a", names=NAMES):
+def make_table(me="a", names=NAMES):
     made = MemberTable(me, names, SECOND)
     for one in names:
         made.merge_word(one, Word(1, False, 0))
     made.update_states(-9 * SECOND)
     made.needs_update = True
-    made.update_states(-8 * SECOND)  # from when its side has been most
+    made.update_states(-8 * SECOND)  # its side counts as the majority from here on
     return made
 
 
-def say(made, now, observer, subject, hears, seq=1):
+def add_report(made, now, observer, subject, hears, seq=1):
     made.merge_edge(now, observer, subject, Edge(1, seq, now, 0, hears, 1, 0))
 
 
@@ -129,21 +129,21 @@
     ],
 )
 def test_more_reports_end_a_suspicion_sooner_and_a_voucher_stops_it(reporters, vouchers, after, state):
-    made = roll()
+    made = make_table()
     for one in reporters:
-        say(made, SECOND, one, "e", False)
+        add_report(made, SECOND, one, "e", False)
     for one in vouchers:
-        say(made, SECOND, one, "e", True)
+        add_report(made, SECOND, one, "e", True)
     for step in range(int(after * 4) + 1):
         made.update_states(SECOND + step * SECOND // 4)
     assert made.states["e"] == state
 
 
 def test_a_verdict_is_agreed_only_where_most_stand_behind_it():
-    made = roll()
+    made = make_table()
     for subject in "cde":
         for observer in "ab":
-            say(made, SECOND, observer, subject, False, seq=ord(subject))
+            add_report(made, SECOND, observer, subject, False, seq=ord(subject))
     changes = [change for step in range(80) for change in made.update_states(SECOND + step * SECOND // 4)]
     assert {made.states[one] for one in "cde"} == {DEAD} and not made.verdicts
     assert not any(change.agreed for change in changes if change.after == DEAD)
@@ -155,9 +155,9 @@
 def test_a_verdict_is_agreed_only_by_who_hears_most_and_has_been_among_most_for_a_while(
     heard, majority_since, agreed
 ):
-    made = roll()
+    made = make_table()
     for one in "abcd":
-        say(made, SECOND, one, "e", False)
+        add_report(made, SECOND, one, "e", False)
     made.update_states(SECOND)
     made.majority_since = majority_since * SECOND
     made.needs_update = True
@@ -165,7 +165,7 @@
     assert [(change.after, change.agreed) for change in changes] == [(DEAD, agreed)]
 
 
-def test_who_told_a_silence_goes_on_probing_until_it_can_lift_it():
+def test_a_reporter_keeps_probing_until_it_can_withdraw_a_silence():
     crowd = Crowd(10, 5623)
     crowd.run_for(10)
     member = crowd.places["p9"].member
@@ -177,18 +177,18 @@
 
 
 def test_reports_of_one_that_is_given_up_itself_count_for_nothing():
-    made = roll()
+    made = make_table()
     for subject in "abc":
-        say(made, SECOND, "e", subject, False, seq=ord(subject))
+        add_report(made, SECOND, "e", subject, False, seq=ord(subject))
     for observer in "abcd":
-        say(made, SECOND, observer, "e", False)
+        add_report(made, SECOND, observer, "e", False)
     for step in range(40):
         made.update_states(SECOND + step * SECOND // 4)
     assert made.states["e"] == DEAD and all(made.states[one] == ALIVE for one in "abcd")
 
 
 def test_a_higher_incarnation_answers_a_verdict_and_a_leaving_ends_a_life():
-    made = roll()
+    made = make_table()
     made.merge_verdict("e", Verdict(1, 0, 4))
     made.update_states(1)
     assert made.states["e"] == DEAD
@@ -209,8 +209,8 @@
     return made
 
 
-def steps(made, begin, periods, answer=None, step=SECOND // 10):
-    """Steps on time; `answer(ask)` says whether a ping is answered at once."""
+def run_steps(made, begin, periods, answer=None, step=SECOND // 10):
+    """Runs steps on time; `answer(request)` decides whether a ping is answered at once."""
     found = []
     for now in range(begin, begin + int(periods * SECOND), step):
         asks, said = made.step(now)
@@ -223,8 +223,8 @@
 
 def test_three_probes_in_a_row_without_an_answer_are_a_silence_and_an_answer_ends_it():
     made = detector()
-    steps(made, 0, 5, lambda ask: True)
-    found = steps(made, 5 * SECOND, MISSES_FOR_SILENCE + 2, lambda ask: ask.to != "b")
+    run_steps(made, 0, 5, lambda ask: True)
+    found = run_steps(made, 5 * SECOND, MISSES_FOR_SILENCE + 2, lambda ask: ask.to != "b")
     assert [(one.subject, one.hears) for one in found] == [("b", False)]
     made.step(11 * SECOND)
     nonce = max(made.probes, key=lambda n: (made.probes[n].subject == "b", made.probes[n].sent))
@@ -242,15 +242,15 @@
                 made.on_answer(now, nonce)
 
 
-def test_one_that_was_stopped_blames_nobody_and_is_slower_to_judge():
+def test_a_suspended_member_reports_nobody_and_lowers_its_health():
     made = detector()
-    steps(made, 0, 2.5, lambda ask: True)
-    steps(made, 3 * SECOND, 2, None)
-    found = steps(made, 25 * SECOND, MISSES_FOR_SILENCE, None)
+    run_steps(made, 0, 2.5, lambda ask: True)
+    run_steps(made, 3 * SECOND, 2, None)
+    found = run_steps(made, 25 * SECOND, MISSES_FOR_SILENCE, None)
     assert not found and made.counts["stops"] == 1 and made.health >= MAX_HEALTH_SCORE - 2
 
 
-# ---- what is sent
+# ---- messages
 
 
 def body(**fields):
@@ -272,7 +272,7 @@
         (SEAL.close(body(words=[WordOf("a", -1, False, 0)])), "body"),
     ],
 )
-def test_what_is_not_the_deployments_is_told_apart(data, why):
+def test_invalid_messages_are_rejected_with_the_reason(data, why):
     with pytest.raises(NotOurs) as found:
         SEAL.open(data)
     assert found.value.why == why
@@ -280,7 +280,7 @@
 
 @settings(max_examples=400, deadline=None)
 @given(st.binary(max_size=300), st.integers(0, 400), st.integers(0, 255))
-def test_no_bytes_bring_a_member_down_or_change_it(junk, at, value):
+def test_arbitrary_bytes_neither_crash_nor_change_a_member(junk, at, value):
     member = Member("a", {one: (one, 1) for one in NAMES}, SEAL, SECOND, 5, 1, 0)
     before = dict(member.table.words)
     sound = bytearray(SEAL.close(body()))
@@ -333,25 +333,25 @@
     assert len(member.out[0][1]) <= g.DATAGRAM_MOST and len(member.queue) > 0
 
 
-# ---- datagrams and ways in memory
+# ---- datagrams over simulated links
 
 
 @pytest.mark.parametrize(
     "way, heard", [(None, 200), (Way(cut=True), 0), (Way(loss=0.5), 100), (Way(doubled=1.0), 400)]
 )
-def test_each_way_is_spoilt_by_itself(way, heard):
+def test_link_conditions_apply_to_one_direction_only(way, heard):
     world = World(3)
     a, b = world.host("a"), world.host("b")
     ports = {host: datagrams(host.loop, ("127.0.0.1", 1 + at)) for at, host in enumerate((a, b))}
     world.network.set_way("a", "b", way)
     got = {a: 0, b: 0}
 
-    def listens(host):
+    def receive_loop(host):
         while True:
             yield from ports[host].receive()
             got[host] += 1
 
-    def sends():
+    def send_all():
         for _ in range(200):
             ports[a].send(b"x", ports[b].address)
             ports[b].send(b"x", ports[a].address)
@@ -359,8 +359,8 @@
         yield from a.loop.sleep(SECOND)
 
     for host in (a, b):
-        host.loop.spawn(listens(host), "listens")
-    world.run(a.loop.spawn(sends(), "sends"))
+        host.loop.spawn(receive_loop(host), "listens")
+    world.run(a.loop.spawn(send_all(), "sends"))
     world.dispose()
     assert got[a] == 200 and abs(got[b] - heard) <= 30
 
@@ -394,16 +394,16 @@
     world.dispose()
 
 
-# ---- crowds by seed
+# ---- simulated fleets by seed
 
 
 @pytest.mark.parametrize("seed", [1, 5, 15, 20, 57, 74, 153, 156, 225, 248, 265, 339, 462, 534, 658])
-def test_days_by_seed_hold(seed):
-    """Some are kept because they broke once."""
+def test_simulated_days_keep_the_invariants(seed):
+    """Includes seeds that failed before."""
     assert broken(play_day(seed)) == []
 
 
-def test_the_same_seed_is_the_same_day():
+def test_the_same_seed_gives_the_same_day():
     assert play_day(7).crowd.changes == play_day(7).crowd.changes
 
 
@@ -417,13 +417,13 @@
     assert crowd.true() == []
 
 
-# ---- deployment files, and who uses the roll
+# ---- deployment files, and users of the membership
 
 
 def test_a_deployment_with_membership_is_rendered_as_it_was_read(tmp_path):
     path = tmp_path / "f.hcl"
     path.write_text(
-        LONE.replace(
+        LONE_DEPLOYMENT.replace(
             'pilot "p0" {',
             'membership { period = "500ms" }\n  pilot "p0" {\n    gossip = "127.0.0.1:7190"',
             1,
@@ -438,7 +438,7 @@
     "live_members, asked",
     [(["p2"], ["p2", "p2"]), (["p3", "p1"], ["p3", "p1"]), ([], ["p1", "p2"]), (["p9"], ["p1", "p2"])],
 )
-def test_facts_are_asked_of_those_that_live(live_members, asked):
+def test_facts_are_requested_from_live_members(live_members, asked):
     class Service:
         class membership:
             live_members = staticmethod(lambda: live_members)
@@ -448,7 +448,7 @@
     assert [learning._next_lender(["p1", "p2", "p3"], at) for at in (0, 1)] == asked
 
 
-LONE = open("examples/lone.hcl").read()
+LONE_DEPLOYMENT = open("examples/lone.hcl").read()
 
 
 @pytest.mark.parametrize(
@@ -468,9 +468,9 @@
         ),
     ],
 )
-def test_a_block_membership_is_checked(tmp_path, old, new, said):
+def test_a_membership_block_is_validated(tmp_path, old, new, said):
     path = tmp_path / "f.hcl"
-    path.write_text(LONE.replace(old, new, 1))
+    path.write_text(LONE_DEPLOYMENT.replace(old, new, 1))
     with pytest.raises(FileRefused, match="f.hcl:[0-9]+: ") as found:
         load(str(path))
     assert said in str(found.value)
--- a/tests/test_register.py
+++ b/tests/test_register.py
@@ -1,4 +1,4 @@
-"""`cedarshift register` and `cedarshift members` as processes, over loopback, against the stand-in ensemble."""
+"""Tests `cedarshift register` as a process, over loopback, against the stand-in ensemble."""
 
 import json
 import os
@@ -10,7 +10,7 @@
 import pytest
 from click.testing import CliRunner
 from program import SECOND, deployment
-from test_roster_pilot import BLOCK
+from test_roster_pilot import ROSTER_BLOCK
 
 from cedarshift.cli.main import main
 from cedarshift.loop.epoll import real_loop
@@ -22,15 +22,15 @@
 
 
 @pytest.fixture
-def town(tmp_path):
-    """The deployment file, and the servers of an ensemble that runs as a process of its own."""
+def ensemble_process(tmp_path):
+    """Yields the loop, the deployment file and the servers of an ensemble that runs as a process."""
     loop = real_loop()
     ports = Ports(loop)
     servers, control = [ports.take() for _ in range(3)], ports.take()
     (tmp_path / "plan.json").write_text(json.dumps({"addresses": servers, "control": control}))
     deployment(tmp_path)
     path = tmp_path / "trial.hcl"
-    block = BLOCK % "true"
+    block = ROSTER_BLOCK % "true"
     for n, (host, port) in enumerate(servers):
         block = block.replace(f'"127.0.0.1:{2181 + n}"', f'"{host}:{port}"')
     path.write_text(path.read_text().replace('list { file = "list.json" }', block))
@@ -51,18 +51,18 @@
     ports.release()
 
 
-def until(loop, done, seconds=20):
+def until(loop, condition, seconds=20):
     def wait():
         end = loop.now() + seconds * SECOND
-        while not done():
-            assert loop.now() < end, "it has not come to that"
+        while not condition():
+            assert loop.now() < end, "condition not met in time"
             yield from loop.sleep(20_000)
 
     loop.run(loop.spawn(wait(), "until"))
 
 
-def test_a_registered_member_is_listed_drains_on_sigterm_and_leaves(town):
-    loop, path, servers = town
+def test_a_registered_member_is_listed_drains_on_sigterm_and_leaves(ensemble_process):
+    loop, path, servers = ensemble_process
     listed = {}
     terms = EphemeralSettings(
         tuple(servers), "/svc/tiles", 2 * SECOND, "plain", "", True, True, SECOND // 5, ()
@@ -105,7 +105,7 @@
         until(loop, lambda: listed["127.0.0.1:9000"].phase == "fading")
         until(loop, lambda: listed["127.0.0.1:9000"].phase == "off")
         assert members[0].wait(10) == 0 and listed["127.0.0.1:9001"].phase == "on"
-        members[1].kill()  # says nothing: its node stays until the session expires
+        members[1].kill()  # without leaving: the node stays until the session expires
         members[1].wait()
         until(loop, lambda: listed["127.0.0.1:9001"].phase == "off")
     finally:
@@ -116,7 +116,7 @@
 
 
 @pytest.mark.parametrize(
-    "options, said",
+    "options, message",
     [
         (["--endpoint", "nowhere"], "an address such as"),
         (["--endpoint", "h:1", "--zone", "mars"], "none of z"),
@@ -125,15 +125,15 @@
         ([], "--endpoint"),
     ],
 )
-def test_what_register_refuses(tmp_path, options, said):
+def test_what_register_refuses(tmp_path, options, message):
     deployment(tmp_path)
     path = tmp_path / "trial.hcl"
-    path.write_text(path.read_text().replace('list { file = "list.json" }', BLOCK % "true"))
-    got = CliRunner().invoke(main, ["register", str(path), *options])
-    assert got.exit_code != 0 and said in got.output
+    path.write_text(path.read_text().replace('list { file = "list.json" }', ROSTER_BLOCK % "true"))
+    result = CliRunner().invoke(main, ["register", str(path), *options])
+    assert result.exit_code != 0 and message in result.output
 
 
 def test_register_needs_a_roster(tmp_path):
     deployment(tmp_path)
-    got = CliRunner().invoke(main, ["register", str(tmp_path / "trial.hcl"), "--endpoint", "h:1"])
-    assert got.exit_code != 0 and "no block roster" in got.output
+    result = CliRunner().invoke(main, ["register", str(tmp_path / "trial.hcl"), "--endpoint", "h:1"])
+    assert result.exit_code != 0 and "no block roster" in result.output
--- a/tests/test_zookeeper.py
+++ b/tests/test_zookeeper.py
@@ -1,4 +1,4 @@
-"""The ZooKeeper codec by known bytes and by garbage; the client, the follower and the registration against the stand-in."""
+"""Tests the ZooKeeper codec, and the client, the source and the registration against the stand-in ensemble."""
 
 import struct
 
@@ -6,7 +6,7 @@
 from hypothesis import example, given, settings
 from hypothesis import strategies as st
 from program import SECOND, virtual_loop
-from zoo import DOORS, PATH, PLACES, Zoo
+from zoo import MEMBER_SERVERS, PATH, SERVERS, ZooKeeperHarness
 
 from cedarshift.codec.zookeeper import Code, ProtocolError, ZooKeeperError
 from cedarshift.codec.zookeeper import records as r
@@ -19,7 +19,7 @@
 
 STAT = r.Stat(1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11)
 OPEN_ACL = [r.Acl(31, r.Id("world", "anyone"))]
-# By hand from zookeeper.jute: (record, its bytes in hex).
+# (record, encoding in hex), written by hand from zookeeper.jute.
 VECTORS = [
     (
         r.ConnectRequest(0, 0, 6000, 0, b"\0" * 16),
@@ -125,7 +125,7 @@
 
 
 def opened(last_zxid=0):
-    """A client's and a server's session, greeted."""
+    """Returns a connected client and server session."""
     client, server = ClientSession(4000, last_zxid=last_zxid), ServerSession()
     server.feed(client.connect_request())
     client.feed(server.connect_response(4000, 7, b"p" * 16))
@@ -160,7 +160,7 @@
         ),
     ],
 )
-def test_each_operation_goes_there_and_back(op, body, answer):
+def test_requests_and_replies_round_trip(op, body, answer):
     client, server = opened()
     xid, raw = client.request(op, body)
     (request,) = server.feed(raw)
@@ -169,7 +169,7 @@
     assert reply == Reply(xid, op, 9, 0, answer) and client.last_zxid == 9
 
 
-def test_an_expired_session_is_told_by_session_nought():
+def test_session_zero_means_that_the_session_has_expired():
     client, server = ClientSession(4000, session=9), ServerSession()
     server.feed(client.connect_request())
     client.feed(server.connect_response(0, 0, b"\0" * 16))
@@ -191,7 +191,7 @@
         (lambda s: b"\xff\xff\xff\xf0", "frame of"),
     ],
 )
-def test_a_server_that_breaks_the_order_of_things_is_left(frames, said):
+def test_a_protocol_violation_by_the_server_ends_the_connection(frames, said):
     client, server = opened(last_zxid=5)
     client.request(r.EXISTS, r.WatchRequest("/a", True))
     with pytest.raises(ProtocolError, match=said):
@@ -206,7 +206,7 @@
         server.feed(client.request(r.MULTI, r.Multi([(r.CHECK, r.Check("/a", 1))] * 1001))[1])
 
 
-# ---- forms of nodes
+# ---- node formats
 
 
 @pytest.mark.parametrize("form", ["serverset", "curator", "plain"])
@@ -247,11 +247,11 @@
         ("plain", '{"endpoint":"e","size":2,"start":4}', Member("e", "on", 2.0, "", "4")),
     ],
 )
-def test_the_forms_that_installations_use(form, raw, wanted):
+def test_common_node_formats_are_read(form, raw, wanted):
     assert read_member(raw.encode(), form) == wanted
 
 
-def test_an_additional_endpoint_may_be_meant():
+def test_an_additional_endpoint_can_be_selected():
     raw = b'{"serviceEndpoint":{"host":"a","port":1},"additionalEndpoints":{"admin":{"host":"a","port":9}}}'
     assert read_member(raw, "serverset", "admin").endpoint == "a:9"
     with pytest.raises(InvalidNode, match="additionalEndpoints"):
@@ -284,75 +284,75 @@
 
 # ---- the source against the ensemble
 
-WATCHES = pytest.mark.parametrize("recursive", [True, False])
+WATCH_MODES = pytest.mark.parametrize("recursive", [True, False])
 FORMS = pytest.mark.parametrize("form", ["serverset", "curator", "plain"])
 
 
-@WATCHES
+@WATCH_MODES
 @FORMS
 def test_members_come_drain_and_leave(recursive, form):
-    zoo = Zoo(form, recursive, members=3)
+    zoo = ZooKeeperHarness(form, recursive, members=3)
     assert zoo.on() == ["h:9000", "h:9001", "h:9002"] and zoo.source.confirmed is not None
     zoo.members["h:9000"].drain()
     zoo.run(0.2)
     assert zoo.listed["h:9000"].phase == "fading"
     zoo.loop.spawn(zoo.members["h:9000"].leave(), "leave")
     zoo.run(0.2)
-    assert zoo.listed["h:9000"].phase == "off"  # it drained: nothing is held back
+    assert zoo.listed["h:9000"].phase == "off"  # a drained member is not held back
     zoo.member("h:9009")
     zoo.run(1)
     assert zoo.on() == ["h:9001", "h:9002", "h:9009"]
 
 
-@WATCHES
+@WATCH_MODES
 @pytest.mark.parametrize("count", [1, 30, 300])
 def test_sessions_that_expire_and_come_back_within_a_second_change_nothing(recursive, count):
-    zoo = Zoo(recursive=recursive, members=count, hold=3 * SECOND)
+    zoo = ZooKeeperHarness(recursive=recursive, members=count, hold=3 * SECOND)
     before = dict(zoo.listed)
-    zoo.told.clear()
-    zoo.expire(*zoo.members)
+    zoo.updates.clear()
+    zoo.expire_sessions(*zoo.members)
     zoo.run(8)
-    assert zoo.told == [] and zoo.listed == before and len(zoo.on()) == count
+    assert zoo.updates == [] and zoo.listed == before and len(zoo.on()) == count
     assert zoo.source.tracker.counts["returned"] == count and zoo.source.tracker.counts["restarts"] == 0
 
 
-@WATCHES
+@WATCH_MODES
 def test_a_killed_member_is_told_gone_a_hold_after_its_node_has_left(recursive):
-    zoo = Zoo(recursive=recursive, members=2)
+    zoo = ZooKeeperHarness(recursive=recursive, members=2)
     zoo.members["h:9000"].stop()
     zoo.run(1.2)
-    assert zoo.on() == ["h:9000", "h:9001"] and not zoo.source.tracker.gone  # its session lives
+    assert zoo.on() == ["h:9000", "h:9001"] and not zoo.source.tracker.gone  # its session has not expired
     zoo.run(0.9)
     vanished = zoo.source.tracker.gone["h:9000"].since
     zoo.run(2)
     assert zoo.on() == ["h:9001"]
-    at = next(at for at, name, phase in zoo.told if name == "h:9000" and phase == "off")
+    at = next(at for at, name, phase in zoo.updates if name == "h:9000" and phase == "off")
     assert 0 <= at - vanished - SECOND < 10_000
 
 
-@WATCHES
+@WATCH_MODES
 @pytest.mark.parametrize("between", [0, 1_000, 20_000])
 def test_a_node_that_is_made_anew_between_the_event_and_the_reading(recursive, between):
-    """The classic lost update: deleted and there again before the reader has asked."""
-    zoo = Zoo(recursive=recursive, members=2, delay=5_000)
+    """Guards against a lost update: the node is deleted and created again before it is read."""
+    zoo = ZooKeeperHarness(recursive=recursive, members=2, delay=5_000)
     path, data = f"{PATH}/x", write_member(Member("x:1", "on", 1.0, "z", "1"), "plain")
     zoo.ensemble.commit([("create", path, data, OPEN_ACL, 0)])
     zoo.run(1)
-    zoo.told.clear()
+    zoo.updates.clear()
     zoo.ensemble.commit([("delete", path)])
     zoo.run(between / SECOND)
     newer = data.replace(b'"start":"1"', b'"start":"2"')
     zoo.ensemble.commit([("create", path, newer, OPEN_ACL, 0)])
     zoo.run(3)
-    assert "x:1" in zoo.on() and zoo.phases("x:1") == ["on"]  # told once: another process, never gone
+    assert "x:1" in zoo.on() and zoo.phases("x:1") == ["on"]  # a restart, not a disappearance
     assert zoo.source.tracker.nodes["x"].start == "2" and not zoo.source.tracker.gone
 
 
-@WATCHES
+@WATCH_MODES
 def test_a_session_goes_on_at_another_server_without_a_lost_or_a_doubled_event(recursive):
-    zoo = Zoo(recursive=recursive, members=5)
+    zoo = ZooKeeperHarness(recursive=recursive, members=5)
     session = zoo.source.client.session
-    zoo.told.clear()
+    zoo.updates.clear()
     zoo.ensemble.control({"drop": [0, 1, 2]})
     zoo.ensemble.commit([("delete", f"{PATH}/h:9001")])
     zoo.run(0.01)
@@ -364,17 +364,17 @@
         "h:9001",
         "h:9003",
         "h:9004",
-    ]  # the deleted one was made again by its member
-    assert [phase for _, _, phase in zoo.told].count("off") <= 1
+    ]  # the deleted node was created again by its member
+    assert [phase for _, _, phase in zoo.updates].count("off") <= 1
 
 
-@WATCHES
+@WATCH_MODES
 def test_an_expired_reader_reads_all_anew_and_the_list_stands_meanwhile(recursive):
-    zoo = Zoo(recursive=recursive, members=4)
-    zoo.told.clear()
+    zoo = ZooKeeperHarness(recursive=recursive, members=4)
+    zoo.updates.clear()
     zoo.ensemble.control({"cut": [0, 1, 2]})
     zoo.source.client.read_only = False
-    zoo.run(6)  # everybody's session has expired by now
+    zoo.run(6)  # all sessions have expired
     assert zoo.on() == ["h:9000", "h:9001", "h:9002", "h:9003"] and zoo.source.client.state == "disconnected"
     assert zoo.loop.now() - zoo.source.confirmed > 5 * SECOND
     zoo.members["h:9003"].stop()
@@ -385,14 +385,14 @@
 
 
 def test_a_server_that_is_cut_off_is_read_and_left_when_one_that_writes_is_found():
-    zoo = Zoo(members=2)
+    zoo = ZooKeeperHarness(members=2)
     zoo.ensemble.control({"cut": [0, 1, 2]})
     zoo.run(1)
     assert zoo.source.client.state == "read-only"
     confirmed = zoo.source.confirmed
     zoo.run(1)
-    assert zoo.source.confirmed == confirmed  # it tells nothing of what happens now
-    other = [n for n, place in enumerate(PLACES) if place != zoo.source.client.server]
+    assert zoo.source.confirmed == confirmed  # a read-only server confirms nothing
+    other = [n for n, place in enumerate(SERVERS) if place != zoo.source.client.server]
     for server in other:
         zoo.ensemble.servers[server].cut = False
     zoo.run(6)
@@ -400,22 +400,22 @@
 
 
 def test_an_older_server_is_refused_by_its_zxid_and_an_ensemble_that_went_back_is_begun_anew():
-    zoo = Zoo(members=2)
+    zoo = ZooKeeperHarness(members=2)
     zoo.ensemble.servers[1].lag = zoo.ensemble.servers[2].lag = 20 * SECOND
     zoo.member("h:9005")
     zoo.run(1)
     zoo.ensemble.control({"drop": [0]})
     zoo.run(2)
-    assert zoo.source.client.server == PLACES[0] and "h:9005" in zoo.on()
+    assert zoo.source.client.server == SERVERS[0] and "h:9005" in zoo.on()
     zoo.ensemble.control({"reset": True})
     zoo.run(12)
     assert zoo.reports("source_went_back") and zoo.source.client.state == "connected"
     assert set(zoo.on()) == {"h:9000", "h:9001", "h:9005"}
 
 
-def test_a_follower_that_lags_tells_late_and_then_right():
-    zoo = Zoo(members=2)
-    number = PLACES.index(zoo.source.client.server)
+def test_a_lagging_server_delays_changes_but_loses_none():
+    zoo = ZooKeeperHarness(members=2)
+    number = SERVERS.index(zoo.source.client.server)
     zoo.ensemble.servers[number].lag = 20 * SECOND
     zoo.member("h:9007")
     zoo.run(10)
@@ -425,30 +425,30 @@
 
 
 def test_thirty_vanish_during_a_deploy_while_ten_of_them_drain():
-    zoo = Zoo(members=40, hold=SECOND)
+    zoo = ZooKeeperHarness(members=40, hold=SECOND)
     names = sorted(zoo.members)
     for name in names[:10]:
         zoo.members[name].drain()
     zoo.run(0.5)
-    zoo.told.clear()
+    zoo.updates.clear()
     for n in range(30):
         zoo.member(f"s:{n}", start="cold")
-    zoo.expire(*names[:30])
+    zoo.expire_sessions(*names[:30])
     for name in names[:30]:
         zoo.members[name].stop()
     zoo.run(0.4)
-    off = {name for _, name, phase in zoo.told if phase == "off"}
-    assert off == set(names[:10])  # those that drained; the others are held back
+    off = {name for _, name, phase in zoo.updates if phase == "off"}
+    assert off == set(names[:10])  # the drained ones; the others are held back
     zoo.run(2)
     (report,) = zoo.reports("mass_vanishing")
     assert report["vanished"] == 20 and report["own_session"] == "lived"
-    assert {name for _, name, phase in zoo.told if phase == "off"} == set(names[:30])
+    assert {name for _, name, phase in zoo.updates if phase == "off"} == set(names[:30])
     assert zoo.on() == sorted(names[30:] + [f"s:{n}" for n in range(30)])
     assert all(zoo.listed[f"s:{n}"].started is not None for n in range(30))
 
 
 def test_the_whole_ensembles_restart_empties_no_pool_that_acks():
-    zoo = Zoo(members=3)
+    zoo = ZooKeeperHarness(members=3)
     for name in zoo.members:
         for _ in range(3):
             zoo.source.on_sums(name, 20, 0)
@@ -458,20 +458,20 @@
     zoo.run(3)
     assert zoo.on() == sorted(zoo.members) and zoo.source.status()["vanished"][0]["in_doubt"]
     assert zoo.reports("mass_vanishing")[0]["own_session"] == "expired too"
-    zoo.source.on_sums("h:9000", 20, 20)  # the data plane loses ops there: it is dead
+    zoo.source.on_sums("h:9000", 20, 20)  # lost operations show that it is dead
     zoo.run(0.1)
     assert zoo.on() == ["h:9001", "h:9002"]
     zoo.member("n:1")
     zoo.run(1)
-    assert zoo.on() == ["n:1"]  # another is there: the grace binds
+    assert zoo.on() == ["n:1"]  # with another member present the grace period applies
 
 
 def test_a_herd_of_300_is_read_with_bounded_calls_in_flight(monkeypatch):
-    zoo = Zoo(delay=2_000)
+    zoo = ZooKeeperHarness(delay=2_000)
     most = []
     real = members_module.ChildrenWatcher._read_dirty
 
-    def watched(self):
+    def counting_reads(self):
         task = real(self)
         value = None
         while True:
@@ -482,7 +482,7 @@
             most.append(len(zoo.source.client.calls))
             yield value
 
-    monkeypatch.setattr(members_module.ChildrenWatcher, "_read_dirty", watched)
+    monkeypatch.setattr(members_module.ChildrenWatcher, "_read_dirty", counting_reads)
     for n in range(300):
         zoo.member(f"h:{n}")
     zoo.run(3)
@@ -490,17 +490,17 @@
 
 
 def test_one_broken_node_is_named_and_leaves_the_others_in_force():
-    zoo = Zoo(members=2)
+    zoo = ZooKeeperHarness(members=2)
     zoo.ensemble.commit([("create", f"{PATH}/odd", b"{", OPEN_ACL, 0)])
     zoo.run(0.5)
     assert zoo.on() == ["h:9000", "h:9001"] and "odd" in zoo.reports("node_refused")[0]["node"]
-    zoo.ensemble.commit([("set", f"{PATH}/h:9000", b"[]")])  # and one that was sound keeps what it said last
+    zoo.ensemble.commit([("set", f"{PATH}/h:9000", b"[]")])  # a valid node keeps its last data
     zoo.run(0.5)
     assert zoo.on() == ["h:9000", "h:9001"] and set(zoo.source.refused) == {"odd", "h:9000"}
 
 
 def test_a_denied_path_is_a_plain_message_and_is_read_once_it_is_allowed():
-    zoo = Zoo(members=1)
+    zoo = ZooKeeperHarness(members=1)
     guarded = [r.Acl(31, r.Id("digest", "other:hash"))]
     zoo.ensemble.commit([("acl", PATH, guarded)])
     zoo.source.stop()
@@ -515,37 +515,37 @@
 
 @pytest.mark.parametrize("credential, state", [(b"p0:secret", "connected"), (b"nonsense", "refused")])
 def test_digest_credentials(credential, state):
-    zoo = Zoo(auth=(("digest", credential),))
+    zoo = ZooKeeperHarness(auth=(("digest", credential),))
     assert state in [fields["state"] for fields in zoo.reports("source_state")]
     assert bool(zoo.reports("source_auth_refused")) == (state == "refused")
     zoo.run(5)
-    assert zoo.source.client.counts["connects"] < 12  # no hot circle
+    assert zoo.source.client.counts["connects"] < 12  # no busy reconnect loop
 
 
 def test_a_guarded_member_is_changed_by_itself_alone():
-    zoo = Zoo(reader=False)
+    zoo = ZooKeeperHarness(reader=False)
     zoo.member("h:1", auth=(("digest", b"m:pw"),))
     zoo.run(1)
     heard = []
     other = ZooKeeperClient(
-        zoo.loop, PLACES, 2 * SECOND, lambda: 0.3, lambda state: None, lambda event: None, zoo.loop.report
+        zoo.loop, SERVERS, 2 * SECOND, lambda: 0.3, lambda state: None, lambda event: None, zoo.loop.report
     )
     zoo.run(0.5)
 
-    def tries():
+    def attempt():
         try:
             yield from other.call(r.SET_DATA, r.SetData(f"{PATH}/h:1", b"", -1))
         except ZooKeeperError as error:
             heard.append(error.code)
 
-    zoo.loop.spawn(tries(), "tries")
+    zoo.loop.spawn(attempt(), "tries")
     zoo.run(0.5)
     assert heard == [Code.NO_AUTH]
 
 
 def test_a_path_that_is_not_there_yet_is_an_empty_list_and_is_seen_when_it_is_made():
     for recursive in (True, False):
-        zoo = Zoo(recursive=recursive)
+        zoo = ZooKeeperHarness(recursive=recursive)
         assert zoo.source.published and zoo.on() == []
         zoo.member("h:1")
         zoo.run(1)
@@ -557,13 +557,13 @@
 
     real = ensemble.Server._read
 
-    def older(self, connection, request):
+    def without_add_watch(self, connection, request):
         if request.op == r.ADD_WATCH:
             raise ZooKeeperError(Code.UNIMPLEMENTED)
         return real(self, connection, request)
 
-    monkeypatch.setattr(ensemble.Server, "_read", older)
-    zoo = Zoo(members=2)
+    monkeypatch.setattr(ensemble.Server, "_read", without_add_watch)
+    zoo = ZooKeeperHarness(members=2)
     assert zoo.on() == ["h:9000", "h:9001"] and zoo.reports("source_one_shot")
     zoo.member("h:3")
     zoo.run(1)
@@ -572,7 +572,7 @@
 
 def test_the_saved_list_serves_until_a_server_answers_and_is_then_replaced(tmp_path):
     saved = str(tmp_path / "list.json")
-    zoo = Zoo(members=2, saved=saved)
+    zoo = ZooKeeperHarness(members=2, saved=saved)
     zoo.source.stop()
     zoo.ensemble.control({"cut": [0, 1, 2]})
     zoo.read_only = False
@@ -589,30 +589,30 @@
 # ---- the client against servers that misbehave
 
 
-class Rogue:
-    """Greets, then says what it is told to."""
+class MisbehavingServer:
+    """Accepts sessions, then answers each request with the bytes from `respond(codec)`."""
 
-    def __init__(self, loop, speech):
-        self.loop, self.speech, self.sessions = loop, speech, 0
-        self.listener = listen(loop, PLACES[0])
-        loop.spawn(self.serve(), "rogue")
+    def __init__(self, loop, respond):
+        self.loop, self.respond, self.sessions = loop, respond, 0
+        self.listener = listen(loop, SERVERS[0])
+        loop.spawn(self.serve(), "server")
 
     def serve(self):
         while True:
             stream = yield from self.listener.accept()
             self.sessions += 1
-            self.loop.spawn(self.talk(stream), "rogue talk")
+            self.loop.spawn(self.serve_session(stream), "server session")
 
-    def talk(self, stream):
+    def serve_session(self, stream):
         codec = ServerSession()
         codec.feed((yield from stream.read()))
         stream.write(codec.connect_response(2000, 7, b"p" * 16))
         while (yield from stream.read()):
-            stream.write(self.speech(codec))
+            stream.write(self.respond(codec))
 
 
 @pytest.mark.parametrize(
-    "speech",
+    "respond",
     [
         lambda s: b"\xff\xff\xff\xff",
         lambda s: b"\x7f\xff\xff\xff",
@@ -622,15 +622,15 @@
         lambda s: s.reply(1, 1, 0) + b"\0\0\0\1",
     ],
 )
-def test_a_client_leaves_a_rogue_server_waits_and_holds_nobody_up(speech):
+def test_a_client_backs_off_from_a_misbehaving_server(respond):
     loop = virtual_loop()
-    rogue = Rogue(loop, speech)
+    rogue = MisbehavingServer(loop, respond)
     failed = []
     client = ZooKeeperClient(
-        loop, [PLACES[0]], 2 * SECOND, lambda: 0.5, lambda state: None, lambda event: None, loop.report
+        loop, [SERVERS[0]], 2 * SECOND, lambda: 0.5, lambda state: None, lambda event: None, loop.report
     )
 
-    def asks():
+    def poll():
         while True:
             try:
                 yield from client.call(r.EXISTS, r.WatchRequest("/a", False))
@@ -638,19 +638,19 @@
                 failed.append(error.code)
             yield from loop.sleep(20_000)
 
-    loop.spawn(asks(), "asks")
+    loop.spawn(poll(), "asks")
     loop.run(loop.spawn(loop.sleep(20 * SECOND), "wait"))
     assert failed and set(failed) <= {Code.CONNECTION_LOSS, Code.SESSION_EXPIRED}
     assert 2 <= rogue.sessions < 60 and not [e for e, _ in loop.events if e == "task_failed"]
 
 
-def test_a_connect_to_nowhere_waits_longer_each_round_and_not_for_ever():
+def test_reconnect_delays_grow_up_to_a_maximum():
     loop = virtual_loop()
     tried = []
     real = loop.network.dial
     loop.network.dial = lambda address: tried.append(loop.now()) or real(address)
     ZooKeeperClient(
-        loop, PLACES, 2 * SECOND, lambda: 0.999, lambda state: None, lambda event: None, loop.report
+        loop, SERVERS, 2 * SECOND, lambda: 0.999, lambda state: None, lambda event: None, loop.report
     )
     loop.run(loop.spawn(loop.sleep(60 * SECOND), "wait"))
     waits = [b - a for a, b in zip(tried, tried[1:])]
@@ -662,9 +662,9 @@
 
 @FORMS
 def test_a_member_is_registered_again_after_its_session_has_expired(form):
-    zoo = Zoo(form, members=1)
+    zoo = ZooKeeperHarness(form, members=1)
     first = zoo.members["h:9000"].node
-    zoo.expire("h:9000")
+    zoo.expire_sessions("h:9000")
     zoo.run(4)
     member = zoo.members["h:9000"]
     assert (
@@ -675,14 +675,14 @@
 
 
 def test_a_node_that_someone_deletes_is_made_again_and_what_someone_writes_stands():
-    zoo = Zoo(members=1)
+    zoo = ZooKeeperHarness(members=1)
     zoo.ensemble.commit([("delete", f"{PATH}/h:9000")])
     zoo.run(0.5)
     assert zoo.on() == ["h:9000"] and zoo.phases("h:9000") == ["on"]
     zoo.ensemble.commit([("set", f"{PATH}/h:9000", b'{"endpoint":"h:9000","phase":"fading"}')])
     zoo.run(1)
     assert zoo.listed["h:9000"].phase == "fading"
-    zoo.ensemble.commit([("delete", f"{PATH}/h:9000")])  # still watched after that change
+    zoo.ensemble.commit([("delete", f"{PATH}/h:9000")])  # the watch is renewed after a change
     zoo.run(1)
     assert zoo.members["h:9000"].counts["created"] == 3
 
@@ -693,34 +693,36 @@
 
     real, lost = ensemble.Server.serve, []
 
-    def forgets(self, connection, request):
+    def drop_first_reply(self, connection, request):
         real(self, connection, request) if request.op != r.CREATE or lost or "/h:" not in str(
             request.body
         ) and "member_" not in str(request.body) else lost.append(
             self.ensemble.write(connection, request.op, request.body)
         ) or connection.stream.close()
 
-    monkeypatch.setattr(ensemble.Server, "serve", forgets)
-    zoo = Zoo(form, members=1)
+    monkeypatch.setattr(ensemble.Server, "serve", drop_first_reply)
+    zoo = ZooKeeperHarness(form, members=1)
     zoo.run(4)
     assert lost and zoo.members["h:9000"].counts["adopted"] == 1
     assert len(zoo.ensemble._children()) == 1 and zoo.on() == ["h:9000"]
 
 
 def test_a_restarted_process_replaces_the_node_that_its_life_before_left():
-    zoo = Zoo(members=1)
+    zoo = ZooKeeperHarness(members=1)
     zoo.members["h:9000"].stop()
     again = zoo.member("h:9000", start="2")
     zoo.run(1)
     assert again.registered and zoo.reports("register_replaces")
-    assert zoo.on() == ["h:9000"] and zoo.listed["h:9000"].started is not None  # cold, by its own word
+    assert (
+        zoo.on() == ["h:9000"] and zoo.listed["h:9000"].started is not None
+    )  # a new start, so it may be cold
     zoo.run(4)
     assert zoo.on() == ["h:9000"]
 
 
-# ---- random troubles
+# ---- random faults
 
-STEP = st.one_of(
+FAULT = st.one_of(
     st.tuples(st.just("new"), st.integers(0, 5)),
     st.tuples(st.just("leave"), st.integers(0, 5)),
     st.tuples(st.just("drain"), st.integers(0, 5)),
@@ -737,7 +739,7 @@
 )
 
 
-def trouble(zoo, what, n):
+def apply_fault(zoo, what, n):
     name, member = f"h:{n}", zoo.members.get(f"h:{n}")
     if what == "new" and member is None:
         zoo.member(name)
@@ -750,13 +752,13 @@
     elif what == "drain" and member is not None and member.registered and member.client.state == "connected":
         member.drain()
     elif what == "expire" and member is not None and member.client.session:
-        zoo.expire(name)
+        zoo.expire_sessions(name)
     elif what == "expire_reader" and zoo.source.client.session:
         zoo.ensemble.control({"expire": [f"{zoo.source.client.session:#x}"]})
     elif what in ("cut", "heal", "drop"):
         zoo.ensemble.control({what: [n]})
-    elif what == "part":  # the network between the members and the ensemble, for 4 s at least
-        zoo.loop.network.refuse.update(DOORS)
+    elif what == "part":  # cut the network between members and ensemble, for at least 4 s
+        zoo.loop.network.refuse.update(MEMBER_SERVERS)
         zoo.ensemble.control({"drop": [3, 4, 5]})
         zoo.run(4)
     elif what == "join":
@@ -767,14 +769,14 @@
         zoo.run(n / 10)
 
 
-@WATCHES
+@WATCH_MODES
 @settings(max_examples=30, deadline=None)
 @example(steps=[("new", 1), ("new", 2), ("wait", 20), ("part", 0), ("wait", 10)])
 @example(steps=[("new", 1), ("wait", 20), ("expire_reader", 0), ("part", 0), ("kill", 1), ("wait", 30)])
-@given(steps=st.lists(STEP, max_size=25))
-def test_after_quiet_the_list_is_the_tree_and_no_pool_was_empty_while_an_endpoint_served(recursive, steps):
-    """Scaled down: six members, three servers, 30 sequences each way of watching. Who runs acks, who was killed loses its ops."""
-    zoo = Zoo(recursive=recursive, apart=True)
+@given(steps=st.lists(FAULT, max_size=25))
+def test_after_random_faults_the_list_matches_the_nodes_and_no_pool_was_empty(recursive, steps):
+    """Running members acknowledge operations, killed ones lose them."""
+    zoo = ZooKeeperHarness(recursive=recursive, separate_networks=True)
     late, empty, ever = [], [], set()
 
     def inspect():
@@ -795,7 +797,7 @@
 
     zoo.loop.spawn(inspect(), "inspect")
     for what, n in [*steps, ("join", 0)]:
-        trouble(zoo, what, n)
+        apply_fault(zoo, what, n)
     zoo.ensemble.control({"heal": [0, 1, 2], "lag_ms": {"0": 0, "1": 0, "2": 0}})
     zoo.run(20)
     registered = {name for name, member in zoo.members.items() if member.registered}
@@ -810,15 +812,15 @@
     assert not [fields for event, fields in zoo.loop.events if event == "task_failed"]
 
 
-def test_what_an_event_overtook_is_not_told():
-    zoo = Zoo(members=1)
-    told = []
+def test_outdated_reads_are_not_reported():
+    zoo = ZooKeeperHarness(members=1)
+    updates = []
     watcher = members_module.ChildrenWatcher(
         zoo.loop,
         PATH,
         True,
         lambda name: True,
-        lambda *told_now: told.append(told_now),
+        lambda *told_now: updates.append(told_now),
         zoo.loop.report,
         lambda: 0.5,
     )
@@ -826,12 +828,12 @@
     batch.seen = {"x": members_module.NodeData(b"", 0, 1), "y": members_module.NodeData(b"", 0, 2)}
     watcher.dirty["x"] = None
     watcher._flush(batch)
-    assert [set(seen) for seen, _, _ in told] == [{"y"}] and set(watcher.nodes) == {"y"}
+    assert [set(seen) for seen, _, _ in updates] == [{"y"}] and set(watcher.nodes) == {"y"}
 
 
-@WATCHES
+@WATCH_MODES
 def test_an_update_whose_reading_was_cut_off_is_read_again(recursive):
-    zoo = Zoo(recursive=recursive, members=2, delay=5_000)
+    zoo = ZooKeeperHarness(recursive=recursive, members=2, delay=5_000)
     zoo.ensemble.commit(
         [("create", f"{PATH}/x", write_member(Member("x:1", "on", 1.0, "z", "1"), "plain"), OPEN_ACL, 0)]
     )
@@ -850,7 +852,7 @@
     writes = []
     real = SavedList.write
     monkeypatch.setattr(SavedList, "write", lambda self: writes.append(len(self.entries)) or real(self))
-    zoo = Zoo(members=1, saved=str(tmp_path / "list.json"))
+    zoo = ZooKeeperHarness(members=1, saved=str(tmp_path / "list.json"))
     zoo.run(2)
     before = len(writes)
     for n in range(50):
--- a/tests/zoo.py
+++ b/tests/zoo.py
@@ -1,4 +1,4 @@
-"""Builds what the tests of ephemeral nodes need: an ensemble, sources and members on one virtual loop."""
+"""Test harness for ephemeral nodes: an ensemble, sources and members on one virtual loop."""
 
 import random
 
@@ -10,16 +10,16 @@
 from cedarshift.roster.sources import SavedList
 from cedarshift.standins.ensemble import Ensemble, EnsemblePlan
 
-PLACES = [("127.0.0.1", 2181 + n) for n in range(3)]
-DOORS = [
+SERVERS = [("127.0.0.1", 2181 + n) for n in range(3)]
+MEMBER_SERVERS = [
     ("127.0.0.1", 2191 + n) for n in range(3)
-]  # the members' own, where a network is to be cut between the two
+]  # used by members whose network can be cut separately
 PATH = "/svc/tiles"
-TIMEOUT = 2 * SECOND
+SESSION_TIMEOUT = 2 * SECOND
 
 
-class Zoo:
-    """An ensemble of three, one reader, and members that register themselves; `told` is what the reader's list was told."""
+class ZooKeeperHarness:
+    """An ensemble of three servers, a source, and registered members. `updates` records the source's changes."""
 
     def __init__(
         self,
@@ -33,7 +33,7 @@
         reader=True,
         saved="",
         read_only=True,
-        apart=False,
+        separate_networks=False,
     ):
         self.loop = virtual_loop(delay)
         self.form, self.recursive, self.hold, self.pools, self.auth, self.saved = (
@@ -45,9 +45,11 @@
             saved,
         )
         self.read_only = read_only
-        self.doors = DOORS if apart else PLACES
-        self.ensemble = Ensemble(self.loop, EnsemblePlan(PLACES + (DOORS if apart else []), None, PATH, form))
-        self.members, self.told, self.listed = {}, [], {}
+        self.member_servers = MEMBER_SERVERS if separate_networks else SERVERS
+        self.ensemble = Ensemble(
+            self.loop, EnsemblePlan(SERVERS + (MEMBER_SERVERS if separate_networks else []), None, PATH, form)
+        )
+        self.members, self.updates, self.listed = {}, [], {}
         for n in range(members):
             self.member(f"h:{9000 + n}")
         if members:
@@ -61,7 +63,15 @@
 
     def reader(self, seed=1):
         terms = EphemeralSettings(
-            tuple(PLACES), PATH, TIMEOUT, self.form, "", self.recursive, self.read_only, self.hold, self.auth
+            tuple(SERVERS),
+            PATH,
+            SESSION_TIMEOUT,
+            self.form,
+            "",
+            self.recursive,
+            self.read_only,
+            self.hold,
+            self.auth,
         )
         return EphemeralSource(
             self.loop,
@@ -69,33 +79,35 @@
             self.pools,
             random.Random(seed).random,
             SavedList(self.saved),
-            self.hear,
+            self.on_list,
             self.loop.report,
         )
 
-    def hear(self, kind, entries):
+    def on_list(self, kind, entries):
         if kind == "replace":
             self.listed.clear()
         for entry in entries:
-            self.told.append((self.loop.now(), entry.endpoint, entry.phase))
+            self.updates.append((self.loop.now(), entry.endpoint, entry.phase))
             self.listed[entry.endpoint] = entry
 
     def member(self, endpoint, zone="z", start="", size=1.0, auth=()):
-        terms = RegistrationSettings(tuple(self.doors), PATH, TIMEOUT, self.form, "tiles", auth)
+        terms = RegistrationSettings(
+            tuple(self.member_servers), PATH, SESSION_TIMEOUT, self.form, "tiles", auth
+        )
         seed = random.Random(f"{endpoint} {len(self.members)}")
-        made = self.members[endpoint] = Registration(
+        registration = self.members[endpoint] = Registration(
             self.loop, terms, Member(endpoint, "on", size, zone, start), seed.random, self.loop.report
         )
-        return made
+        return registration
 
-    def expire(self, *endpoints):
+    def expire_sessions(self, *endpoints):
         self.ensemble.control({"expire": [f"{self.members[e].client.session:#x}" for e in endpoints]})
 
     def on(self):
         return sorted(name for name, entry in self.listed.items() if entry.phase == "on")
 
     def phases(self, endpoint):
-        return [phase for _, name, phase in self.told if name == endpoint]
+        return [phase for _, name, phase in self.updates if name == endpoint]
 
     def reports(self, event):
         return [fields for name, fields in self.loop.events if name == event]
