--- a/tests/pilots.py
+++ b/tests/pilots.py
@@ -93,8 +93,10 @@
 
     def write_file(self, name):
         rows = "\n".join(
-            f'pilot "{other}" {{\n listen = "127.0.0.1:{self.listen[other]}"\n admin = "127.0.0.1:{self.admin[other]}"\n'
-            f' gossip = "127.0.0.1:{self.gossip[other] if other == name else self.link_ports[name, other]}"\n }}'
+            f'pilot "{other}" {{\n listen = "127.0.0.1:{self.listen[other]}"\n'
+            f' admin = "127.0.0.1:{self.admin[other]}"\n'
+            f' gossip = "127.0.0.1:{self.gossip[other] if other == name else self.link_ports[name, other]}"\n'
+            f" }}"
             for other in self.names
         )
         (self.folder / f"{name}.hcl").write_text(DEPLOYMENT_TEMPLATE.format(secret="secret", pilots=rows))
@@ -243,6 +245,7 @@
         with tempfile.TemporaryDirectory() as made_folder:
             times, _ = measure(pathlib.Path(made_folder), int(size), 5)
         print(
-            f"{size} processes, period {PERIOD_S} s, {len(times)} findings: p50 {times[len(times) // 2]:.1f} periods, "
+            f"{size} processes, period {PERIOD_S} s, {len(times)} findings: "
+            f"p50 {times[len(times) // 2]:.1f} periods, "
             f"p99 {times[int(len(times) * 0.99)]:.1f}, max {times[-1]:.1f}"
         )
--- a/tests/test_pilots.py
+++ b/tests/test_pilots.py
@@ -1,4 +1,4 @@
-"""Tests membership of pilots that run as processes, with faults between them. Time limits are in probe periods."""
+"""Tests membership of pilots that run as processes, with faults between them. Limits are in probe periods."""
 
 import random
 import signal
--- a/tests/test_roster_pilot.py
+++ b/tests/test_roster_pilot.py
@@ -68,10 +68,10 @@
 def test_every_member_owns_slices_and_a_drained_one_is_left_within_the_grace(tmp_path):
     harness = FleetHarness(tmp_path)
     assert harness.owners() <= {"a:1", "b:1", "c:1", "d:1"} and len(harness.owners()) >= 2
-    gone = harness.fleet.owners()[0]
-    harness.members[gone[0]].drain()
+    owner = harness.fleet.owners()[0]
+    harness.members[owner[0]].drain()
     harness.run(3)  # the drain grace
-    assert gone not in harness.owners() and not harness.watcher.violations
+    assert owner not in harness.owners() and not harness.watcher.violations
 
 
 def test_sessions_that_expire_and_return_move_nothing(tmp_path):
@@ -86,35 +86,35 @@
 
 def test_a_killed_members_slices_are_elsewhere_and_no_rule_is_broken(tmp_path):
     harness = FleetHarness(tmp_path)
-    gone = harness.fleet.owners()[0]
-    harness.members[gone[0]].stop()
+    owner = harness.fleet.owners()[0]
+    harness.members[owner[0]].stop()
     harness.run(9)
-    assert gone not in harness.owners() and not harness.watcher.violations and harness.moves() > 0
+    assert owner not in harness.owners() and not harness.watcher.violations and harness.moves() > 0
 
 
 @pytest.mark.parametrize("after", [0.05, 0.3, 1.0, 2.0])
 def test_the_pilots_own_session_expires_in_the_middle_of_a_hand_over(tmp_path, after):
     harness = FleetHarness(tmp_path)
-    gone = harness.fleet.owners()[0]
-    harness.members[gone[0]].drain()
+    owner = harness.fleet.owners()[0]
+    harness.members[owner[0]].drain()
     harness.run(after)
     sessions = [f"{pilot.source.client.session:#x}" for pilot in harness.fleet.pilots.values()]
     harness.ensemble.control({"expire": sessions})
     harness.run(9)
-    assert gone not in harness.owners() and "" not in harness.owners() and not harness.watcher.violations
+    assert owner not in harness.owners() and "" not in harness.owners() and not harness.watcher.violations
     assert all(pilot.source.client.counts["expiries"] == 1 for pilot in harness.fleet.pilots.values())
 
 
 @pytest.mark.parametrize("gone_binds, still_owner", [("true", False), ("false", True)])
 def test_gone_binds_decides_on_a_vanished_member_that_still_acks(tmp_path, gone_binds, still_owner):
     harness = FleetHarness(tmp_path, gone_binds=gone_binds)
-    gone = harness.fleet.owners()[0]
-    harness.members[gone[0]].stop()
+    owner = harness.fleet.owners()[0]
+    harness.members[owner[0]].stop()
     for _ in range(24):
         for pilot in harness.fleet.pilots.values():
-            pilot._apply_reports([ZoneTotals(gone, "z", 20, 0, 50_000, 500_000)], [])
+            pilot._apply_reports([ZoneTotals(owner, "z", 20, 0, 50_000, 500_000)], [])
         harness.run(0.5)
-    assert (gone in harness.owners()) is still_owner and not harness.watcher.violations
+    assert (owner in harness.owners()) is still_owner and not harness.watcher.violations
 
 
 def test_a_pilot_that_is_cut_off_keeps_its_list_and_says_how_old_it_is(tmp_path):
--- a/tests/test_zookeeper.py
+++ b/tests/test_zookeeper.py
@@ -1,4 +1,4 @@
-"""Tests the ZooKeeper codec, and the client, the source and the registration against the stand-in ensemble."""
+"""Tests the ZooKeeper codec, and the client, source and registration against the stand-in ensemble."""
 
 import struct
 
@@ -624,7 +624,7 @@
 )
 def test_a_client_backs_off_from_a_misbehaving_server(respond):
     loop = virtual_loop()
-    rogue = MisbehavingServer(loop, respond)
+    misbehaving = MisbehavingServer(loop, respond)
     failed = []
     client = ZooKeeperClient(
         loop, [SERVERS[0]], 2 * SECOND, lambda: 0.5, lambda state: None, lambda event: None, loop.report
@@ -641,7 +641,7 @@
     loop.spawn(poll(), "asks")
     loop.run(loop.spawn(loop.sleep(20 * SECOND), "wait"))
     assert failed and set(failed) <= {Code.CONNECTION_LOSS, Code.SESSION_EXPIRED}
-    assert 2 <= rogue.sessions < 60 and not [e for e, _ in loop.events if e == "task_failed"]
+    assert 2 <= misbehaving.sessions < 60 and not [e for e, _ in loop.events if e == "task_failed"]
 
 
 def test_reconnect_delays_grow_up_to_a_maximum():
--- a/tests/zoo.py
+++ b/tests/zoo.py
@@ -19,7 +19,7 @@
 
 
 class ZooKeeperHarness:
-    """An ensemble of three servers, a source, and registered members. `updates` records the source's changes."""
+    """An ensemble of three servers, a source and registered members. `updates`: changes from the source."""
 
     def __init__(
         self,
