--- a/cedarshift/gossip/member.py
+++ b/cedarshift/gossip/member.py
@@ -196,8 +196,8 @@
         if self.superseded or self.left:
             return
         probe_requests, found = self.detector.step(now)
-        for one in found:
-            self._report(now, one)
+        for observation in found:
+            self._report(now, observation)
         for probe_request in probe_requests:
             self._send_probe(now, probe_request)
         self._send_due_nacks(now)
@@ -486,13 +486,13 @@
 
     def _ping_absent(self, now: int) -> None:
         """Ping one dead or unheard member: it may have started since."""
-        away = [
+        absent = [
             name
             for name in self.table.names
             if name != self.me and self.table.states[name] in (DEAD, UNHEARD)
         ]
-        if away:
-            name = self.rng.pick(away)
+        if absent:
+            name = self.rng.pick(absent)
             address = self._route(name, now)
             if address is not None:
                 self._send(now, address, g.PING, name, self.detector.nonce())
@@ -693,8 +693,8 @@
             return
         self.left = True
         self._announce()
-        some = self.rng.sample(self._usable(), LEAVE_RECIPIENTS)
-        for name in [*some, *some]:  # twice, against packet loss
+        recipients = self.rng.sample(self._usable(), LEAVE_RECIPIENTS)
+        for name in [*recipients, *recipients]:  # twice, against packet loss
             address = self.routes[name].configured or self.routes[name].seen
             if address is not None:
                 self._send(now, address, g.NOTE, name)
--- a/cedarshift/roster/entries.py
+++ b/cedarshift/roster/entries.py
@@ -50,15 +50,15 @@
 def parse_list(raw: bytes, where: str) -> EndpointList:
     """Decode and validate a list; unknown fields are ignored. Raises InvalidList."""
     try:
-        found = DECODER.decode(raw)
+        decoded = DECODER.decode(raw)
     except (msgspec.DecodeError, UnicodeDecodeError) as error:
         raise InvalidList(f"{where}: {error}") from None
-    if found.kind not in ("replace", "update"):
-        raise InvalidList(f'{where}: kind {found.kind!r}, "replace" and "update" are allowed')
-    if len(found.endpoints) > MAX_ENTRIES:
-        raise InvalidList(f"{where}: {len(found.endpoints)} endpoints, {MAX_ENTRIES} at most")
+    if decoded.kind not in ("replace", "update"):
+        raise InvalidList(f'{where}: kind {decoded.kind!r}, "replace" and "update" are allowed')
+    if len(decoded.endpoints) > MAX_ENTRIES:
+        raise InvalidList(f"{where}: {len(decoded.endpoints)} endpoints, {MAX_ENTRIES} at most")
     seen: set[str] = set()
-    for number, entry_row in enumerate(found.endpoints):
+    for number, entry_row in enumerate(decoded.endpoints):
         prefix = f"{where}: endpoints[{number}] {entry_row.endpoint!r}"
         if not entry_row.endpoint or entry_row.endpoint in seen:
             raise InvalidList(f"{prefix}: {'stands twice' if entry_row.endpoint else 'has no name'}")
@@ -67,7 +67,7 @@
         if not 0 < entry_row.size < 1e9:
             raise InvalidList(f"{prefix}: size {entry_row.size}, it must lie above 0")
         seen.add(entry_row.endpoint)
-    return found
+    return decoded
 
 
 class StartTimes:
@@ -78,9 +78,9 @@
         self.primed = False  # a complete list was applied
 
     def entries(self, now: int, listed: list[ListEntry]) -> list[Entry]:
-        made = [self.entry(now, entry_row) for entry_row in listed]
+        entries = [self.entry(now, entry_row) for entry_row in listed]
         self.primed = True
-        return made
+        return entries
 
     def entry(self, now: int, entry_row: ListEntry) -> Entry:
         """Convert one entry; `now` in us.
--- a/cedarshift/roster/ephemeral.py
+++ b/cedarshift/roster/ephemeral.py
@@ -232,9 +232,9 @@
             own_session="expired too" if expired else "lived",
         )
 
-    def _save_later(self, got: EndpointList) -> None:
+    def _save_later(self, result: EndpointList) -> None:
         """Schedule a write of the list to disk."""
-        self.saved.take(got)
+        self.saved.take(result)
         if self.save_timer is None:
             self.save_timer = self.loop.at(self.loop.now() + SAVE_DELAY_US, self._save)
 
--- a/cedarshift/roster/formats.py
+++ b/cedarshift/roster/formats.py
@@ -48,15 +48,15 @@
     if len(data) > MAX_NODE_BYTES:
         raise InvalidNode(f"node has {len(data)} bytes, {MAX_NODE_BYTES} at most")
     try:
-        found = msgspec.json.decode(data)
+        decoded = msgspec.json.decode(data)
     except (msgspec.DecodeError, UnicodeDecodeError) as error:
         raise InvalidNode(f"invalid JSON: {error}") from None
-    if not isinstance(found, dict):
-        raise InvalidNode(f"expected an object, got {type(found).__name__}")
-    return found
+    if not isinstance(decoded, dict):
+        raise InvalidNode(f"expected an object, got {type(decoded).__name__}")
+    return decoded
 
 
-def _format_address(host: Any, port: Any, what: str) -> str:
+def _format_address(host: Any, port: Any, field: str) -> str:
     if (
         not isinstance(host, str)
         or not host
@@ -64,63 +64,69 @@
         or isinstance(port, bool)
         or not 0 < port < 65_536
     ):
-        raise InvalidNode(f"{what} is host {host!r}, port {port!r}")
+        raise InvalidNode(f"{field} is host {host!r}, port {port!r}")
     return f"{host}:{port}"
 
 
-def _parse_details(details: Any, what: str) -> tuple[float, str, str]:
+def _parse_details(details: Any, field: str) -> tuple[float, str, str]:
     """Return (size, zone, start). Numbers may be strings, as in Java string maps."""
     if details is None:
         return 1.0, "", ""
     if not isinstance(details, dict):
-        raise InvalidNode(f"{what}: expected an object, got {type(details).__name__}")
+        raise InvalidNode(f"{field}: expected an object, got {type(details).__name__}")
     raw: Any = details.get("size", details.get("weight", 1.0))
     try:
         size = float(raw)
     except (TypeError, ValueError):
-        raise InvalidNode(f"{what} has size {raw!r}") from None
+        raise InvalidNode(f"{field} has size {raw!r}") from None
     if not 0 < size < 1e9:
-        raise InvalidNode(f"{what} has size {size}, it must lie above 0")
+        raise InvalidNode(f"{field} has size {size}, it must lie above 0")
     zone, start = details.get("zone", ""), details.get("start", "")
     if not isinstance(zone, str) or not isinstance(start, (str, int)):
-        raise InvalidNode(f"{what} has zone {zone!r}, start {start!r}")
+        raise InvalidNode(f"{field} has zone {zone!r}, start {start!r}")
     return size, zone, str(start)
 
 
-def _read_serverset(found: dict[str, Any], port_name: str) -> Member:
-    status = found.get("status", "ALIVE")
+def _read_serverset(decoded: dict[str, Any], port_name: str) -> Member:
+    status = decoded.get("status", "ALIVE")
     if status not in STATUS_PHASES:
         raise InvalidNode(f"status {status!r}; known: {', '.join(STATUS_PHASES)}")
-    more = found.get("additionalEndpoints") or {}
-    address = more.get(port_name) if port_name and isinstance(more, dict) else found.get("serviceEndpoint")
-    what = f"additionalEndpoints[{port_name!r}]" if port_name else "serviceEndpoint"
+    additional_endpoints = decoded.get("additionalEndpoints") or {}
+    address = (
+        additional_endpoints.get(port_name)
+        if port_name and isinstance(additional_endpoints, dict)
+        else decoded.get("serviceEndpoint")
+    )
+    field = f"additionalEndpoints[{port_name!r}]" if port_name else "serviceEndpoint"
     if not isinstance(address, dict):
-        raise InvalidNode(f"{what} is missing")
+        raise InvalidNode(f"{field} is missing")
     return Member(
-        _format_address(address.get("host"), address.get("port"), what),
+        _format_address(address.get("host"), address.get("port"), field),
         STATUS_PHASES[status],
-        *_parse_details(found.get("metadata"), "metadata"),
+        *_parse_details(decoded.get("metadata"), "metadata"),
     )
 
 
-def _read_curator(found: dict[str, Any], port_name: str) -> Member:
-    enabled = found.get("enabled", True)
+def _read_curator(decoded: dict[str, Any], port_name: str) -> Member:
+    enabled = decoded.get("enabled", True)
     if not isinstance(enabled, bool):
         raise InvalidNode(f"enabled is {enabled!r}")
     port = (
-        found.get(port_name or "port") if found.get(port_name or "port") is not None else found.get("sslPort")
+        decoded.get(port_name or "port")
+        if decoded.get(port_name or "port") is not None
+        else decoded.get("sslPort")
     )
-    endpoint = _format_address(found.get("address"), port, "address")
-    return Member(endpoint, "on" if enabled else "fading", *_parse_details(found.get("payload"), "payload"))
+    endpoint = _format_address(decoded.get("address"), port, "address")
+    return Member(endpoint, "on" if enabled else "fading", *_parse_details(decoded.get("payload"), "payload"))
 
 
-def _read_plain(found: dict[str, Any], port_name: str) -> Member:
-    endpoint, phase = found.get("endpoint"), found.get("phase", "on")
+def _read_plain(decoded: dict[str, Any], port_name: str) -> Member:
+    endpoint, phase = decoded.get("endpoint"), decoded.get("phase", "on")
     if not isinstance(endpoint, str) or not endpoint:
         raise InvalidNode(f"endpoint is {endpoint!r}")
     if phase not in ("on", "fading", "off"):
         raise InvalidNode(f'phase {phase!r}; "on", "fading" and "off" are allowed')
-    return Member(endpoint, phase, *_parse_details(found, "the node"))
+    return Member(endpoint, phase, *_parse_details(decoded, "the node"))
 
 
 READERS = {"serverset": _read_serverset, "curator": _read_curator, "plain": _read_plain}
--- a/cedarshift/roster/members.py
+++ b/cedarshift/roster/members.py
@@ -181,7 +181,9 @@
     def _read_list(self) -> Coroutine:
         assert self.client is not None
         try:
-            got = yield from self.client.call(r.GET_CHILDREN2, r.WatchRequest(self.path, not self.recursive))
+            reply = yield from self.client.call(
+                r.GET_CHILDREN2, r.WatchRequest(self.path, not self.recursive)
+            )
         except ZooKeeperError as error:
             if error.code != Code.NO_NODE:
                 raise
@@ -190,7 +192,7 @@
                 yield from self._wait_for_parent()
             self._drop(set(self.nodes))
             return
-        names = {name for name in got.children if self.is_member(name)}
+        names = {name for name in reply.children if self.is_member(name)}
         self.denied_nodes = {name: why for name, why in self.denied_nodes.items() if name in names}
         self._drop(set(self.nodes) - names)
         for name in sorted(names - set(self.nodes)):
@@ -237,7 +239,7 @@
     def _apply_reply(self, name: str, call: PendingCall, batch: Batch) -> Coroutine:
         """Add one reply to the batch. Raises ZooKeeperError if the failure is not limited to this child."""
         try:
-            got = yield from call.wait()
+            reply = yield from call.wait()
         except ZooKeeperError as error:
             if error.code == Code.NO_NODE:
                 batch.gone.add(name)
@@ -252,7 +254,7 @@
             return
         self.denied_nodes.pop(name, None)
         batch.gone.discard(name)
-        batch.seen[name] = NodeData(got.data, got.stat.owner, got.stat.czxid)
+        batch.seen[name] = NodeData(reply.data, reply.stat.owner, reply.stat.czxid)
 
     def _flush(self, batch: Batch) -> None:
         # Children that are dirty again are outdated; reporting them could bring back a deleted node.
--- a/cedarshift/roster/register.py
+++ b/cedarshift/roster/register.py
@@ -162,28 +162,28 @@
     def _create(self, data: bytes) -> Coroutine:
         base = self.settings.path.rstrip("/") + "/"
         if self.settings.form == "serverset":
-            got = yield from self.client.call(
+            reply = yield from self.client.call(
                 r.CREATE, r.Create(base + MEMBER_PREFIX, data, self._acl, r.EPHEMERAL_SEQUENTIAL)
             )
-            return got.path
+            return reply.path
         path = base + self.member.endpoint.replace("/", "_")
         try:
-            got = yield from self.client.call(r.CREATE, r.Create(path, data, self._acl, r.EPHEMERAL))
-            return got.path
+            reply = yield from self.client.call(r.CREATE, r.Create(path, data, self._acl, r.EPHEMERAL))
+            return reply.path
         except ZooKeeperError as error:
             if error.code != Code.NODE_EXISTS:
                 raise
         yield from self._delete_stale_node(path)
-        got = yield from self.client.call(r.CREATE, r.Create(path, data, self._acl, r.EPHEMERAL))
-        return got.path
+        reply = yield from self.client.call(r.CREATE, r.Create(path, data, self._acl, r.EPHEMERAL))
+        return reply.path
 
     def _delete_stale_node(self, path: str) -> Coroutine:
         """Delete an existing node of this name, such as one left by an earlier process."""
-        got = yield from self.client.call(r.EXISTS, r.WatchRequest(path, False))
-        if got.stat.owner != self.client.session:
-            self.report("register_replaces", node=path, session=f"{got.stat.owner:#x}")
+        reply = yield from self.client.call(r.EXISTS, r.WatchRequest(path, False))
+        if reply.stat.owner != self.client.session:
+            self.report("register_replaces", node=path, session=f"{reply.stat.owner:#x}")
         try:
-            yield from self.client.call(r.DELETE, r.Delete(path, got.stat.version))
+            yield from self.client.call(r.DELETE, r.Delete(path, reply.stat.version))
         except ZooKeeperError as error:
             if error.code != Code.NO_NODE:
                 raise
@@ -191,8 +191,8 @@
     def _find_own_node(self) -> Coroutine:
         """Return the node created by a request whose reply was lost, or "" if there is none."""
         base = self.settings.path.rstrip("/")
-        got = yield from self.client.call(r.GET_CHILDREN2, r.WatchRequest(base, False))
-        for name in sorted(got.children):
+        reply = yield from self.client.call(r.GET_CHILDREN2, r.WatchRequest(base, False))
+        for name in sorted(reply.children):
             try:
                 found = yield from self.client.call(r.EXISTS, r.WatchRequest(f"{base}/{name}", False))
             except ZooKeeperError as error:
--- a/cedarshift/roster/sources.py
+++ b/cedarshift/roster/sources.py
@@ -105,8 +105,8 @@
 
     def _check_file(self) -> None:
         try:
-            found = os.stat(self.path)
-            stamp = (found.st_mtime_ns, found.st_size, found.st_ino)
+            file_stat = os.stat(self.path)
+            stamp = (file_stat.st_mtime_ns, file_stat.st_size, file_stat.st_ino)
             if stamp == self.seen:
                 self.confirmed = self.loop.now() if self.rev else None
                 return
--- a/cedarshift/roster/zookeeper.py
+++ b/cedarshift/roster/zookeeper.py
@@ -106,7 +106,7 @@
         """Return setWatches requests of limited size for all watches; setWatches2 only where needed."""
         kinds = [sorted(s) for s in (self.data, self.exists, self.children, self.persistent, self.recursive)]
         rows = [(n, path) for n, paths in enumerate(kinds) for path in paths]
-        made: list[tuple[int, Any]] = []
+        requests: list[tuple[int, Any]] = []
         while rows:
             lists: list[list[str]] = [[], [], [], [], []]
             size = 0
@@ -114,12 +114,12 @@
                 n, path = rows.pop()
                 lists[n].append(path)
                 size += len(path) + 4
-            made.append(
+            requests.append(
                 (r.SET_WATCHES2, r.SetWatches2(zxid, *lists))
                 if lists[3] or lists[4]
                 else (r.SET_WATCHES, r.SetWatches(zxid, *lists[:3]))
             )
-        return made
+        return requests
 
 
 class ZooKeeperClient:
