--- a/cedarshift/cli/daemons.py
+++ b/cedarshift/cli/daemons.py
@@ -13,7 +13,7 @@
 from cedarshift.codec import Identity
 from cedarshift.deployment import Deployment, InvalidFile, load
 from cedarshift.deployment.deployment import diff_settings
-from cedarshift.gossip.service import Membership, MembershipTerms
+from cedarshift.gossip.service import Membership, MembershipConfig
 from cedarshift.judge.roll import DEAD
 from cedarshift.loop import Loop, listen
 from cedarshift.loop.core import Coroutine, Task
@@ -23,7 +23,7 @@
 from cedarshift.pilot.admin import admin_handler
 from cedarshift.pilot.rights import attach_claims
 from cedarshift.roster.formats import Member
-from cedarshift.roster.register import RegisterTerms, Registration
+from cedarshift.roster.register import Registration, RegistrationSettings
 from cedarshift.store.ledger import Ledger
 from cedarshift.store.service import StoreService
 from cedarshift.web import serve_http
@@ -79,7 +79,7 @@
     """Returns the pilots that a majority declares dead; empty without a block membership."""
     if service.membership is None:
         return []
-    roll = service.membership.member.roll
+    roll = service.membership.member.table
     return [name for name in roll.names if name in roll.verdicts and roll.states[name] == DEAD]
 
 
@@ -165,7 +165,7 @@
     incarnation = wall_clock() // 1000 << 20 | random_bits & 0xFFFFF
     return Membership(
         loop,
-        MembershipTerms(settings.period, addresses),
+        MembershipConfig(settings.period, addresses),
         name,
         deployment.name,
         deployment.secret,
@@ -237,7 +237,7 @@
     rng = random.Random(random_bytes(8))
     if not member.start:
         member = member._replace(start=random_bytes(6).hex())
-    terms = RegisterTerms(
+    terms = RegistrationSettings(
         nodes.servers, nodes.path, nodes.session_timeout, nodes.format, deployment.name, nodes.auth
     )
     registration = Registration(loop, terms, member, rng.random, report)
--- a/cedarshift/sim/planted.py
+++ b/cedarshift/sim/planted.py
@@ -214,14 +214,14 @@
 
 def _ignore_list_identity() -> Patches:
     """The former bug that seed 312 found."""
-    call = ServiceSource._call
+    call = ServiceSource._fetch
 
     def call_unnamed(self: Any) -> Coroutine:
         name, self.name = self.name, "unnamed"
         self.name = name.removeprefix("list:")
         yield from call(self)
 
-    return [(ServiceSource, "_call", call_unnamed)]
+    return [(ServiceSource, "_fetch", call_unnamed)]
 
 
 def _reassign_at_once() -> Patches:
@@ -357,7 +357,7 @@
 
 
 def _drop_removals() -> Patches:
-    call = ServiceSource._call
+    call = ServiceSource._fetch
 
     def call_without_removals(self: Any) -> Coroutine:
         publish = self.tell
@@ -367,7 +367,7 @@
         finally:
             self.tell = publish
 
-    return [(ServiceSource, "_call", call_without_removals)]
+    return [(ServiceSource, "_fetch", call_without_removals)]
 
 
 def _reuse_marks() -> Patches:
--- a/cedarshift/standins/ensemble.py
+++ b/cedarshift/standins/ensemble.py
@@ -21,13 +21,13 @@
 
 import msgspec
 
-from cedarshift.codec.zookeeper import Broken, Code, ZooError
+from cedarshift.codec.zookeeper import Code, ProtocolError, ZooKeeperError
 from cedarshift.codec.zookeeper import records as r
 from cedarshift.codec.zookeeper.jute import check_path
 from cedarshift.codec.zookeeper.session import Request, ServerSession
 from cedarshift.loop import Loop, Stream, StreamBroken, TimedOut, listen
 from cedarshift.loop.core import Coroutine
-from cedarshift.roster.formats import NodeRefused, read_member
+from cedarshift.roster.formats import InvalidNode, read_member
 from cedarshift.standins.record import Recorder
 from cedarshift.web import HttpReply, HttpRequest, serve_http
 
@@ -104,7 +104,7 @@
     """The tree of one server. `apply` executes a transaction that the leader has validated."""
 
     def __init__(self) -> None:
-        self.nodes: dict[str, ZNode] = {"/": ZNode(b"", [r.Acl(r.MAY_ALL, ANYONE)], 0, 0, 0)}
+        self.nodes: dict[str, ZNode] = {"/": ZNode(b"", [r.Acl(r.PERM_ALL, ANYONE)], 0, 0, 0)}
         self.paths_by_session: dict[int, set[str]] = {}
         self.zxid = 0
 
@@ -287,7 +287,7 @@
                         return
                     connection.session.last_heard_at = loop.now()
                     connection.receive(request)
-        except (StreamBroken, TimedOut, Broken):
+        except (StreamBroken, TimedOut, ProtocolError):
             pass
         finally:
             self.connections.discard(connection)
@@ -317,7 +317,9 @@
                 request.session or -1 - self.number, request.password or b"", request.timeout * 1000, 0
             )
             connection.stream.write(
-                codec.welcome(request.timeout, connection.session.number, connection.session.password, True)
+                codec.connect_response(
+                    request.timeout, connection.session.number, connection.session.password, True
+                )
             )
             return True
         timeout = max(MIN_TIMEOUT_MS, min(MAX_TIMEOUT_MS, request.timeout))
@@ -327,7 +329,7 @@
             else ensemble.new_session(timeout * 1000)
         )
         if session is None or (request.session and session.password != request.password):
-            connection.stream.write(codec.welcome(0, 0, b"\0" * 16))
+            connection.stream.write(codec.connect_response(0, 0, b"\0" * 16))
             return False
         if session.connection is not None:  # the session moves here from another connection
             session.connection.stream.close()
@@ -337,7 +339,7 @@
             timeout * 1000,
         )
         connection.session = session
-        connection.stream.write(codec.welcome(timeout, session.number, session.password))
+        connection.stream.write(codec.connect_response(timeout, session.number, session.password))
         return True
 
     # ---- requests
@@ -345,18 +347,18 @@
     def serve(self, connection: Connection, request: Request) -> None:
         codec, zxid = connection.codec, self.tree.zxid
         try:
-            if request.problem:
-                raise ZooError(request.problem)
+            if request.error_code:
+                raise ZooKeeperError(request.error_code)
             if request.op in WRITE_OPS:
                 if self.cut:
-                    raise ZooError(Code.NOT_READ_ONLY)
+                    raise ZooKeeperError(Code.NOT_READ_ONLY)
                 zxid, body = self.ensemble.write(connection, request.op, request.body)
             else:
                 body = self._read(connection, request)
             connection.send_reply(zxid, codec.reply(request.xid, zxid, 0, body))
             if request.op == r.CLOSE:
                 self.ensemble.end_session(connection.session)
-        except ZooError as error:
+        except ZooKeeperError as error:
             failed = max(zxid, self.ensemble.zxid if request.op in WRITE_OPS and not self.cut else 0)
             connection.send_reply(failed, codec.reply(request.xid, failed, error.code))
             if error.code == Code.AUTH_FAILED:
@@ -375,7 +377,7 @@
         watches, node = connection.watches, self.tree.nodes.get(body.path)
         if op == r.ADD_WATCH:
             if body.mode not in (r.WATCH_PERSISTENT, r.WATCH_RECURSIVE):
-                raise ZooError(Code.BAD_ARGUMENTS)
+                raise ZooKeeperError(Code.BAD_ARGUMENTS)
             (watches.recursive if body.mode == r.WATCH_RECURSIVE else watches.persistent).add(body.path)
             return r.ErrorReply(0)
         if op == r.REMOVE_WATCHES:
@@ -384,14 +386,14 @@
             if op == r.EXISTS and body.watch:
                 watches.exists.add(body.path)
             self.ensemble.note_missing(connection, body.path)
-            raise ZooError(Code.NO_NODE)
+            raise ZooKeeperError(Code.NO_NODE)
         if op == r.EXISTS:
             if body.watch:
                 watches.data.add(body.path)
             return r.StatReply(node.stat())
         if op == r.GET_ACL:
             return r.AclReply(node.acl, node.stat())
-        self.ensemble.check_permission(connection.ids, node, r.MAY_READ)
+        self.ensemble.check_permission(connection.ids, node, r.PERM_READ)
         if op == r.GET_DATA:
             if body.watch:
                 watches.data.add(body.path)
@@ -405,7 +407,7 @@
 
     def _auth(self, connection: Connection, body: r.Auth) -> None:
         if body.scheme != "digest" or not body.auth or b":" not in body.auth:
-            raise ZooError(Code.AUTH_FAILED)
+            raise ZooKeeperError(Code.AUTH_FAILED)
         user = body.auth.split(b":", 1)[0].decode(errors="replace")
         digest = b64encode(hashlib.sha1(body.auth).digest()).decode()
         connection.ids.add(r.Id("digest", f"{user}:{digest}"))
@@ -451,7 +453,7 @@
             (watches.children, watches.data, watches.exists, watches.persistent, watches.recursive),
         )
         if not any(body.path in paths for paths in kinds):
-            raise ZooError(Code.NO_WATCHER)
+            raise ZooKeeperError(Code.NO_WATCHER)
         for paths in kinds:
             paths.discard(body.path)
 
@@ -557,7 +559,7 @@
 
     def check_permission(self, ids: set[r.Id], node: ZNode, permission: int) -> None:
         if not any(entry.perms & permission and entry.who in ids for entry in node.acl):
-            raise ZooError(Code.NO_AUTH)
+            raise ZooKeeperError(Code.NO_AUTH)
 
     def write(self, connection: Connection, op: int, body: Any) -> tuple[int, Any]:
         """Returns (zxid, answer). Raises ZooError."""
@@ -588,7 +590,7 @@
                     scratch_tree.apply(self.zxid + 1, self.loop.now() // 1000, [change])
                     changes.append(change)
                 paths.append(path)
-            except ZooError as error:
+            except ZooKeeperError as error:
                 codes = [Code.RUNTIME_INCONSISTENCY] * len(body.ops)
                 codes[:n] = [Code.OK] * n
                 codes[n] = Code(error.code)
@@ -605,31 +607,31 @@
         if op in (r.CREATE_CONTAINER, r.CREATE_TTL) or (
             op in (r.CREATE, r.CREATE2) and body.flags not in range(4)
         ):
-            raise ZooError(Code.UNIMPLEMENTED)
+            raise ZooKeeperError(Code.UNIMPLEMENTED)
         if op in (r.CREATE, r.CREATE2):
             return self._validate_create(connection, body, tree)
         node = tree.nodes.get(body.path)
         if node is None:
-            raise ZooError(Code.NO_NODE)
+            raise ZooKeeperError(Code.NO_NODE)
         current = node.aversion if op == r.SET_ACL else node.version
         if body.version not in (-1, current):
-            raise ZooError(Code.BAD_VERSION)
+            raise ZooKeeperError(Code.BAD_VERSION)
         if op == r.CHECK:
-            self.check_permission(connection.ids, node, r.MAY_READ)
+            self.check_permission(connection.ids, node, r.PERM_READ)
             return None, body.path
         if op == r.DELETE:
             if body.path == "/":
-                raise ZooError(Code.BAD_ARGUMENTS)
-            self.check_permission(connection.ids, tree.nodes[parent_of(body.path)], r.MAY_DELETE)
+                raise ZooKeeperError(Code.BAD_ARGUMENTS)
+            self.check_permission(connection.ids, tree.nodes[parent_of(body.path)], r.PERM_DELETE)
             if node.children:
-                raise ZooError(Code.NOT_EMPTY)
+                raise ZooKeeperError(Code.NOT_EMPTY)
             return ("delete", body.path), body.path
         if op == r.SET_ACL:
-            self.check_permission(connection.ids, node, r.MAY_ADMIN)
+            self.check_permission(connection.ids, node, r.PERM_ADMIN)
             return ("acl", body.path, self._resolve_acl(connection, body.acl)), body.path
-        self.check_permission(connection.ids, node, r.MAY_WRITE)
+        self.check_permission(connection.ids, node, r.PERM_WRITE)
         if len(body.data or b"") > MAX_DATA_BYTES:
-            raise ZooError(Code.BAD_ARGUMENTS)
+            raise ZooKeeperError(Code.BAD_ARGUMENTS)
         return ("set", body.path, body.data), body.path
 
     def _validate_create(self, connection: Connection, body: r.Create, tree: Tree) -> tuple[tuple, str]:
@@ -640,17 +642,17 @@
             or path == "/"
             or len(body.data or b"") > MAX_DATA_BYTES
         ):
-            raise ZooError(Code.BAD_ARGUMENTS)
+            raise ZooKeeperError(Code.BAD_ARGUMENTS)
         parent = tree.nodes.get(parent_of(path))
         if parent is None:
-            raise ZooError(Code.NO_NODE)
-        self.check_permission(connection.ids, parent, r.MAY_CREATE)
+            raise ZooKeeperError(Code.NO_NODE)
+        self.check_permission(connection.ids, parent, r.PERM_CREATE)
         if parent.owner:
-            raise ZooError(Code.NO_CHILDREN_FOR_EPHEMERALS)
+            raise ZooKeeperError(Code.NO_CHILDREN_FOR_EPHEMERALS)
         if sequential:  # the suffix is the parent's cversion, as specified
             path += f"{parent.cversion:010d}"
         if path in tree.nodes:
-            raise ZooError(Code.NODE_EXISTS)
+            raise ZooKeeperError(Code.NODE_EXISTS)
         assert connection.session is not None
         owner = connection.session.number if body.flags in (r.EPHEMERAL, r.EPHEMERAL_SEQUENTIAL) else 0
         return ("create", path, body.data, self._resolve_acl(connection, body.acl), owner), path
@@ -663,14 +665,14 @@
             if entry.who.scheme == "auth":
                 own = [identity for identity in connection.ids if identity != ANYONE]
                 if not own:
-                    raise ZooError(Code.INVALID_ACL)
+                    raise ZooKeeperError(Code.INVALID_ACL)
                 resolved += [r.Acl(entry.perms, identity) for identity in sorted(own)]
             elif entry.who.scheme in ("world", "digest"):
                 resolved.append(entry)
             else:
-                raise ZooError(Code.INVALID_ACL)
+                raise ZooKeeperError(Code.INVALID_ACL)
         if not resolved:
-            raise ZooError(Code.INVALID_ACL)
+            raise ZooKeeperError(Code.INVALID_ACL)
         return resolved
 
     # ---- recording of what each session reads about the members, for the rule checkers
@@ -690,7 +692,7 @@
             return
         try:
             member = read_member(data, self.plan.form)
-        except NodeRefused:
+        except InvalidNode:
             return
         self.known_endpoints[connection.session.user, name] = member.endpoint
         self._record_update(connection, [[member.endpoint, member.phase, member.start]])
