--- a/cedarshift/budgets/__init__.py
+++ b/cedarshift/budgets/__init__.py
@@ -1,1 +1,1 @@
-"""Budgets of the whole fleet: shares given by the store to pilots, and by pilots to proxies, kept durably and spent."""
+"""Fleet-wide budgets: the store leases shares to pilots, and pilots lease shares to proxies."""
--- a/cedarshift/budgets/desk.py
+++ b/cedarshift/budgets/desk.py
@@ -1,4 +1,4 @@
-"""The store's side: hears asks, keeps what changes, then answers; tells of each division that moved something."""
+"""The store's share allocator: collects requests, records the granted shares and then answers."""
 
 from __future__ import annotations
 
@@ -6,30 +6,40 @@
 
 import msgspec
 
-from cedarshift.budgets.ledger import MemoryShares, ShareLedger
-from cedarshift.budgets.terms import plan_of
+from cedarshift.budgets.ledger import MemoryShareLedger, ShareLedger
+from cedarshift.budgets.terms import build_plan
 from cedarshift.codec import messages as m
 from cedarshift.judge.budgets import Grantor, Key, Plan, Row, ShareRequest
 from cedarshift.judge.claims import ClaimGrantor, ClaimRequest
 from cedarshift.link import Link
 from cedarshift.loop import Loop
 
-TIDY_EVERY = 64  # asks between two looks for rows of lives that are over
-CLAIMS = ("", "", 0)  # their row in the ledger, under no budget's name
-WAITING_MOST = 1_000  # asks that wait for one write; a pilot asks four times a lease
-
-
-def open_desk(
-    loop: Loop, terms: Any, pilots: int, era: int, ledger: Union[ShareLedger, MemoryShares]
-) -> ShareDesk:
-    """`terms`: a deployment's `BudgetTerms`, for so many pilots."""
-    return ShareDesk(
-        loop, plan_of(terms.named, pilots), terms.lease, era, ledger, loop.report, terms.claim_cold
+ASKS_PER_CLEANUP = 64
+CLAIMS_KEY = ("", "", 0)  # ledger key of the claims' row; no budget has an empty name
+MAX_WAITING_ASKS = 1_000
+
+
+def open_share_allocator(
+    loop: Loop, settings: Any, pilots: int, era: int, ledger: Union[ShareLedger, MemoryShareLedger]
+) -> ShareAllocator:
+    """Creates the allocator for a deployment's budget settings and number of pilots."""
+    return ShareAllocator(
+        loop,
+        build_plan(settings.named, pilots),
+        settings.lease,
+        era,
+        ledger,
+        loop.report,
+        settings.claim_cold,
     )
 
 
-class ShareDesk:
-    """`era` names this life of the store. `hear` only takes in; `carry_out` writes once for all that came, then answers."""
+class ShareAllocator:
+    """Grants shares and claims to pilots.
+
+    `hear` queues a request; `carry_out` processes the queue, writes the ledger once and sends the answers.
+    `era` identifies this run of the store; `lease` is in us.
+    """
 
     def __init__(
         self,
@@ -37,34 +47,34 @@
         plan: Plan,
         lease: int,
         era: int,
-        ledger: Union[ShareLedger, MemoryShares],
+        ledger: Union[ShareLedger, MemoryShareLedger],
         report: Callable[..., None],
-        keeps_claims: bool = False,
+        claims_enabled: bool = False,
     ) -> None:
         self.loop = loop
         self.ledger = ledger
         self.report = report
         rows = ledger.load()
-        self.kept = {row[:3] for row in rows}
-        self.giver = Grantor(plan, lease, era, loop.now(), rows)
-        self.claims = ClaimGrantor(lease, era, self.giver.recovery_until)
-        # Claims end as shares do, and no claim is kept: one row tells a later life how long the longest may run.
-        self.claims_span = max([lease, *(row.duration for row in rows if row[:3] == CLAIMS)])
+        self.stored_keys = {row[:3] for row in rows}
+        self.grantor = Grantor(plan, lease, era, loop.now(), rows)
+        self.claims = ClaimGrantor(lease, era, self.grantor.recovery_until)
+        # Claims are not stored; one row records how long the longest may last, for the wait after a restart.
+        self.claims_duration = max([lease, *(row.duration for row in rows if row[:3] == CLAIMS_KEY)])
         self.waiting: list[tuple[Link, str, m.Message]] = []
-        self.asks = 0
-        self.told: dict[Key, int] = {}  # amounts as they were logged last
-        if keeps_claims:
-            ledger.put([Row(*CLAIMS, 0, 0, self.claims_span)])
+        self.asks_since_cleanup = 0
+        self.logged_amounts: dict[Key, int] = {}  # amounts in the last log events
+        if claims_enabled:
+            ledger.put([Row(*CLAIMS_KEY, 0, 0, self.claims_duration)])
         report(
             "budgets_serve",
             budgets=len(plan.budgets),
-            quiet_us=self.giver.recovery_until - loop.now(),
+            quiet_us=self.grantor.recovery_until - loop.now(),
             rows=len(rows),
         )
 
     def hear(self, peer: Link, name: str, message: m.Message) -> None:
-        if len(self.waiting) >= WAITING_MOST:
-            peer.close("busy", f"{WAITING_MOST} asks for shares wait")
+        if len(self.waiting) >= MAX_WAITING_ASKS:
+            peer.close("busy", f"{MAX_WAITING_ASKS} asks for shares wait")
             return
         self.waiting.append((peer, name, message))
 
@@ -77,11 +87,11 @@
         for peer, name, message in waiting:
             if isinstance(message, m.LeaveBudgets):
                 self.claims.leave(name, message.life)
-                for key in self.giver.leave(now, name, message.life):
+                for key in self.grantor.leave(now, name, message.life):
                     rows.pop(key, None)
                     self._log(now, key, 0, "left")
             elif isinstance(message, m.BudgetSharesRequest):
-                shares, changed = self.giver.ask(
+                shares, changed = self.grantor.ask(
                     now,
                     name,
                     message.life,
@@ -96,7 +106,7 @@
                         now,
                         (share.budget, name, message.life),
                         share.amount,
-                        "quiet" if self.giver.recovering(now) else "divided",
+                        "quiet" if self.grantor.recovering(now) else "divided",
                     )
                 claimed = self.claims.ask(
                     now,
@@ -111,7 +121,7 @@
                         peer,
                         m.BudgetSharesReply(
                             message.number,
-                            self.giver.era,
+                            self.grantor.era,
                             [m.BudgetGrant(*share) for share in shares],
                             [m.GrantedClaim(*claim) for claim in claimed],
                         ),
@@ -119,34 +129,34 @@
                 )
         if rows:
             self.ledger.put(rows.values())
-            self.kept.update(rows)
-        for peer, answer in answers:
-            peer.send(answer)
-        self.asks += len(waiting)
-        if self.asks >= TIDY_EVERY:
-            self.asks = 0
-            self._tidy(now)
-
-    def _tidy(self, now: int) -> None:
-        """Rows of lives that are over, once the giver knows that they are."""
-        self.giver.in_force(now, self.giver.plan.leaves[0])
-        gone = [key for key in self.kept if key not in self.giver.accounts and key != CLAIMS]
-        if gone:
-            self.ledger.drop(gone)
-            self.kept.difference_update(gone)
-        if self.claims_span > self.giver.lease and not self.giver.recovering(now):
-            self.claims_span = self.giver.lease  # the longer ones of a former life are over
-            self.ledger.put([Row(*CLAIMS, 0, 0, self.claims_span)])
-        for key in [key for key in self.told if key not in self.giver.accounts]:
+            self.stored_keys.update(rows)
+        for peer, reply in answers:
+            peer.send(reply)
+        self.asks_since_cleanup += len(waiting)
+        if self.asks_since_cleanup >= ASKS_PER_CLEANUP:
+            self.asks_since_cleanup = 0
+            self._drop_ended(now)
+
+    def _drop_ended(self, now: int) -> None:
+        """Deletes the rows of holders whose shares have ended."""
+        self.grantor.in_force(now, self.grantor.plan.leaves[0])
+        ended = [key for key in self.stored_keys if key not in self.grantor.accounts and key != CLAIMS_KEY]
+        if ended:
+            self.ledger.drop(ended)
+            self.stored_keys.difference_update(ended)
+        if self.claims_duration > self.grantor.lease and not self.grantor.recovering(now):
+            self.claims_duration = self.grantor.lease  # longer claims from before the restart have ended
+            self.ledger.put([Row(*CLAIMS_KEY, 0, 0, self.claims_duration)])
+        for key in [key for key in self.logged_amounts if key not in self.grantor.accounts]:
             self._log(now, key, 0, "over")
 
     def _log(self, now: int, key: Key, amount: int, reason: str) -> None:
-        """Where a share has changed. Its demand and what others have tell why it is no other."""
-        if self.told.get(key, 0) == amount:
+        """Logs a share whose amount has changed."""
+        if self.logged_amounts.get(key, 0) == amount:
             return
-        account, before = self.giver.accounts.get(key), self.told.pop(key, 0)
+        account, before = self.grantor.accounts.get(key), self.logged_amounts.pop(key, 0)
         if amount:
-            self.told[key] = amount
+            self.logged_amounts[key] = amount
         self.report(
             "share",
             budget=key[0],
@@ -155,17 +165,17 @@
             after=amount,
             reason=reason,
             demand=account.demand if account is not None else 0,
-            given=self.giver.in_force(now, key[0]),
-            whole=self.giver.plan.leasable(key[0]),
+            given=self.grantor.in_force(now, key[0]),
+            whole=self.grantor.plan.leasable(key[0]),
         )
 
     def shown(self) -> bytes:
         return msgspec.json.encode(
             {
-                "era": self.giver.era,
-                "lease_us": self.giver.lease,
-                "counts": self.giver.counts,
-                "budgets": self.giver.shown(self.loop.now()),
+                "era": self.grantor.era,
+                "lease_us": self.grantor.lease,
+                "counts": self.grantor.counts,
+                "budgets": self.grantor.shown(self.loop.now()),
                 "claims": self.claims.shown(self.loop.now()),
                 "claim_counts": self.claims.counts,
             }
--- a/cedarshift/budgets/ledger.py
+++ b/cedarshift/budgets/ledger.py
@@ -1,7 +1,8 @@
-"""The durable side of shares: a SQLite file beside the store's, written before a share is told.
+"""Durable storage of granted shares: a SQLite file next to the store's, written before a grant is sent.
 
-A lost write or an old copy breaks nothing: after a start the giver waits a lease and gives only what is presented. What
-the file tells is how long the longest right was, where the deployment's lease is shorter now, and who had what.
+A lost write or an outdated copy is safe: after a start the grantor waits for one lease and grants only shares
+that holders present. The file records who held what and the longest lease, in case the configured lease has
+been shortened.
 """
 
 from __future__ import annotations
@@ -15,16 +16,19 @@
 from cedarshift.judge.budgets import Key, Row
 from cedarshift.store.ledger import DamagedLedgerError, open_durable, transaction
 
-SCHEMA = """CREATE TABLE IF NOT EXISTS shares (budget TEXT, holder TEXT, life INTEGER, number INTEGER NOT NULL, amount INTEGER NOT NULL,
-  span INTEGER NOT NULL, checksum INTEGER NOT NULL, PRIMARY KEY (budget, holder, life)) WITHOUT ROWID"""
+SCHEMA = (
+    "CREATE TABLE IF NOT EXISTS shares (budget TEXT, holder TEXT, life INTEGER, number INTEGER NOT NULL, "
+    "amount INTEGER NOT NULL,\n"
+    "  span INTEGER NOT NULL, checksum INTEGER NOT NULL, PRIMARY KEY (budget, holder, life)) WITHOUT ROWID"
+)
 
 
 def _checksum(row: Row) -> int:
     return zlib.crc32(msgspec.msgpack.encode(list(row)))
 
 
-class MemoryShares:
-    """The same calls without a disk, for days on a virtual clock."""
+class MemoryShareLedger:
+    """An in-memory `ShareLedger` for simulations."""
 
     def __init__(self) -> None:
         self.rows: dict[Key, Row] = {}
@@ -45,7 +49,10 @@
 
 
 class ShareLedger:
-    """Raises DamagedLedgerError, with the file's name and the way back, where it can't be read; sqlite3.Error where it can't be written."""
+    """The ledger of granted shares in a SQLite file.
+
+    Raises DamagedLedgerError if the file cannot be read, and sqlite3.Error if it cannot be written.
+    """
 
     def __init__(self, path: str) -> None:
         self.path = path
@@ -57,30 +64,30 @@
             self.close()
             raise self._damaged(str(error)) from None
 
-    def _damaged(self, what: str) -> DamagedLedgerError:
+    def _damaged(self, reason: str) -> DamagedLedgerError:
         return DamagedLedgerError(
-            f"{self.path}: {what}. Way back: move the file away and wait, before the start, as long as the longest lease "
-            "that the block budgets ever had; nothing else is lost, since pilots present what they hold"
+            f"{self.path}: {reason}. Way back: move the file away and wait, before the start, as long as the "
+            "longest lease that the block budgets ever had; nothing else is lost, since pilots present what they hold"
         )
 
     def load(self) -> list[Row]:
         assert self.db is not None
         try:
-            got = self.db.execute(
+            records = self.db.execute(
                 "SELECT budget, holder, life, number, amount, span, checksum FROM shares"
             ).fetchall()
         except sqlite3.Error as error:
             raise self._damaged(str(error)) from None
-        rows = [Row(*one[:6]) for one in got]
-        for row, one in zip(rows, got):
-            if _checksum(row) != one[6]:
+        rows = [Row(*record[:6]) for record in records]
+        for row, record in zip(rows, records):
+            if _checksum(row) != record[6]:
                 raise self._damaged(
-                    f"the row of {row.budget!r} for {row.holder!r} does not match its check sum"
+                    f"the row of {row.budget!r} for {row.holder!r} does not match its checksum"
                 )
         return rows
 
     def put(self, rows: Iterable[Row]) -> None:
-        """One transaction, synced."""
+        """Writes the rows in one synced transaction."""
         assert self.db is not None
         with transaction(self.db):
             self.db.executemany(
--- a/cedarshift/budgets/pilot.py
+++ b/cedarshift/budgets/pilot.py
@@ -1,4 +1,4 @@
-"""A pilot's side: asks the store, divides among its proxies and itself, and spends its own part."""
+"""A pilot's budgets: requests shares from the store, grants parts to its proxies and spends its own."""
 
 from __future__ import annotations
 
@@ -6,8 +6,8 @@
 
 import msgspec
 
-from cedarshift.budgets.rights import Fleet, FleetRights
-from cedarshift.budgets.terms import AT_PROXIES, HELD, plan_of, told_to_proxies
+from cedarshift.budgets.rights import DecisionBudgets, FleetAccess
+from cedarshift.budgets.terms import CONCURRENCY_USES, PROXY_USES, build_plan, proxy_budget_specs
 from cedarshift.codec import messages as m
 from cedarshift.judge.budgets import ASKS_PER_LEASE, FOREVER, Hub, Plan, Share, ShareRequest
 from cedarshift.judge.claims import Claim
@@ -16,35 +16,39 @@
 from cedarshift.loop import Loop
 from cedarshift.loop.core import Coroutine
 
-WAIT_MOST = 250_000  # us between two looks for a token: a share may come sooner than the present one tells
+MAX_TOKEN_WAIT_US = 250_000  # a new share may arrive before the current rate yields a token
 
 
 def open_budgets(
     loop: Loop,
-    terms: Any,
+    settings: Any,
     pilots: int,
     life: int,
     report: Callable[..., None],
-    doubted: Callable[[], list[str]] = lambda: [],
+    suspected: Callable[[], list[str]] = lambda: [],
 ) -> Optional[PilotBudgets]:
-    """`terms`: a deployment's `BudgetTerms`, for so many pilots; None where it has none."""
-    if terms is None:
+    """Creates the budgets of a pilot from the deployment's settings; None if it has no budgets."""
+    if settings is None:
         return None
     return PilotBudgets(
         loop,
-        terms.named,
-        plan_of(terms.named, pilots),
+        settings.named,
+        build_plan(settings.named, pilots),
         life,
-        terms.clock_drift,
-        terms.lease,
-        terms.proxy_lease,
+        settings.clock_drift,
+        settings.lease,
+        settings.proxy_lease,
         report,
-        doubted,
+        suspected,
     )
 
 
 class PilotBudgets:
-    """`named`: the deployment's budgets; `doubted()`: pilots that most hold for dead. `life` is new for each start."""
+    """Requests shares from the store, leases them to proxies and spends the pilot's own.
+
+    `named` is the deployment's budgets by name; `suspected()` returns the pilots that the majority considers
+    dead. `life` differs at each start; `lease` and `proxy_lease` are in us.
+    """
 
     def __init__(
         self,
@@ -56,44 +60,44 @@
         lease: int,
         proxy_lease: int,
         report: Callable[..., None],
-        doubted: Callable[[], list[str]] = lambda: [],
+        suspected: Callable[[], list[str]] = lambda: [],
     ) -> None:
         self.loop = loop
         self.named = named
         self.report = report
-        self.doubted = doubted
+        self.suspected = suspected
         self.lease = lease
         self.hub = Hub(plan, life, drift, proxy_lease, loop.now())
-        self.terms = told_to_proxies(named, drift)
-        self.uses = {b.use: name for name, b in named.items() if b.use and b.use not in AT_PROXIES}
-        # What proxies spend is all theirs; the rest is the pilot's own, and ended with its former life: nothing is waited out.
-        self.own = {
+        self.terms = proxy_budget_specs(named, drift)
+        self.uses = {b.use: name for name, b in named.items() if b.use and b.use not in PROXY_USES}
+        # The previous process's own shares ended with it, so a start need not wait for them.
+        self.buckets = {
             name: TokenBucket(b.burst, drift, loop.now())
             for name, b in named.items()
-            if name in plan.leaves and b.use not in AT_PROXIES and b.use not in HELD
+            if name in plan.leaves and b.use not in PROXY_USES and b.use not in CONCURRENCY_USES
         }
-        self.rights: Optional[FleetRights] = None  # handed to it where the module goes by rights of the fleet
+        self.decision_budgets: Optional[DecisionBudgets] = None  # set by `attach_decision_budgets`
         self.leaves = list(plan.leaves)
-        self.wishes = {name: DemandEstimator(loop.now()) for name in self.own}
+        self.demand_estimators = {name: DemandEstimator(loop.now()) for name in self.buckets}
         self.link: Optional[Link] = None
-        self.told: dict[str, int] = {}
+        self.reported_amounts: dict[str, int] = {}
         self.leaving = False
-        self.task = loop.spawn(self._ask(), "budgets")
-        self._use()
+        self.task = loop.spawn(self._ask_loop(), "budgets")
+        self._update_buckets()
 
     def leave(self) -> Coroutine:
-        """Hands out and spends no more, waits until what proxies hold has ended, a lease of theirs at most, and gives all back."""
+        """Stops granting and spending, waits for the proxies' leases to end and returns all shares."""
         self.task.cancel()
         self.leaving = True
         self.hub.holder.lost()
-        until = self.loop.now() + self.hub.giver.lease + WAIT_MOST
+        until = self.loop.now() + self.hub.giver.lease + MAX_TOKEN_WAIT_US
         while self.loop.now() < until and any(
             self.hub.giver.in_force(self.loop.now(), leaf) for leaf in self.leaves
         ):
-            yield from self.loop.sleep(WAIT_MOST // 5)
+            yield from self.loop.sleep(MAX_TOKEN_WAIT_US // 5)
         self.hub.holder.drop()
-        if self.rights is not None:
-            self.rights.drop(self.loop.now())
+        if self.decision_budgets is not None:
+            self.decision_budgets.drop(self.loop.now())
         if self.link is not None:
             self.link.send(m.LeaveBudgets(self.hub.holder.life))
 
@@ -102,8 +106,8 @@
     def on_store_link(self, link: Optional[Link]) -> None:
         self.link = link
         self.hub.holder.lost()
-        if self.rights is not None:
-            self.rights.lost()
+        if self.decision_budgets is not None:
+            self.decision_budgets.lost()
         if link is not None and not self.leaving:
             self._send()
 
@@ -115,55 +119,61 @@
         if holder.on_answer(
             now, message.number, message.era, [Share(*msgspec.structs.astuple(one)) for one in message.shares]
         ):
-            if self.rights is not None:
-                self.rights.hear(now, message.number, [Claim(one.thing, one.span) for one in message.claims])
-            self._use()
+            if self.decision_budgets is not None:
+                self.decision_budgets.on_answer(
+                    now, message.number, [Claim(one.thing, one.span) for one in message.claims]
+                )
+            self._update_buckets()
         elif message.era and message.era != holder.era:
             holder.joined(message.era)
-            if self.rights is not None:
-                self.rights.lost()
+            if self.decision_budgets is not None:
+                self.decision_budgets.lost()
             self._send()
 
-    def _ask(self) -> Coroutine:
+    def _ask_loop(self) -> Coroutine:
         while True:
             yield from self.loop.sleep(self.lease // ASKS_PER_LEASE)
-            for wishes in self.wishes.values():
-                wishes.close_interval(self.loop.now())
-            self._use()
+            for estimator in self.demand_estimators.values():
+                estimator.close_interval(self.loop.now())
+            self._update_buckets()
             if self.link is not None:
                 self._send()
 
     def _send(self) -> None:
         assert self.link is not None
         holder, now = self.hub.holder, self.loop.now()
-        moves = self.rights.moves_budget if self.rights is not None else ""
-        if moves and self.rights is not None:
-            self.hub.held_locally[moves] = self.rights.fleet.moves()
-        number, wants = holder.ask(now, self._demands(now), self._spenders(now))
-        claims = self.rights.wishes(now, number) if self.rights is not None else []
+        moves = self.decision_budgets.moves_budget if self.decision_budgets is not None else ""
+        if moves and self.decision_budgets is not None:
+            self.hub.held_locally[moves] = self.decision_budgets.fleet.moves_in_flight()
+        number, wants = holder.ask(now, self._demands(now), self._spender_count(now))
+        claims = (
+            self.decision_budgets.claim_requests(now, number) if self.decision_budgets is not None else []
+        )
         self.link.send(
             m.BudgetSharesRequest(
                 number,
                 holder.life,
                 holder.era,
                 [m.BudgetRequest(*want) for want in wants],
-                self.doubted(),
+                self.suspected(),
                 [m.RequestedClaim(*wish) for wish in claims],
             )
         )
 
-    def _use(self) -> None:
-        """The pilot's own part of what it has now."""
+    def _update_buckets(self) -> None:
+        """Sets the rates of the pilot's own token buckets from its current shares."""
         now, holder = self.loop.now(), self.hub.holder
-        for name, bucket in self.own.items():
-            right = holder.right(now, name)
-            bucket.grant(now, right, holder.until(now, name) if right > holder.floors[name] else FOREVER)
-            if right != self.told.get(name):
-                self.report("budget_right", budget=name, before=self.told.get(name, 0), after=right)
-                self.told[name] = right
-
-    def _spenders(self, now: int) -> int:
-        """Proxies that ask here, this pilot besides."""
+        for name, bucket in self.buckets.items():
+            amount = holder.right(now, name)
+            bucket.grant(now, amount, holder.until(now, name) if amount > holder.floors[name] else FOREVER)
+            if amount != self.reported_amounts.get(name):
+                self.report(
+                    "budget_right", budget=name, before=self.reported_amounts.get(name, 0), after=amount
+                )
+                self.reported_amounts[name] = amount
+
+    def _spender_count(self, now: int) -> int:
+        """Returns the number of spenders: the proxies that ask this pilot, and the pilot itself."""
         giver = self.hub.giver
         return 1 + len(
             {proxy for (_, proxy, _), account in giver.accounts.items() if now - account.heard <= giver.lease}
@@ -171,88 +181,92 @@
 
     def _demands(self, now: int) -> dict[str, int]:
         found = self.hub.demands(now)
-        for name, wishes in self.wishes.items():
-            found[name] += wishes.rate()
-        if self.rights is not None and self.rights.moves_budget:
-            found[self.rights.moves_budget] = self.rights.demand()
+        for name, estimator in self.demand_estimators.items():
+            found[name] += estimator.rate()
+        if self.decision_budgets is not None and self.decision_budgets.moves_budget:
+            found[self.decision_budgets.moves_budget] = self.decision_budgets.demand()
         return found
 
-    # ---- rights that the module goes by
+    # ---- budgets of the decision module
 
-    def bring_rights(self, me: str, drift: float, claims: bool, fleet: Fleet) -> None:
-        """Once, by who builds the pilot; nothing happens where neither cold endpoints nor moves are the fleet's."""
+    def attach_decision_budgets(self, me: str, drift: float, claims: bool, fleet: FleetAccess) -> None:
+        """Sets up the decision module's budgets, if claims or a budget for moves are configured."""
         moves = self.uses.get("handovers", "")
         if not claims and not moves:
             return
-        self.rights = FleetRights(me, drift, self.lease // ASKS_PER_LEASE, claims, moves, fleet, self.report)
-        self.rights.moves_right = self._moves_right
-        self.rights.settle(self.loop.now())
+        self.decision_budgets = DecisionBudgets(
+            me, drift, self.lease // ASKS_PER_LEASE, claims, moves, fleet, self.report
+        )
+        self.decision_budgets.moves_grant = self._moves_grant
+        self.decision_budgets.publish_changes(self.loop.now())
 
-    def _moves_right(self, now: int) -> tuple[int, int]:
-        assert self.rights is not None
-        holder, name = self.hub.holder, self.rights.moves_budget
-        right = holder.right(now, name)
-        return right, holder.until(now, name) if right > holder.floors[name] else FOREVER
+    def _moves_grant(self, now: int) -> tuple[int, int]:
+        assert self.decision_budgets is not None
+        holder, name = self.hub.holder, self.decision_budgets.moves_budget
+        amount = holder.right(now, name)
+        return amount, holder.until(now, name) if amount > holder.floors[name] else FOREVER
 
     def on_list(self) -> None:
-        """A cold endpoint's first slices come as its list does; a quarter of a lease later they are elsewhere."""
+        """Requests claims of new cold endpoints at once, before their first slices are assigned elsewhere."""
         if (
-            self.rights is not None
+            self.decision_budgets is not None
             and self.link is not None
             and not self.leaving
-            and self.rights.wants_more(self.loop.now())
+            and self.decision_budgets.has_unrequested_claims(self.loop.now())
         ):
             self._send()
 
-    def settle(self) -> None:
-        """Before decisions are pulled."""
-        if self.rights is not None:
-            self.rights.settle(self.loop.now())
+    def publish_changes(self) -> None:
+        """Called before decisions are pulled."""
+        if self.decision_budgets is not None:
+            self.decision_budgets.publish_changes(self.loop.now())
 
     # ---- proxies
 
-    def on_beat(self, proxy: str, beat: m.Heartbeat) -> tuple[int, list[m.BudgetGrant]]:
-        """What rides on the answer to a beat that asks: this life and the proxy's shares."""
+    def on_heartbeat(self, proxy: str, heartbeat: m.Heartbeat) -> tuple[int, list[m.BudgetGrant]]:
+        """Returns the era and the proxy's shares for the answer to its heartbeat."""
         now, giver = self.loop.now(), self.hub.giver
         if self.leaving:
             return giver.era, []
         shares, _ = giver.ask(
             now,
             proxy,
-            beat.life,
-            beat.era,
-            beat.ask,
-            [ShareRequest(*msgspec.structs.astuple(want)) for want in beat.wants],
+            heartbeat.life,
+            heartbeat.era,
+            heartbeat.ask,
+            [ShareRequest(*msgspec.structs.astuple(want)) for want in heartbeat.wants],
         )
         return giver.era, [m.BudgetGrant(*share) for share in shares]
 
     # ---- spending
 
     def wish(self, use: str) -> None:
-        """One is wanted: once for each, however often it is asked for then."""
+        """Records the demand for one token."""
         name = self.uses.get(use)
         if name is not None:
-            self.wishes[name].record()
+            self.demand_estimators[name].record()
 
     def take(self, use: str) -> bool:
-        """Whether one may be spent now; always where no budget is for it, never by who is leaving."""
+        """Takes a token; True if there is one or the use has no budget, False while leaving."""
         name = self.uses.get(use)
-        return name is None or not self.leaving and self.own[name].take(self.loop.now())
+        return name is None or not self.leaving and self.buckets[name].take(self.loop.now())
 
     def spend(self, use: str) -> Coroutine:
-        """Waits until one may be spent."""
+        """Waits until a token has been taken."""
         self.wish(use)
         while not self.take(use):
-            yield from self.loop.sleep(min(WAIT_MOST, self.own[self.uses[use]].time_to_next(self.loop.now())))
-            self._use()
+            yield from self.loop.sleep(
+                min(MAX_TOKEN_WAIT_US, self.buckets[self.uses[use]].time_to_next(self.loop.now()))
+            )
+            self._update_buckets()
 
-    # ---- for people
+    # ---- status and metrics
 
     def shown(self) -> dict[str, Any]:
         now, hub = self.loop.now(), self.hub
         rows = []
         for name in self.leaves:
-            budget, bucket = self.named[name], self.own.get(name)
+            budget, bucket = self.named[name], self.buckets.get(name)
             until = hub.holder.until(now, name)
             rows.append(
                 {
@@ -274,7 +288,7 @@
             {"budget": name, "proxy": proxy, "asked": account.demand, "given": account.in_force(now)}
             for (name, proxy, _), account in sorted(hub.giver.accounts.items())
         ]
-        claims = sorted(self.rights.holder.held(now)) if self.rights is not None else []
+        claims = sorted(self.decision_budgets.holder.held(now)) if self.decision_budgets is not None else []
         return {
             "life": hub.holder.life,
             "store": self.link is not None,
@@ -289,8 +303,8 @@
             found[f"budget_{name}_right"] = float(self.hub.holder.right(now, name))
             found[f"budget_{name}_handed_on"] = float(self.hub.giver.in_force(now, name))
             found[f"budget_{name}_asked"] = float(self._demands(now)[name])
-        if self.rights is not None:
-            found["claims_held"] = float(len(self.rights.holder.held(now)))
-            found.update({name: float(count) for name, count in self.rights.counts.items()})
-        found.update({f"budget_{name}_spent": float(bucket.spent) for name, bucket in self.own.items()})
+        if self.decision_budgets is not None:
+            found["claims_held"] = float(len(self.decision_budgets.holder.held(now)))
+            found.update({name: float(count) for name, count in self.decision_budgets.counts.items()})
+        found.update({f"budget_{name}_spent": float(bucket.spent) for name, bucket in self.buckets.items()})
         return found
--- a/cedarshift/budgets/rights.py
+++ b/cedarshift/budgets/rights.py
@@ -1,8 +1,8 @@
-"""A pilot's rights that the module goes by: which cold endpoints it may warm, and how many moves it may have under way.
+"""The budgets of a pilot's decision module: the cold endpoints it may warm up and its moves in flight.
 
-The module is told by one input, `on_budgets`; with nothing told it goes by its lot and moves as it sees fit. What is told here ends on
-this pilot's clock before the store hands it on, so it is settled before each pull of decisions: a pilot that was stopped decides
-nothing on a right that ended meanwhile. A hand-over that was begun goes on to its end, counted in what is held.
+They are passed to the module as one input, `on_budgets`; without it the module decides on its own. A claim or
+grant ends on this pilot's clock before the store grants it to another, so changes are published before each pull of
+decisions. A hand-over that has started is completed and counts as held.
 """
 
 from __future__ import annotations
@@ -13,25 +13,26 @@
 from cedarshift.judge.budgets import ASKS_PER_LEASE
 from cedarshift.judge.claims import Claim, ClaimHolder, ClaimRequest, ClaimSchedule
 
-# Constants: unit, then the reason for the size.
-MOVES_AHEAD = 2  # moves asked for beyond those under way: a turn's, in a small fleet
-MOVES_TIMES = 2  # of those under way, so that a pilot at its share is seen to want more
+EXTRA_MOVES = 2  # requested beyond those in flight
+MOVES_FACTOR = 2  # of those in flight, so that demand beyond the share is visible
 
 
-class Fleet(NamedTuple):
-    """What a pilot's service lends: cold endpoints that stand, moves under way, whether it has slices, who of the pilots lives, and the
-    module's input."""
+class FleetAccess(NamedTuple):
+    """Callbacks into the pilot's service; `publish` passes the budgets to the decision module."""
 
-    cold: Callable[[], list[str]]
-    moves: Callable[[], int]
-    in_charge: Callable[[], bool]
-    living: Callable[[], list[str]]
-    tell: Callable[[dict[str, float]], None]
+    cold_endpoints: Callable[[], list[str]]
+    moves_in_flight: Callable[[], int]
+    has_slices: Callable[[], bool]
+    live_pilots: Callable[[], list[str]]
+    publish: Callable[[dict[str, float]], None]
 
 
-class FleetRights:
-    """`claims`: whether cold endpoints are claimed; `moves_budget`: the budget of moves, "" where they have none. `step` us pass until the
-    next pilot by lot asks."""
+class DecisionBudgets:
+    """Requests claims and tells the decision module what it may use.
+
+    `claims` enables claims of cold endpoints; `moves_budget` names the budget for moves, "" if there is none.
+    `step` (us) separates the requests of pilots that compete for a claim.
+    """
 
     def __init__(
         self,
@@ -40,7 +41,7 @@
         step: int,
         claims: bool,
         moves_budget: str,
-        fleet: Fleet,
+        fleet: FleetAccess,
         report: Callable[..., None],
     ) -> None:
         self.claims = claims
@@ -48,79 +49,84 @@
         self.fleet = fleet
         self.report = report
         self.holder = ClaimHolder(drift)
-        self.turns = ClaimSchedule(me, step)
-        self.told: dict[str, float] = {}
-        self.charged_at = 0  # when it was last seen to have slices
-        self.next_end = -1  # when what was told is to be looked at again; -1: now
-        self.moves_right: Callable[[int], tuple[int, int]] = lambda now: (
+        self.schedule = ClaimSchedule(me, step)
+        self.published: dict[str, float] = {}
+        self.had_slices_at = 0
+        self.next_check_at = -1  # -1: check at the next call
+        self.moves_grant: Callable[[int], tuple[int, int]] = lambda now: (
             0,
             now,
-        )  # amount and end, from the budget
+        )  # (amount, end in us)
         self.counts = {"claims_taken": 0, "claims_ended": 0}
 
-    def wishes(self, now: int, number: int) -> list[ClaimRequest]:
-        """What the ask of this number names. Who has no slices has nothing to warm an endpoint with, and asks for no more of them; what
-        it has it keeps for a lease, as a charge that is given anew is gone for a moment."""
+    def claim_requests(self, now: int, number: int) -> list[ClaimRequest]:
+        """Returns the claims to request with this request number.
+
+        A pilot without slices requests no new claims and keeps those it holds for one lease, since its slices may
+        be assigned again.
+        """
         if not self.claims:
             return []
-        held, cold = self.holder.held(now), self.fleet.cold()
-        if self.fleet.in_charge():
-            self.charged_at = now
-            things = self.turns.requests(now, cold, self.fleet.living(), held)
+        held, cold = self.holder.held(now), self.fleet.cold_endpoints()
+        if self.fleet.has_slices():
+            self.had_slices_at = now
+            resources = self.schedule.requests(now, cold, self.fleet.live_pilots(), held)
         else:
-            things = (
+            resources = (
                 sorted(held.intersection(cold))
-                if now - self.charged_at < ASKS_PER_LEASE * self.turns.step
+                if now - self.had_slices_at < ASKS_PER_LEASE * self.schedule.step
                 else []
             )
-        found = self.holder.ask(now, number, things)
-        self.next_end = -1  # what is named no more is given up before that is said
-        self.settle(now)
+        found = self.holder.ask(now, number, resources)
+        self.next_check_at = -1  # the module drops claims before the request releases them
+        self.publish_changes(now)
         return found
 
-    def wants_more(self, now: int) -> bool:
-        """Whether something is wished that no ask has named yet: a cold endpoint has just been listed."""
-        if not self.claims or not self.fleet.in_charge():
+    def has_unrequested_claims(self, now: int) -> bool:
+        """Returns whether there are claims to request that no request has named yet."""
+        if not self.claims or not self.fleet.has_slices():
             return False
-        things = self.turns.requests(now, self.fleet.cold(), self.fleet.living(), self.holder.held(now))
-        return any(thing not in self.holder.since for thing in things)
+        resources = self.schedule.requests(
+            now, self.fleet.cold_endpoints(), self.fleet.live_pilots(), self.holder.held(now)
+        )
+        return any(resource not in self.holder.since for resource in resources)
 
-    def hear(self, now: int, number: int, claims: list[Claim]) -> None:
+    def on_answer(self, now: int, number: int, claims: list[Claim]) -> None:
         self.holder.on_answer(now, number, claims)
-        self.next_end = -1
+        self.next_check_at = -1
 
     def lost(self) -> None:
         self.holder.lost()
 
     def drop(self, now: int) -> None:
         self.holder.drop()
-        self.next_end = -1
-        self.settle(now)
+        self.next_check_at = -1
+        self.publish_changes(now)
 
     def demand(self) -> int:
-        """Moves to ask for."""
-        under_way = self.fleet.moves()
-        return max(under_way + MOVES_AHEAD, MOVES_TIMES * under_way)
+        """Returns the number of moves to request."""
+        in_flight = self.fleet.moves_in_flight()
+        return max(in_flight + EXTRA_MOVES, MOVES_FACTOR * in_flight)
 
-    def settle(self, now: int) -> None:
-        """Tells the module what it may do from now on, where that has changed."""
-        if 0 <= now < self.next_end:
+    def publish_changes(self, now: int) -> None:
+        """Passes the current budgets to the module if they have changed."""
+        if 0 <= now < self.next_check_at:
             return
         held = self.holder.held(now)
-        moves, moves_end = self.moves_right(now) if self.moves_budget else (math.inf, 1 << 62)
-        self.next_end = min(self.holder.next_end(), moves_end) if held else moves_end
-        rights: dict[str, float] = {"": moves, **dict.fromkeys(sorted(held), 1.0)}
+        moves, moves_end = self.moves_grant(now) if self.moves_budget else (math.inf, 1 << 62)
+        self.next_check_at = min(self.holder.next_end(), moves_end) if held else moves_end
+        budgets: dict[str, float] = {"": moves, **dict.fromkeys(sorted(held), 1.0)}
         if self.claims:
-            rights["*"] = 0.0
-        if rights != self.told:
-            self._log(now, rights)
-            self.told = rights
-            self.fleet.tell(rights)
+            budgets["*"] = 0.0
+        if budgets != self.published:
+            self._log(now, budgets)
+            self.published = budgets
+            self.fleet.publish(budgets)
 
-    def _log(self, now: int, rights: dict[str, float]) -> None:
+    def _log(self, now: int, budgets: dict[str, float]) -> None:
         taken, ended = (
             sorted(one.keys() - other.keys() - {"", "*"})
-            for one, other in ((rights, self.told), (self.told, rights))
+            for one, other in ((budgets, self.published), (self.published, budgets))
         )
         self.counts["claims_taken"] += len(taken)
         self.counts["claims_ended"] += len(ended)
--- a/cedarshift/budgets/terms.py
+++ b/cedarshift/budgets/terms.py
@@ -1,4 +1,4 @@
-"""A deployment's budgets as the plan that is divided, and what a spender has to know of each."""
+"""Conversion of the configured budgets to the allocation plan and to the specs that proxies receive."""
 
 from __future__ import annotations
 
@@ -8,25 +8,25 @@
 from cedarshift.judge.budgets import Budget, Plan
 from cedarshift.judge.spending import PARTS_PER_TOKEN
 
-BEATS_A_LEASE = 4  # beats in a proxy's lease, so that three may be lost; asks for shares ride on them
-USES = ("retries", "probes", "list_calls", "store_dials", "handovers")
-HELD = ("handovers",)  # so many at a time, not so many a second
-AT_PROXIES = ("retries", "probes")  # spent by proxies; the others by pilots themselves
+HEARTBEATS_PER_LEASE = 4  # three may be lost before the lease expires
+BUDGET_USES = ("retries", "probes", "list_calls", "store_dials", "handovers")
+CONCURRENCY_USES = ("handovers",)  # limited by number in flight, not by rate
+PROXY_USES = ("retries", "probes")  # spent by proxies; pilots spend the others
 
 
-def parts(rate: float) -> int:
-    """Thousandths of a token a second."""
+def millitokens(rate: float) -> int:
+    """Converts a rate in tokens per second to thousandths of a token per second."""
     return round(rate * PARTS_PER_TOKEN)
 
 
-def plan_of(named: dict[str, Any], pilots: int) -> Plan:
-    """`named`: a deployment's `BudgetPlan` by name. Raises Refusal."""
+def build_plan(named: dict[str, Any], pilots: int) -> Plan:
+    """Builds the plan from a deployment's budget settings by name. Raises InvalidBudget."""
     return Plan(
         [
             Budget(
                 name,
-                b.held or parts(b.rate),
-                int(b.floor) if b.held else parts(b.floor),
+                b.held or millitokens(b.rate),
+                int(b.floor) if b.held else millitokens(b.floor),
                 b.within,
                 b.priority,
                 b.weight,
@@ -37,10 +37,10 @@
     )
 
 
-def told_to_proxies(named: dict[str, Any], drift: float) -> list[m.BudgetSpec]:
-    """Those that proxies spend."""
+def proxy_budget_specs(named: dict[str, Any], drift: float) -> list[m.BudgetSpec]:
+    """Returns the specs of the budgets that proxies spend."""
     return [
         m.BudgetSpec(name, b.use, b.burst, b.of_fresh, drift)
         for name, b in named.items()
-        if b.use in AT_PROXIES
+        if b.use in PROXY_USES
     ]
--- a/cedarshift/cli/budgets.py
+++ b/cedarshift/cli/budgets.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from cedarshift.budgets.terms import parts, plan_of
+from cedarshift.budgets.terms import build_plan, millitokens
 from cedarshift.codec import Identity, ProtocolError, Session
 from cedarshift.codec import messages as m
 from cedarshift.deployment import Deployment
@@ -113,7 +113,10 @@
     """The division as the store would make it. Raises ValueError where a name or a figure can't be."""
     terms = deployment.budgets
     assert terms is not None
-    pilots, plan = [place.name for place in deployment.pilots], plan_of(terms.named, len(deployment.pilots))
+    pilots, plan = (
+        [place.name for place in deployment.pilots],
+        build_plan(terms.named, len(deployment.pilots)),
+    )
     for name in down:
         if name not in pilots:
             raise ValueError(f"--down {name}: pilots are {', '.join(pilots)}")
@@ -131,7 +134,7 @@
         except ValueError:
             raise ValueError(f"--demand {text!r}: {tokens!r} is no number") from None
         if pilot in demands[leaf]:
-            units = int(wanted) if leaf in _held(deployment) else parts(wanted)
+            units = int(wanted) if leaf in _held(deployment) else millitokens(wanted)
             demands[leaf][pilot] = max(0, units - plan.budgets[leaf].floor)
     targets = plan.targets(demands, {root: plan.leasable(root) for root in plan.roots})
     out = [
--- a/cedarshift/cli/daemons.py
+++ b/cedarshift/cli/daemons.py
@@ -7,7 +7,7 @@
 import sqlite3
 from typing import Any, Callable, Optional
 
-from cedarshift.budgets.desk import ShareDesk, open_desk
+from cedarshift.budgets.desk import ShareAllocator, open_share_allocator
 from cedarshift.budgets.ledger import ShareLedger
 from cedarshift.budgets.pilot import open_budgets
 from cedarshift.codec import Identity
@@ -59,11 +59,11 @@
     return 1 + (int.from_bytes(random_bytes(8), "big") >> 12)
 
 
-def share_desk(loop: Loop, deployment: Deployment) -> Optional[ShareDesk]:
+def share_desk(loop: Loop, deployment: Deployment) -> Optional[ShareAllocator]:
     """None where the deployment has no budgets. Its file lies beside the store's. Raises DamagedLedgerError."""
     if deployment.budgets is None or deployment.store is None:
         return None
-    return open_desk(
+    return open_share_allocator(
         loop,
         deployment.budgets,
         len(deployment.pilots),
--- a/cedarshift/deployment/deployment.py
+++ b/cedarshift/deployment/deployment.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 from typing import Any, Callable, Optional
 
-from cedarshift.budgets.terms import BEATS_A_LEASE, HELD, USES, plan_of
+from cedarshift.budgets.terms import BUDGET_USES, CONCURRENCY_USES, HEARTBEATS_PER_LEASE, build_plan
 from cedarshift.codec.zookeeper.jute import check_path
 from cedarshift.deployment import hcl
 from cedarshift.deployment.hcl import MUST, Checked, FileRefused, Problem, Shape
@@ -235,7 +235,7 @@
 MEMBERSHIP = Shape({"period": (hcl.span(50_000, 60_000_000), 1_000_000)})
 BUDGET = Shape(
     {
-        "use": (hcl.choice(*USES), ""),
+        "use": (hcl.choice(*BUDGET_USES), ""),
         "rate": (hcl.number(0.001, 1e9), 0.0),
         "held": (hcl.whole(1, 1_000_000), 0),
         "burst": (hcl.span(1_000, 60_000_000), 500_000),
@@ -432,7 +432,7 @@
     block = body.blocks["budgets"][0]
     named, lines = {one.labels[0]: BudgetPlan(**one.values) for one in block.blocks["budget"]}, {}
     before = len(problems)
-    asks_every = max(MIN_ASK_INTERVAL_US, body.blocks["proxy"][0]["lease"] // BEATS_A_LEASE)
+    asks_every = max(MIN_ASK_INTERVAL_US, body.blocks["proxy"][0]["lease"] // HEARTBEATS_PER_LEASE)
     if block["proxy_lease"] < ASKS_PER_LEASE * asks_every:
         line = block.lines.get("proxy_lease", block.line)
         problems.append(
@@ -463,7 +463,7 @@
     problems += [Problem(path, line, text) for line, text in _rights(body, block, uses, store)]
     if len(problems) == before:
         try:
-            plan = plan_of(named, pilots)
+            plan = build_plan(named, pilots)
             for name, planned in named.items():
                 if name in plan.children and planned.use:
                     problems.append(
@@ -491,9 +491,12 @@
     name, found = one.labels[0], []
     if bool(one["rate"]) == bool(one["held"]):
         found.append((one.line, f"budget {name!r} has to have either a rate or a number held at a time"))
-    elif one["use"] and (one["use"] in HELD) != bool(one["held"]):
+    elif one["use"] and (one["use"] in CONCURRENCY_USES) != bool(one["held"]):
         found.append(
-            (one.lines["use"], f"{one['use']} are limited by {'held' if one['use'] in HELD else 'rate'}")
+            (
+                one.lines["use"],
+                f"{one['use']} are limited by {'held' if one['use'] in CONCURRENCY_USES else 'rate'}",
+            )
         )
     if one["held"] and one["floor"] != int(one["floor"]):
         found.append((one.lines["floor"], f"floor = {one['floor']:g}: what is held comes in whole ones"))
--- a/cedarshift/overload/start.py
+++ b/cedarshift/overload/start.py
@@ -4,7 +4,7 @@
 
 from typing import TYPE_CHECKING, Callable, Optional
 
-from cedarshift.budgets.terms import BEATS_A_LEASE
+from cedarshift.budgets.terms import HEARTBEATS_PER_LEASE
 from cedarshift.deployment import Deployment
 from cedarshift.judge.overload import OpValue
 from cedarshift.loop import Loop
@@ -23,7 +23,7 @@
         worths,
         min(op.target_latency for op in deployment.op_types),
         deployment.proxy.report_every,
-        deployment.proxy.lease // BEATS_A_LEASE,
+        deployment.proxy.lease // HEARTBEATS_PER_LEASE,
     )
 
 
--- a/cedarshift/pilot/rights.py
+++ b/cedarshift/pilot/rights.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from cedarshift.budgets.rights import Fleet
+from cedarshift.budgets.rights import FleetAccess
 from cedarshift.judge.roll import DEAD, LEFT
 from cedarshift.pilot.service import PilotService
 
@@ -31,11 +31,11 @@
         roll = service.membership.member.roll
         return [name for name in roll.names if roll.states[name] not in (DEAD, LEFT)]
 
-    fleet = Fleet(
+    fleet = FleetAccess(
         cold_endpoints,
         moves_in_progress,
         lambda: bool(service.slices),
         live_pilots,
         lambda rights: brain.on_budgets(service._now_ticks(), rights),
     )
-    service.budgets.bring_rights(service.name, plan.clock_drift, plan.claim_cold, fleet)
+    service.budgets.attach_decision_budgets(service.name, plan.clock_drift, plan.claim_cold, fleet)
--- a/cedarshift/pilot/service.py
+++ b/cedarshift/pilot/service.py
@@ -15,7 +15,7 @@
 
 from cedarshift.brain import ALL_TABLES, Pilot
 from cedarshift.budgets.pilot import PilotBudgets
-from cedarshift.budgets.terms import BEATS_A_LEASE
+from cedarshift.budgets.terms import HEARTBEATS_PER_LEASE
 from cedarshift.codec import Busy, Identity, OutOfOrder, Refused, Session
 from cedarshift.codec import messages as m
 from cedarshift.codec.frames import encode, encode_order, pack_rows
@@ -419,7 +419,7 @@
         return m.Welcome(
             self.session_count,
             proxy.lease,
-            proxy.lease // BEATS_A_LEASE,
+            proxy.lease // HEARTBEATS_PER_LEASE,
             proxy.report_every,
             proxy.apply_cost,
             budgets=self.budgets.terms if self.budgets is not None else [],
@@ -495,7 +495,7 @@
             answer = m.HeartbeatOk(message.n, self.in_charge())
             if message.ask and self.budgets is not None:
                 answer.ask = message.ask
-                answer.era, answer.shares = self.budgets.on_beat(session.name, message)
+                answer.era, answer.shares = self.budgets.on_heartbeat(session.name, message)
             if self.overload is not None:
                 policy, answer.fair = self.overload.for_beat(session.name)
                 answer.told = policy  # type: ignore[assignment]
@@ -600,7 +600,7 @@
             return
         self.pulling = True
         if self.budgets is not None:
-            self.budgets.settle()
+            self.budgets.publish_changes()
         batch = DecisionBatch(self.loop.now())
         try:
             for decision in pull_decisions(self.brain, self._now_ticks()):
--- a/cedarshift/rehearsal/virtual.py
+++ b/cedarshift/rehearsal/virtual.py
@@ -15,8 +15,8 @@
 
 import msgspec
 
-from cedarshift.budgets.desk import ShareDesk, open_desk
-from cedarshift.budgets.ledger import MemoryShares
+from cedarshift.budgets.desk import ShareAllocator, open_share_allocator
+from cedarshift.budgets.ledger import MemoryShareLedger
 from cedarshift.budgets.pilot import open_budgets
 from cedarshift.codec import Identity
 from cedarshift.deployment import Deployment, load
@@ -68,7 +68,7 @@
         self.logs: dict[str, int] = {}
         self.starts: dict[str, int] = {}
         self.ledgers: dict[str, MemoryLedger] = {}  # a disk outlives the program
-        self.shares: dict[str, MemoryShares] = {}
+        self.shares: dict[str, MemoryShareLedger] = {}
 
     # ---- programs
 
@@ -132,11 +132,13 @@
             self._desk(loop, deployment),
         )
 
-    def _desk(self, loop: Loop, deployment: Deployment) -> Optional[ShareDesk]:
+    def _desk(self, loop: Loop, deployment: Deployment) -> Optional[ShareAllocator]:
         if deployment.budgets is None or deployment.store is None:
             return None
-        ledger = self.shares.setdefault(deployment.store.path, MemoryShares())
-        return open_desk(loop, deployment.budgets, len(deployment.pilots), self._life("store"), ledger)
+        ledger = self.shares.setdefault(deployment.store.path, MemoryShareLedger())
+        return open_share_allocator(
+            loop, deployment.budgets, len(deployment.pilots), self._life("store"), ledger
+        )
 
     def _life(self, name: str) -> int:
         return 1 + random.Random(f"{self.seed} life of {name} {self.starts[name]}").getrandbits(52)
--- a/tests/test_claims.py
+++ b/tests/test_claims.py
@@ -11,7 +11,7 @@
 import spenders
 
 from cedarshift.brain import OWNED, Pilot
-from cedarshift.budgets.rights import Fleet, FleetRights
+from cedarshift.budgets.rights import DecisionBudgets, FleetAccess
 from cedarshift.interface import DecisionConfig, Entry, OpType
 from cedarshift.judge.claims import (
     MAX_CLAIMS_PER_ASK,
@@ -30,9 +30,9 @@
 
 def rights(claims=True, budget="", cold=("e",), moves=0, charge=True, right=(0, 1 << 60)):
     told = []
-    fleet = Fleet(lambda: list(cold), lambda: moves, lambda: charge, lambda: ["p0"], told.append)
-    found = FleetRights("p0", DRIFT, LEASE // 4, claims, budget, fleet, lambda *a, **k: None)
-    found.moves_right = lambda now: right
+    fleet = FleetAccess(lambda: list(cold), lambda: moves, lambda: charge, lambda: ["p0"], told.append)
+    found = DecisionBudgets("p0", DRIFT, LEASE // 4, claims, budget, fleet, lambda *a, **k: None)
+    found.moves_grant = lambda now: right
     return found, told
 
 
@@ -236,32 +236,34 @@
 
 def test_rights_end_before_a_decision_is_made_on_them():
     found, told = rights()
-    found.wishes(0, 1)
-    found.hear(10, 1, [Claim("e", LEASE)])
-    found.settle(20)
+    found.claim_requests(0, 1)
+    found.on_answer(10, 1, [Claim("e", LEASE)])
+    found.publish_changes(20)
     assert told[-1] == {"": math.inf, "*": 0.0, "e": 1.0}
-    found.settle(5 * LEASE)  # it was stopped for long: nothing else was called
+    found.publish_changes(5 * LEASE)  # it was stopped for long: nothing else was called
     assert told[-1] == {"": math.inf, "*": 0.0}
 
 
 def test_who_has_no_slices_claims_nothing_and_gives_up_what_it_had():
     found, told = rights()
-    found.wishes(0, 1)
-    found.hear(10, 1, [Claim("e", LEASE)])
-    found.fleet = found.fleet._replace(in_charge=lambda: False)
-    assert found.wishes(20, 2) == [ClaimRequest("e", True)]  # the charge may be given anew in a moment
-    found.hear(30, 2, [Claim("e", 2 * LEASE)])
-    assert found.wishes(LEASE + 20, 3) == [] and told[-1] == {"": math.inf, "*": 0.0}
+    found.claim_requests(0, 1)
+    found.on_answer(10, 1, [Claim("e", LEASE)])
+    found.fleet = found.fleet._replace(has_slices=lambda: False)
+    assert found.claim_requests(20, 2) == [
+        ClaimRequest("e", True)
+    ]  # the charge may be given anew in a moment
+    found.on_answer(30, 2, [Claim("e", 2 * LEASE)])
+    assert found.claim_requests(LEASE + 20, 3) == [] and told[-1] == {"": math.inf, "*": 0.0}
 
 
 def test_moves_are_told_by_right_and_end():
     found, told = rights(claims=False, budget="m", right=(3, 500))
-    found.settle(0)
+    found.publish_changes(0)
     assert told == [{"": 3}]
-    found.moves_right = lambda now: (1, 1 << 60)
-    found.settle(499)
+    found.moves_grant = lambda now: (1, 1 << 60)
+    found.publish_changes(499)
     assert told == [{"": 3}]
-    found.settle(500)
+    found.publish_changes(500)
     assert told[-1] == {"": 1}
 
 
@@ -334,14 +336,14 @@
 @pytest.mark.parametrize("held, most", [(2, 2), (1_000, None)])
 def test_moves_of_the_whole_fleet_stay_within_what_may_be_held(monkeypatch, tmp_path, held, most):
     """A busy deploy on the virtual clock; with room for a thousand the pilots have more under way than two at a time."""
-    under_way, worst, settle = {}, [0], FleetRights.settle
+    under_way, worst, publish_changes = {}, [0], DecisionBudgets.publish_changes
 
     def seen(self, now):
-        settle(self, now)
-        under_way[self.turns.me] = self.fleet.moves()
+        publish_changes(self, now)
+        under_way[self.schedule.me] = self.fleet.moves_in_flight()
         worst[0] = max(worst[0], sum(under_way.values()))
 
-    monkeypatch.setattr(FleetRights, "settle", seen)
+    monkeypatch.setattr(DecisionBudgets, "publish_changes", seen)
     day = load_day("deploy-dead-pilot")
     terms = day.deployment.budgets
     named = {
