--- a/cedarshift/budgets/ledger.py
+++ b/cedarshift/budgets/ledger.py
@@ -67,7 +67,8 @@
     def _damaged(self, reason: str) -> DamagedLedgerError:
         return DamagedLedgerError(
             f"{self.path}: {reason}. Way back: move the file away and wait, before the start, as long as the "
-            "longest lease that the block budgets ever had; nothing else is lost, since pilots present what they hold"
+            "longest lease that the block budgets ever had; nothing else is lost, since pilots present "
+            "what they hold"
         )
 
     def load(self) -> list[Row]:
--- a/cedarshift/budgets/rights.py
+++ b/cedarshift/budgets/rights.py
@@ -1,8 +1,8 @@
 """The budgets of a pilot's decision module: the cold endpoints it may warm up and its moves in flight.
 
 They are passed to the module as one input, `on_budgets`; without it the module decides on its own. A claim or
-grant ends on this pilot's clock before the store grants it to another, so changes are published before each pull of
-decisions. A hand-over that has started is completed and counts as held.
+grant ends on this pilot's clock before the store grants it to another, so changes are published before each
+pull of decisions. A hand-over that has started is completed and counts as held.
 """
 
 from __future__ import annotations
@@ -62,8 +62,8 @@
     def claim_requests(self, now: int, number: int) -> list[ClaimRequest]:
         """Returns the claims to request with this request number.
 
-        A pilot without slices requests no new claims and keeps those it holds for one lease, since its slices may
-        be assigned again.
+        A pilot without slices requests no new claims and keeps those it holds for one lease, since its slices
+        may be assigned again.
         """
         if not self.claims:
             return []
--- a/cedarshift/deployment/deployment.py
+++ b/cedarshift/deployment/deployment.py
@@ -11,7 +11,7 @@
 from cedarshift.deployment import hcl
 from cedarshift.deployment.hcl import MUST, Checked, FileRefused, Problem, Shape
 from cedarshift.judge.budgets import ASKS_PER_LEASE, MIN_ASK_INTERVAL_US, InvalidBudget
-from cedarshift.overload.digest import KINDS_MOST
+from cedarshift.overload.digest import MAX_OP_TYPES
 
 Address = tuple[str, int]
 
@@ -545,10 +545,12 @@
                 "several pilots answer as one only where they hear of each other: there is no block membership",
             )
         )
-    if len(ops) > KINDS_MOST:
+    if len(ops) > MAX_OP_TYPES:
         problems.append(
             Problem(
-                path, block.line, f"{len(ops)} op types, {KINDS_MOST} at most fit what pilots tell each other"
+                path,
+                block.line,
+                f"{len(ops)} op types, {MAX_OP_TYPES} at most fit what pilots tell each other",
             )
         )
     seen: set[str] = set()
--- a/cedarshift/overload/__init__.py
+++ b/cedarshift/overload/__init__.py
@@ -1,1 +1,1 @@
-"""The fleet's answer to overload at a pilot: its proxies' loads, the picture that pilots exchange, and what proxies are told to let in."""
+"""Overload control at a pilot: collects load, exchanges reports with other pilots, sets policies."""
--- a/cedarshift/overload/digest.py
+++ b/cedarshift/overload/digest.py
@@ -1,4 +1,4 @@
-"""A pilot's row of the picture as the bytes that ride on gossip. Free of I/O."""
+"""Encoding of a pilot's load report as a rider of gossip messages. No I/O."""
 
 from __future__ import annotations
 
@@ -10,17 +10,20 @@
 from cedarshift.judge.overload import STATES, Flow, LoadReport
 from cedarshift.judge.trials import TrialReport
 
-KINDS_MOST = 12  # op types of a row that fits a rider whatever its figures are
+MAX_OP_TYPES = 12  # a report of so many op types always fits a rider
 PER_MILLE = 1_000
-TENTHS = 10
-MOST = (1 << 32) - 1  # of a figure: five bytes
+TENTHS_PER_UNIT = 10
+MAX_FIGURE = (1 << 32) - 1  # fits five bytes
 
 ENCODER = msgspec.msgpack.Encoder()
 
 
 class Digest(msgspec.Struct, array_like=True):
-    """Rates in tenths of an op a second, times in ms, parts in thousandths. `flows`: by op type, as in `judge.overload.Flow`; then as in
-    `judge.trials.TrialReport`: (tag, proxies) and (tag, share, strikes)."""
+    """The encoded report. Rates are in tenths of an op per second, times in ms, shares in thousandths.
+
+    `flows` holds a `judge.overload.Flow` per op type. `proxies`, `shuns` (tag, proxies) and `trials` (tag,
+    share, strikes) are those of `judge.trials.TrialReport`.
+    """
 
     state: int
     share: int
@@ -35,65 +38,70 @@
 DECODER = msgspec.msgpack.Decoder(Digest)
 
 
-def _whole(value: float) -> int:
-    return min(MOST, max(0, round(value)))
+def _clamp(value: float) -> int:
+    return min(MAX_FIGURE, max(0, round(value)))
 
 
-def packed(row: LoadReport, word: Optional[TrialReport] = None) -> bytes:
-    """What does not fit a rider beside the loads is left out: the trials, first."""
-    if word is not None and len(raw := _packed(row, word)) <= MAX_RIDER_BYTES:
+def pack_report(report: LoadReport, trial_report: Optional[TrialReport] = None) -> bytes:
+    """Encodes a report, without the trials if they do not fit a rider."""
+    if trial_report is not None and len(raw := _pack(report, trial_report)) <= MAX_RIDER_BYTES:
         return raw
-    return _packed(row, TrialReport(0, {}, {}) if word is None else word._replace(shuns={}, trials={}))
+    return _pack(
+        report, TrialReport(0, {}, {}) if trial_report is None else trial_report._replace(shuns={}, trials={})
+    )
 
 
-def _packed(row: LoadReport, word: TrialReport) -> bytes:
-    shuns = [(tag, _whole(count)) for tag, count in word.shuns.items()]
+def _pack(report: LoadReport, trial_report: TrialReport) -> bytes:
+    shuns = [(tag, _clamp(count)) for tag, count in trial_report.shuns.items()]
     trials = [
-        (tag, _whole(share * PER_MILLE), _whole(strikes)) for tag, (share, strikes) in word.trials.items()
+        (tag, _clamp(share * PER_MILLE), _clamp(strikes))
+        for tag, (share, strikes) in trial_report.trials.items()
     ]
     flows = [
-        (*(_whole(value * TENTHS) for value in flow[:6]), _whole(flow.took / 1000)) for flow in row.flows
+        (*(_clamp(value * TENTHS_PER_UNIT) for value in flow[:6]), _clamp(flow.took / 1000))
+        for flow in report.flows
     ]
     return ENCODER.encode(
         Digest(
-            STATES.index(row.state),
-            _whole(row.share * PER_MILLE),
-            _whole(row.pressure * PER_MILLE),
-            _whole(row.ops * TENTHS),
+            STATES.index(report.state),
+            _clamp(report.share * PER_MILLE),
+            _clamp(report.pressure * PER_MILLE),
+            _clamp(report.ops * TENTHS_PER_UNIT),
             flows,  # type: ignore[arg-type]
-            _whole(word.proxies),
+            _clamp(trial_report.proxies),
             shuns,
             trials,
         )
     )
 
 
-def unpacked(payload: bytes, start: int, seq: int, at: int) -> Optional[tuple[LoadReport, TrialReport]]:
-    """None for bytes that are no row; what it says is judged by who counts it."""
+def unpack_report(payload: bytes, start: int, seq: int, at: int) -> Optional[tuple[LoadReport, TrialReport]]:
+    """Decodes a rider; None if it is malformed. The caller checks that its figures are plausible."""
     try:
-        found = DECODER.decode(payload)
+        digest = DECODER.decode(payload)
     except (msgspec.DecodeError, RecursionError):
         return None
-    if not 0 <= found.state < len(STATES):
+    if not 0 <= digest.state < len(STATES):
         return None
     flows = tuple(
-        Flow._make([*(value / TENTHS for value in flow[:6]), flow[6] * 1000.0]) for flow in found.flows
+        Flow._make([*(value / TENTHS_PER_UNIT for value in flow[:6]), flow[6] * 1000.0])
+        for flow in digest.flows
     )
-    row = LoadReport(
+    report = LoadReport(
         start,
         seq,
         at,
         flows,
-        found.pressure / PER_MILLE,
-        found.ops / TENTHS,
-        found.share / PER_MILLE,
-        STATES[found.state],
+        digest.pressure / PER_MILLE,
+        digest.ops / TENTHS_PER_UNIT,
+        digest.share / PER_MILLE,
+        STATES[digest.state],
     )
-    return row, TrialReport(
-        max(0, found.proxies),
-        {tag: count for tag, count in found.shuns if count > 0},
+    return report, TrialReport(
+        max(0, digest.proxies),
+        {tag: count for tag, count in digest.shuns if count > 0},
         {
             tag: (min(1.0, max(0.0, share / PER_MILLE)), max(0, strikes))
-            for tag, share, strikes in found.trials
+            for tag, share, strikes in digest.trials
         },
     )
--- a/cedarshift/overload/start.py
+++ b/cedarshift/overload/start.py
@@ -1,4 +1,4 @@
-"""Opens the answer to overload at a pilot, as its deployment has it."""
+"""Creates the overload control of a pilot from its deployment."""
 
 from __future__ import annotations
 
@@ -8,19 +8,19 @@
 from cedarshift.deployment import Deployment
 from cedarshift.judge.overload import OpValue
 from cedarshift.loop import Loop
-from cedarshift.overload.pilot import OverloadTerms, PilotOverload
+from cedarshift.overload.pilot import OverloadConfig, PilotOverload
 
 if TYPE_CHECKING:
     from cedarshift.pilot import PilotService
 
 
-def terms_of(deployment: Deployment) -> OverloadTerms:
+def overload_config(deployment: Deployment) -> OverloadConfig:
     assert deployment.overload is not None
-    worths = tuple(
+    op_values = tuple(
         OpValue(op.name, op.earnings, deployment.overload.costs[op.name]) for op in deployment.op_types
     )
-    return OverloadTerms(
-        worths,
+    return OverloadConfig(
+        op_values,
         min(op.target_latency for op in deployment.op_types),
         deployment.proxy.report_every,
         deployment.proxy.lease // HEARTBEATS_PER_LEASE,
@@ -30,12 +30,12 @@
 def open_overload(
     loop: Loop, deployment: Deployment, service: PilotService, start: int, report: Callable[..., None]
 ) -> Optional[PilotOverload]:
-    """None where the deployment has no block overload. `start` is new for each life of the pilot."""
+    """Returns None if the deployment has no overload block. `start` differs at each start of the pilot."""
     if deployment.overload is None:
         return None
     return PilotOverload(
         loop,
-        terms_of(deployment),
+        overload_config(deployment),
         service.name,
         start,
         service.membership,
--- a/cedarshift/pilot/service.py
+++ b/cedarshift/pilot/service.py
@@ -497,16 +497,16 @@
                 answer.ask = message.ask
                 answer.era, answer.shares = self.budgets.on_heartbeat(session.name, message)
             if self.overload is not None:
-                policy, answer.fair = self.overload.for_beat(session.name)
+                policy, answer.fair = self.overload.policy_for_heartbeat(session.name)
                 answer.told = policy  # type: ignore[assignment]
-                answer.trials, answer.probe = self.overload.trials_for_beat(session.name)
+                answer.trials, answer.probe = self.overload.trials_for_heartbeat(session.name)
             session.link.send(answer)
         elif isinstance(message, m.Ack):
             self._handle_ack(session, message)
         elif isinstance(message, m.ProxyReport):
             now = self.loop.now()
             if self.overload is not None:
-                self.overload.on_sums(session.name, message)
+                self.overload.on_proxy_report(session.name, message)
             for endpoint_stats in message.met:
                 self.intake.add_endpoint_stats(now, session.zone, endpoint_stats)
                 self.observed_endpoints.add(endpoint_stats.endpoint)
--- a/tests/test_overload.py
+++ b/tests/test_overload.py
@@ -17,8 +17,8 @@
 from cedarshift.judge import overload as o
 from cedarshift.judge.admission import MAX_DELAY_US, JoinLimiter
 from cedarshift.judge.trials import TrialReport, Trials
-from cedarshift.overload.digest import KINDS_MOST, packed, unpacked
-from cedarshift.overload.pilot import OverloadTerms, PilotOverload
+from cedarshift.overload.digest import MAX_OP_TYPES, pack_report, unpack_report
+from cedarshift.overload.pilot import OverloadConfig, PilotOverload
 from cedarshift.rehearsal.surge import FETCH, KINDS, ORDER, Surge, even
 
 SECOND = 1_000_000
@@ -31,7 +31,7 @@
     return o.LoadReport(1, seq, at, (flow, flow._replace(fresh=fresh / 2)), pressure, fresh, share, state)
 
 
-def picture(*rows):
+def fleet_load(*rows):
     made = o.FleetLoad("p0", WORTHS)
     for number, one in enumerate(rows):
         assert made.add_report(f"p{number}", one)
@@ -62,14 +62,17 @@
 
 @pytest.mark.parametrize("age, least, most", [(0, 180, 180), (5 * SECOND, 180, 180), (9 * SECOND, 180, 180)])
 def test_a_pilot_that_is_missing_stands_for_the_middle_and_not_for_nought(age, least, most):
-    held = picture(row(at=age), row(at=age), row(fresh=60.0, at=0))
+    held = fleet_load(row(at=age), row(at=age), row(fresh=60.0, at=0))
     work = held.totals(age).offered / 1.5
     assert least <= work <= most + 1
 
 
 def test_a_row_that_fades_loses_weight_to_the_middle_of_the_others():
-    held = picture(row(at=5 * SECOND), row(at=5 * SECOND), row(fresh=200.0, at=0))
-    fresh, faded = picture(row(), row(), row(fresh=200.0)).totals(0).offered, held.totals(5 * SECOND).offered
+    held = fleet_load(row(at=5 * SECOND), row(at=5 * SECOND), row(fresh=200.0, at=0))
+    fresh, faded = (
+        fleet_load(row(), row(), row(fresh=200.0)).totals(0).offered,
+        held.totals(5 * SECOND).offered,
+    )
     assert faded < fresh and held.totals(5 * SECOND, gone=["p2"]).offered < faded
 
 
@@ -87,25 +90,25 @@
     ],
 )
 def test_a_row_that_cannot_be_is_refused(wrong):
-    held = picture(row())
+    held = fleet_load(row())
     assert not held.add_report("p1", wrong) and "p1" not in held.rows
 
 
 @pytest.mark.parametrize("times", [0.0, 10.0, 1e4])
 def test_one_pilot_that_reports_nonsense_moves_the_totals_by_a_bounded_part(times):
-    good = picture(row(), row(), row(), row()).totals(0)
-    lied = picture(row(), row(), row(), row(fresh=60.0 * times, pressure=min(9.0, times))).totals(0)
+    good = fleet_load(row(), row(), row(), row()).totals(0)
+    lied = fleet_load(row(), row(), row(), row(fresh=60.0 * times, pressure=min(9.0, times))).totals(0)
     assert lied.pressure == good.pressure
     assert lied.offered <= good.offered * (3 + o.OUTLIER_FACTOR) / 4 + 1
 
 
 def test_an_older_word_changes_nothing():
-    held = picture(row(seq=5, fresh=60.0))
+    held = fleet_load(row(seq=5, fresh=60.0))
     assert not held.add_report("p0", row(seq=4, fresh=1.0)) and held.rows["p0"].flows[0].fresh == 60.0
 
 
 def test_the_share_that_others_answer_is_the_middle_of_theirs():
-    held = picture(row(), row(share=0.4), row(share=0.5), row(share=0.0))
+    held = fleet_load(row(), row(share=0.4), row(share=0.5), row(share=0.0))
     assert held.others_share(0) == 0.4 and held.others_share(0, gone=["p1", "p2", "p3"]) is None
 
 
@@ -134,7 +137,7 @@
 def test_what_can_be_carried_is_never_shed(times):
     surge = goodput(times, 3)
     assert surge.between(6, 30, "shed") < 1e-6 and all(
-        governor.state == "calm" for governor in surge.governors
+        controller.state == "calm" for controller in surge.governors
     )
 
 
@@ -192,7 +195,9 @@
 def test_pilots_with_other_facts_carry_all_the_same(how):
     surge = goodput(2.0, 4, until=40, **how)
     assert surge.between(25, 40, "in_time") >= 0.95 * CAN
-    honest = [governor.share for n, governor in enumerate(surge.governors) if n not in how.get("lying", {})]
+    honest = [
+        controller.share for n, controller in enumerate(surge.governors) if n not in how.get("lying", {})
+    ]
     assert (
         max(honest) - min(honest) < 0.25 or len(how.get("lying", {})) > 1
     )  # two of five can move the rest, not what is carried
@@ -202,27 +207,27 @@
     totals = o.Totals(300.0, 200.0, 0.8, (0.7, 0.3), 0.0, 3)
     governors = [o.OverloadController(WORTHS, 0) for _ in range(2)]
     for at in range(1, 20):
-        answers = {governor.step(at * SECOND // 2, totals) for governor in governors}
+        answers = {controller.step(at * SECOND // 2, totals) for controller in governors}
         assert len(answers) == 1
 
 
 def test_a_pilot_that_wakes_takes_the_others_answer_until_it_has_its_own():
-    governor = o.OverloadController(WORTHS, 0)
+    controller = o.OverloadController(WORTHS, 0)
     busy = o.Totals(480.0, 240.0, 0.3, (0.7, 0.3), 0.0, 3)
-    governor.step(SECOND // 2, busy._replace(pressure=0.0, offered=100.0))
-    answer = governor.step(20 * SECOND, busy, others=0.5)
+    controller.step(SECOND // 2, busy._replace(pressure=0.0, offered=100.0))
+    answer = controller.step(20 * SECOND, busy, others=0.5)
     assert answer.state == "limited" and answer.share == pytest.approx(0.5)
 
 
 def test_an_outage_is_no_jam_and_a_jam_is_ended_once():
-    governor, calm = o.OverloadController(WORTHS, 0), o.Totals(200.0, 200.0, 0.2, (0.7, 0.3), 0.0, 3)
+    controller, calm = o.OverloadController(WORTHS, 0), o.Totals(200.0, 200.0, 0.2, (0.7, 0.3), 0.0, 3)
     for at in range(1, 10):
-        governor.step(at * SECOND // 2, calm._replace(acked=240.0))
-    out = dataclasses.replace(governor)
+        controller.step(at * SECOND // 2, calm._replace(acked=240.0))
+    out = dataclasses.replace(controller)
     for at in range(10, 30):
         assert out.step(at * SECOND // 2, calm._replace(acked=0.0, pressure=4.0)).state != "jam"
     states = [
-        governor.step(at * SECOND // 2, calm._replace(acked=150.0, pressure=0.9)).state
+        controller.step(at * SECOND // 2, calm._replace(acked=150.0, pressure=0.9)).state
         for at in range(10, 60)
     ]
     assert states.count("jam") * SECOND // 2 <= o.MAX_JAM_US + SECOND and "jam" in states
@@ -230,8 +235,8 @@
 
 
 def test_while_a_jam_is_ended_no_repeat_is_let_in():
-    governor = o.OverloadController(WORTHS, 0, state="jam", known=240.0, limit=120.0, jam_until=9 * SECOND)
-    answer = governor.step(SECOND // 2, o.Totals(200.0, 150.0, 0.9, (0.7, 0.3), 0.0, 3))
+    controller = o.OverloadController(WORTHS, 0, state="jam", known=240.0, limit=120.0, jam_until=9 * SECOND)
+    answer = controller.step(SECOND // 2, o.Totals(200.0, 150.0, 0.9, (0.7, 0.3), 0.0, 3))
     assert answer.state == "jam" and answer.again == 0.0 and answer.share < 1.0
 
 
@@ -396,15 +401,15 @@
 
 
 @given(
-    st.lists(st.tuples(*[st.floats(0.0, 1e7)] * 6, st.floats(0.0, 1e9)), min_size=1, max_size=KINDS_MOST),
+    st.lists(st.tuples(*[st.floats(0.0, 1e7)] * 6, st.floats(0.0, 1e9)), min_size=1, max_size=MAX_OP_TYPES),
     st.floats(0, 4),
     st.floats(0, 1),
 )
 def test_a_row_survives_the_way_and_fits_a_rider(flows, pressure, share):
     one = o.LoadReport(3, 4, 5, tuple(o.Flow(*flow) for flow in flows), pressure, 12.0, share, "limited")
-    raw = packed(one)
+    raw = pack_report(one)
     assert len(raw) <= MAX_RIDER_BYTES
-    back, _ = unpacked(raw, 3, 4, 5)
+    back, _ = unpack_report(raw, 3, 4, 5)
     assert back.pressure == pytest.approx(pressure, abs=1e-3) and back.share == pytest.approx(share, abs=1e-3)
     for flow, other in zip(one.flows, back.flows):
         assert other[:6] == pytest.approx(flow[:6], abs=0.06)
@@ -412,7 +417,7 @@
 
 @given(st.binary(max_size=MAX_RIDER_BYTES))
 def test_bytes_that_are_no_row_are_refused_or_judged(raw):
-    found = unpacked(raw, 1, 1, 0)
+    found = unpack_report(raw, 1, 1, 0)
     assert found is None or o.is_plausible(found[0], 2) in (True, False)
 
 
@@ -574,13 +579,13 @@
 
 def test_a_word_that_leaves_no_room_for_trials_goes_without_them():
     huge = o.LoadReport(
-        1, 1, 0, tuple(o.Flow(*[1e7] * 6, 1e9) for _ in range(KINDS_MOST)), 4.0, 1e7, 0.5, "limited"
+        1, 1, 0, tuple(o.Flow(*[1e7] * 6, 1e9) for _ in range(MAX_OP_TYPES)), 4.0, 1e7, 0.5, "limited"
     )
     word = TrialReport(900, {n << 20: 500 for n in range(8)}, {n << 21: (0.5, 3) for n in range(8)})
-    raw = packed(huge, word)
-    assert len(raw) <= MAX_RIDER_BYTES and unpacked(raw, 1, 1, 0)[1] == TrialReport(900, {}, {})
-    small = packed(huge._replace(flows=huge.flows[:2]), word)
-    assert unpacked(small, 1, 1, 0)[1] == word
+    raw = pack_report(huge, word)
+    assert len(raw) <= MAX_RIDER_BYTES and unpack_report(raw, 1, 1, 0)[1] == TrialReport(900, {}, {})
+    small = pack_report(huge._replace(flows=huge.flows[:2]), word)
+    assert unpack_report(small, 1, 1, 0)[1] == word
 
 
 @pytest.mark.parametrize("work", [0.1, 0.5, 0.7])
@@ -589,14 +594,14 @@
     surge.run(45)
     assert surge.between(10, 20, "shed") > 0.3 * CAN
     assert surge.between(30, 45, "shed") <= 0.005 * CAN
-    assert all(governor.state == "calm" for governor in surge.governors) and not any(surge.own)
+    assert all(controller.state == "calm" for controller in surge.governors) and not any(surge.own)
 
 
 def test_what_takes_long_without_waiting_is_let_in_whole_once_it_fits():
-    governor = o.OverloadController(WORTHS, 0, state="limited", known=240.0, limit=100.0, carried=100.0)
+    controller = o.OverloadController(WORTHS, 0, state="limited", known=240.0, limit=100.0, carried=100.0)
     late = o.Totals(150.0, 100.0, 0.4, (0.7, 0.3), 0.0, 3)  # over the aim, under what counts as behind
     for look in range(1, 20):
-        answer = governor.step(look * SECOND // 2, late._replace(acked=150.0 * governor.share))
+        answer = controller.step(look * SECOND // 2, late._replace(acked=150.0 * controller.share))
     assert answer.state == "calm" and answer.share == 1.0
 
 
@@ -617,7 +622,7 @@
 
 def test_a_pilot_tells_its_proxies_once_and_shows_people_what_it_does():
     loop, heard = virtual_loop(), []
-    terms = OverloadTerms((FETCH, ORDER), 2 * SECOND, SECOND // 2, SECOND // 5)
+    terms = OverloadConfig((FETCH, ORDER), 2 * SECOND, SECOND // 2, SECOND // 5)
     pilot = PilotOverload(
         loop, terms, "p0", 1, None, lambda n: "e", lambda event, **fields: heard.append(fields), lambda: 0.0
     )
@@ -643,25 +648,28 @@
             (200, 200),
             (120, 200),
         ):
-            pilot.on_sums("big", sums(fresh, 40, under_way))
-            pilot.on_sums("small", sums(4, 4, 0))
+            pilot.on_proxy_report("big", sums(fresh, 40, under_way))
+            pilot.on_proxy_report("small", sums(4, 4, 0))
             yield from loop.sleep(SECOND // 2)
-            assert under_way > 4 or pilot.for_beat("big") == (None, [])  # a calm pilot says nothing
+            assert under_way > 4 or pilot.policy_for_heartbeat("big") == (
+                None,
+                [],
+            )  # a calm pilot says nothing
 
     loop.run(loop.spawn(day(), "day"))
     assert [one["state"] for one in heard][:1] == ["limited"] and heard[0]["let_in"]["order"] < heard[0][
         "let_in"
     ]["fetch"]
-    raw, fair = pilot.for_beat("big")
+    raw, fair = pilot.policy_for_heartbeat("big")
     told = msgspec.msgpack.decode(raw, type=m.AdmissionPolicy)
     assert told.state == "limited" and told.share < 0.5 and told.order == [0, 1] and fair[0] <= 1.0
-    assert pilot.for_beat("big") == (None, [])  # told, until there is news
-    small = pilot.fair.get("small", [1.0, 1.0])
+    assert pilot.policy_for_heartbeat("big") == (None, [])  # told, until there is news
+    small = pilot.fair_factors.get("small", [1.0, 1.0])
     assert small[0] >= fair[0]
     text = shown_overload(msgspec.json.encode(pilot.shown()))
     assert "p0: limited (ops take" in text and "fetch" in text and "the fleet, a second" in text
     pilot.on_left("big")
-    assert "big" not in pilot.proxies and pilot.lanes.lanes["e"].in_flight == 0.0
+    assert "big" not in pilot.proxies and pilot.endpoint_loads.lanes["e"].in_flight == 0.0
 
 
 @pytest.mark.parametrize(
@@ -677,7 +685,7 @@
     loop = virtual_loop()
     pilot = PilotOverload(
         loop,
-        OverloadTerms((FETCH, ORDER), 2 * SECOND, SECOND // 2, SECOND // 5),
+        OverloadConfig((FETCH, ORDER), 2 * SECOND, SECOND // 2, SECOND // 5),
         "p0",
         1,
         None,
@@ -687,7 +695,7 @@
         lambda: ["e"],
         lambda endpoint: endpoint == "e",
     )
-    pilot.on_sums(
+    pilot.on_proxy_report(
         "bad",
         m.ProxyReport(
             [m.EndpointStats(f"x{n}", 1, 0, 0, 1, 0, 9) for n in range(500)],
@@ -696,7 +704,7 @@
             [f"x{n}" for n in range(500)],
         ),
     )
-    pilot.on_sums(
+    pilot.on_proxy_report(
         "good",
         m.ProxyReport(
             [m.EndpointStats("e", 5, 0, 300_000, SECOND // 2)],
@@ -706,8 +714,8 @@
     )
     loop.run(loop.spawn(loop.sleep(SECOND), "wait"))
     assert (
-        set(pilot.lanes.lanes) == {"e"}
-        and pilot.picture.rows["p0"].flows[0].fresh <= 1e5 + 60
+        set(pilot.endpoint_loads.lanes) == {"e"}
+        and pilot.fleet_load.rows["p0"].flows[0].fresh <= 1e5 + 60
         and not pilot.trials.shuns["bad"]
     )
 
