--- a/cedarshift/cli/main.py
+++ b/cedarshift/cli/main.py
@@ -437,11 +437,11 @@
 def load(file: str, out: str, quiet: bool) -> None:
     """Send the load of FILE to its targets, on time whatever is answered; 1 if the generator itself was the bottleneck."""
     from cedarshift.load.run import as_text, play
-    from cedarshift.load.trace import TraceRefused
+    from cedarshift.load.trace import InvalidTrace
 
     try:
         found = play(file, lambda text: None if quiet else click.echo(text, err=True))
-    except (OSError, FileRefused, TraceRefused) as error:
+    except (OSError, FileRefused, InvalidTrace) as error:
         raise click.ClickException(str(error)) from None
     if out:
         with open(out, "w", encoding="utf-8") as report:
--- a/cedarshift/load/__init__.py
+++ b/cedarshift/load/__init__.py
@@ -1,1 +1,1 @@
-"""Load as it comes: arrivals that wait for nobody, traces, latencies counted from when an op was meant to start."""
+"""Open-loop load generator: generated or recorded arrivals, latencies measured from the intended start."""
--- a/cedarshift/load/arrivals.py
+++ b/cedarshift/load/arrivals.py
@@ -1,7 +1,7 @@
-"""When ops arrive and what they are, from one seed: an intensity over time, and what is drawn for each op. No I/O.
+"""Generation of arrivals from a seed: arrival times from an intensity, and the attributes of each op. No I/O.
 
-The times come from one stream whatever the number of workers: each worker draws all of them and keeps its own, so a run
-on two processes has the same arrivals as one on eight. What an op is comes from its number, so a change of mix moves no time.
+Each worker generates all arrival times and keeps its own, so the arrivals do not depend on the number of
+workers. The attributes of an op derive from its number, so a change of the mix does not change the times.
 """
 
 from __future__ import annotations
@@ -12,12 +12,12 @@
 from itertools import accumulate
 from typing import Iterator, NamedTuple
 
-STEP = 5_000  # us over which the intensity is taken as constant: small beside any shape that is asked for
-KEYS_MOST = 10_000_000
+INTENSITY_STEP_US = 5_000  # the intensity is constant within a step
+MAX_KEYS = 10_000_000
 
 
 class OpMix(NamedTuple):
-    """An op type of the load. `work`: us that it asks of an endpoint, its mean."""
+    """An op type of the load. `work` is its mean service time and `op_timeout` its timeout, both in us."""
 
     name: str
     share: float
@@ -27,11 +27,13 @@
 
 
 class Shape(NamedTuple):
-    """What happens to the load from `at` on for `span` us.
+    """A change of the load from `at` on for `span`, both in us.
 
-    "ramp": the rate goes from `start` to `end` times, and stays there; "wave": it swings by `depth` with `period`; "burst": `end`
-    times; "hot_key": `share` of all ops ask for one key; "shift": `share` of all ops turn to the target number `target`;
-    "mix": the op types' shares are those of `shares`."""
+    "ramp": the rate factor goes from `start` to `end` and stays there; "wave": the rate varies as a sine of
+    amplitude `depth` and `period` (us); "burst": the rate factor is `end`; "hot_key": `share` of the ops
+    use one key; "shift": `share` of the ops go to target number `target`; "mix": the op types have the
+    given `shares`.
+    """
 
     kind: str
     at: int
@@ -46,8 +48,13 @@
 
 
 class LoadPlan(NamedTuple):
-    """`rate` in ops a second; `arrivals`: "poisson", "bursty" (two states, `burst_times` the mean rate in one, `burst_span` us there
-    and `calm_span` in the other), "heavy" (gaps of a Pareto kind with `tail` above 1: the smaller, the heavier), "even"."""
+    """A load to generate, `rate` in ops per second and times in us.
+
+    `arrivals` is one of "poisson", "even", "bursty" (two states of mean length `burst_span` and
+    `calm_span`, the first with `burst_times` the mean rate) and "heavy" (Lomax gaps with shape `tail` above
+    1). `zipf` is the exponent of the key distribution; `sizes_cv` and `work_cv` are coefficients of
+    variation of client sizes and op work.
+    """
 
     rate: float
     length: int
@@ -68,7 +75,7 @@
 
 
 class Arrival(NamedTuple):
-    """`at` in us from the load's begin."""
+    """An op to send `at` us after the start of the load."""
 
     number: int
     at: int
@@ -80,17 +87,17 @@
 
 
 class Intensity:
-    """Ops a microsecond at each time: the rate, its shapes, and for bursty arrivals the state that is drawn."""
+    """The arrival rate over time, in ops per us, from the plan's rate, shapes and burst states."""
 
     def __init__(self, plan: LoadPlan) -> None:
         self.plan = plan
         self.shapes = [shape for shape in plan.shapes if shape.kind in ("ramp", "wave", "burst")]
-        self.chance = random.Random(f"{plan.seed} states")
+        self.rng = random.Random(f"{plan.seed} states")
         self.burst = False
-        self.until = 0  # when the state changes
+        self.until = 0  # end of the current state
         calm, burst = plan.calm_span, plan.burst_span
-        # The calm state's factor, so that the mean over both is one.
-        self.calm_times = max(0.0, (calm + burst - plan.burst_times * burst) / calm)
+        # Chosen so that the mean factor over both states is one.
+        self.calm_factor = max(0.0, (calm + burst - plan.burst_times * burst) / calm)
 
     def at(self, now: int) -> float:
         factor = 1.0
@@ -101,12 +108,12 @@
         return self.plan.rate * factor / 1e6
 
     def _state(self, now: int) -> float:
-        """Called with times that never go back."""
+        """Returns the factor of the burst state. Times must not decrease between calls."""
         while now >= self.until:
             self.burst = not self.burst
             span = self.plan.burst_span if self.burst else self.plan.calm_span
-            self.until += int(self.chance.expovariate(1 / span)) + 1
-        return self.plan.burst_times if self.burst else self.calm_times
+            self.until += int(self.rng.expovariate(1 / span)) + 1
+        return self.plan.burst_times if self.burst else self.calm_factor
 
 
 def _factor(shape: Shape, now: int) -> float:
@@ -124,19 +131,19 @@
 
 
 def gaps(plan: LoadPlan) -> Iterator[float]:
-    """Gaps of mean one, in ops: the intensity says how long that is."""
-    chance = random.Random(f"{plan.seed} gaps")
+    """Yields gaps of mean one, in ops; the intensity converts them to time."""
+    rng = random.Random(f"{plan.seed} gaps")
     while True:
-        if plan.arrivals == "heavy":  # Lomax, scaled to mean one
-            yield (plan.tail - 1) * ((1 - chance.random()) ** (-1 / plan.tail) - 1)
+        if plan.arrivals == "heavy":  # Lomax distribution, scaled to mean one
+            yield (plan.tail - 1) * ((1 - rng.random()) ** (-1 / plan.tail) - 1)
         elif plan.arrivals == "even":
             yield 1.0
         else:
-            yield chance.expovariate(1.0)
+            yield rng.expovariate(1.0)
 
 
-def times(plan: LoadPlan) -> Iterator[int]:
-    """When ops arrive, us from the begin, in order: unit gaps, carried over the intensity's integral."""
+def arrival_times(plan: LoadPlan) -> Iterator[int]:
+    """Yields the arrival times in us from the start, in order, by scaling unit gaps with the intensity."""
     intensity, now, left = Intensity(plan), 0, 0.0
     step_end, rate, at = 0, 0.0, 0.0
     for gap in gaps(plan):
@@ -146,13 +153,13 @@
                 now = step_end
                 if now >= plan.length:
                     return
-                rate, step_end = intensity.at(now), now + STEP
+                rate, step_end = intensity.at(now), now + INTENSITY_STEP_US
                 at = float(now)
-            room = (step_end - at) * rate
-            if left < room:
+            ops_in_step = (step_end - at) * rate
+            if left < ops_in_step:
                 at += left / rate
                 break
-            left -= room
+            left -= ops_in_step
             at = float(step_end)
         if at >= plan.length:
             return
@@ -160,48 +167,48 @@
 
 
 class Traffic:
-    """What each op is: type, key, client and target. A client has a size and a home among the targets."""
+    """Draws the attributes of ops. Each client has a relative size and a home target."""
 
     def __init__(self, plan: LoadPlan) -> None:
         self.plan = plan
-        chance = random.Random(f"{plan.seed} clients")
+        rng = random.Random(f"{plan.seed} clients")
         sigma = math.sqrt(math.log(1 + plan.sizes_cv**2))
-        self.clients = list(accumulate(math.exp(chance.gauss(0, sigma)) for _ in range(plan.clients)))
-        self.homes = [chance.randrange(plan.targets) for _ in range(plan.clients)]
+        self.clients = list(accumulate(math.exp(rng.gauss(0, sigma)) for _ in range(plan.clients)))
+        self.home_targets = [rng.randrange(plan.targets) for _ in range(plan.clients)]
         self.keys = list(accumulate((n + 1) ** -plan.zipf for n in range(plan.keys)))
         self.mix = list(accumulate(op.share for op in plan.ops))
-        self.turns = [shape for shape in plan.shapes if shape.kind in ("hot_key", "shift", "mix")]
+        self.traffic_shapes = [shape for shape in plan.shapes if shape.kind in ("hot_key", "shift", "mix")]
         self.sigma = math.sqrt(math.log(1 + plan.work_cv**2))
 
     def draw(self, number: int, at: int) -> Arrival:
-        chance = random.Random(self.plan.seed << 32 ^ number)
-        op = self.plan.ops[_drawn(self.mix, chance)]
-        key, client = f"k{_drawn(self.keys, chance)}", _drawn(self.clients, chance)
-        target = self.homes[client]
-        work = int(op.work * math.exp(chance.gauss(-(self.sigma**2) / 2, self.sigma)))
-        for shape in self.turns:
+        rng = random.Random(self.plan.seed << 32 ^ number)
+        op = self.plan.ops[_weighted_index(self.mix, rng)]
+        key, client = f"k{_weighted_index(self.keys, rng)}", _weighted_index(self.clients, rng)
+        target = self.home_targets[client]
+        work = int(op.work * math.exp(rng.gauss(-(self.sigma**2) / 2, self.sigma)))
+        for shape in self.traffic_shapes:
             if shape.at <= at < shape.at + shape.span:
-                luck = chance.random()
+                draw_value = rng.random()
                 if shape.kind == "mix":
                     shares = dict(shape.shares)
                     steps = list(accumulate(shares.get(one.name, 0.0) for one in self.plan.ops))
-                    op = self.plan.ops[min(len(steps) - 1, bisect(steps, luck * steps[-1]))]
-                elif luck < shape.share:
+                    op = self.plan.ops[min(len(steps) - 1, bisect(steps, draw_value * steps[-1]))]
+                elif draw_value < shape.share:
                     key = f"hot{shape.at}" if shape.kind == "hot_key" else key
                     target = shape.target % self.plan.targets if shape.kind == "shift" else target
         return Arrival(number, at, op, key, client, target, work)
 
 
-def _drawn(steps: list[float], chance: random.Random) -> int:
-    return min(len(steps) - 1, bisect(steps, chance.random() * steps[-1]))
+def _weighted_index(steps: list[float], rng: random.Random) -> int:
+    return min(len(steps) - 1, bisect(steps, rng.random() * steps[-1]))
 
 
 def arrivals(plan: LoadPlan, worker: int = 0, workers: int = 1) -> Iterator[Arrival]:
-    """This worker's part: each op whose number leaves `worker` over."""
+    """Yields the arrivals of one worker: those whose number modulo `workers` is `worker`."""
     traffic = Traffic(plan)
-    for number, at in enumerate(times(plan)):
+    for number, at in enumerate(arrival_times(plan)):
         if number % workers == worker:
             yield traffic.draw(number, at)
 
 
-__all__ = ["Arrival", "LoadPlan", "OpMix", "Shape", "arrivals", "gaps", "times"]
+__all__ = ["Arrival", "LoadPlan", "OpMix", "Shape", "arrival_times", "arrivals", "gaps"]
--- a/cedarshift/load/certify.py
+++ b/cedarshift/load/certify.py
@@ -1,20 +1,20 @@
-"""Whether a run may be believed: a generator that was itself the bottleneck measures itself. No I/O."""
+"""Certification of a run: checks that the generator was not the bottleneck. No I/O."""
 
 from __future__ import annotations
 
 from typing import NamedTuple
 
-# Constants: unit, then the reason for the size.
-LATE_P99 = 5_000  # us; ops sent later than this are not the arrivals that were asked for
-LATE_MOST = (
-    100_000  # us; one pause of the generator's in a run is one that a user of the service would not have had
-)
-BUSY_MOST = 0.85  # share of a core; above it a worker queues by itself, whatever its lateness shows
-SENT_LEAST = 0.999  # share of the arrivals that must have been sent
+MAX_LATENESS_P99_US = 5_000
+MAX_LATENESS_US = 100_000
+MAX_CPU_SHARE = 0.85  # of one core; ops queue within the worker above it
+MIN_SENT_SHARE = 0.999  # of the planned arrivals
 
 
-class WorkerFigures(NamedTuple):
-    """What one worker says of itself. Lateness in us; `busy`: CPU by wall time; `left_out`: arrivals it did not send."""
+class WorkerMetrics(NamedTuple):
+    """Metrics of one worker.
+
+    Lateness is in us; `busy` is CPU time by wall time; `left_out` counts arrivals that were not sent.
+    """
 
     worker: int
     planned: int
@@ -25,26 +25,35 @@
     busy: float
 
 
-def faults(figures: list[WorkerFigures], wanted: int) -> list[str]:
-    """Why the run can't be certified; empty where it can. `wanted`: workers that were started."""
+def faults(figures: list[WorkerMetrics], wanted: int) -> list[str]:
+    """Returns the reasons against certifying a run, empty if there are none.
+
+    `wanted` is the number of workers that were started.
+    """
     found = []
     if len(figures) < wanted:
         found.append(f"{wanted - len(figures)} of {wanted} workers died")
-    for one in figures:
-        who = f"worker {one.worker}"
-        if one.late_p99 > LATE_P99:
+    for metrics in figures:
+        worker = f"worker {metrics.worker}"
+        if metrics.late_p99 > MAX_LATENESS_P99_US:
+            found.append(
+                f"{worker} sent its ops {metrics.late_p99 / 1000:.1f} ms late at the 99th percentile, "
+                f"{MAX_LATENESS_P99_US / 1000:g} ms at most"
+            )
+        if metrics.late_most > MAX_LATENESS_US:
+            found.append(
+                f"{worker} was {metrics.late_most / 1000:.0f} ms late once, "
+                f"{MAX_LATENESS_US / 1000:g} ms at most"
+            )
+        if metrics.busy > MAX_CPU_SHARE:
             found.append(
-                f"{who} sent its ops {one.late_p99 / 1000:.1f} ms late at the 99th percentile, {LATE_P99 / 1000:g} ms at most"
+                f"{worker} used {metrics.busy:.0%} of a core, {MAX_CPU_SHARE:.0%} at most: start more workers"
             )
-        if one.late_most > LATE_MOST:
+        if metrics.planned and metrics.sent < MIN_SENT_SHARE * metrics.planned:
             found.append(
-                f"{who} was {one.late_most / 1000:.0f} ms late once, {LATE_MOST / 1000:g} ms at most"
+                f"{worker} left out {metrics.left_out} of {metrics.planned} ops: too many were in flight"
             )
-        if one.busy > BUSY_MOST:
-            found.append(f"{who} used {one.busy:.0%} of a core, {BUSY_MOST:.0%} at most: start more workers")
-        if one.planned and one.sent < SENT_LEAST * one.planned:
-            found.append(f"{who} left out {one.left_out} of {one.planned} ops: too many were in flight")
     return found
 
 
-__all__ = ["WorkerFigures", "faults"]
+__all__ = ["WorkerMetrics", "faults"]
--- a/cedarshift/load/latency.py
+++ b/cedarshift/load/latency.py
@@ -1,6 +1,6 @@
-"""Latencies counted from when an op was meant to start, so that a stall shows as late ops and not as fewer ops.
+"""Latency histograms, measured from the intended start of each op to avoid coordinated omission.
 
-Kept in HdrHistogram (1 us to 20 minutes, three digits), which merges without loss and is exported in its own coding.
+HdrHistogram merges without loss; the export uses its compressed encoding.
 """
 
 from __future__ import annotations
@@ -10,35 +10,37 @@
 
 from hdrh.histogram import HdrHistogram
 
-MOST = 1_200_000_000  # us
-DIGITS = 3
-SHOWN = (50.0, 90.0, 99.0, 99.9, 100.0)
+MAX_LATENCY_US = 1_200_000_000
+SIGNIFICANT_DIGITS = 3
+PERCENTILES = (50.0, 90.0, 99.0, 99.9, 100.0)
 
 
-def fresh() -> HdrHistogram:
-    return HdrHistogram(1, MOST, DIGITS)
+def new_histogram() -> HdrHistogram:
+    return HdrHistogram(1, MAX_LATENCY_US, SIGNIFICANT_DIGITS)
 
 
 class Latencies:
-    """By op type: latencies of the ops that were acked, and what became of all. `late`: how late this generator itself sent."""
+    """Latencies of acked ops and outcomes of all ops, by op type; `late` is the generator's own lateness."""
 
     def __init__(self) -> None:
         self.acked: dict[str, HdrHistogram] = {}
         self.outcomes: dict[str, Counter[str]] = {}
-        self.late = fresh()
+        self.late = new_histogram()
 
-    def sent(self, intended: int, at: int) -> None:
-        self.late.record_value(min(MOST, max(1, at - intended)))
+    def record_sent(self, intended: int, at: int) -> None:
+        self.late.record_value(min(MAX_LATENCY_US, max(1, at - intended)))
 
-    def done(self, op_type: str, outcome: str, intended: int, at: int) -> None:
+    def record_outcome(self, op_type: str, outcome: str, intended: int, at: int) -> None:
         self.outcomes.setdefault(op_type, Counter())[outcome] += 1
         if outcome == "acked":
-            self.acked.setdefault(op_type, fresh()).record_value(min(MOST, max(1, at - intended)))
+            self.acked.setdefault(op_type, new_histogram()).record_value(
+                min(MAX_LATENCY_US, max(1, at - intended))
+            )
 
-    def add(self, other: Latencies) -> None:
+    def merge(self, other: Latencies) -> None:
         self.late.add(other.late)
         for name, histogram in other.acked.items():
-            self.acked.setdefault(name, fresh()).add(histogram)
+            self.acked.setdefault(name, new_histogram()).add(histogram)
         for name, counts in other.outcomes.items():
             self.outcomes.setdefault(name, Counter()).update(counts)
 
@@ -46,9 +48,9 @@
         return sum(sum(counts.values()) for counts in self.outcomes.values())
 
     def export(self) -> dict[str, Any]:
-        """Without loss: the histograms in their own compressed coding, as text."""
+        """Returns the histograms in their compressed encoding, as text, and the outcomes."""
         return {
-            "acked": {name: one.encode().decode() for name, one in sorted(self.acked.items())},
+            "acked": {name: histogram.encode().decode() for name, histogram in sorted(self.acked.items())},
             "outcomes": {
                 name: dict(sorted(counts.items())) for name, counts in sorted(self.outcomes.items())
             },
@@ -56,19 +58,19 @@
         }
 
     def percentiles(self) -> dict[str, dict[str, float]]:
-        """In ms, by op type."""
+        """Returns the percentiles by op type, in ms."""
         return {
-            name: {f"p{share:g}": one.get_value_at_percentile(share) / 1000 for share in SHOWN}
-            for name, one in sorted(self.acked.items())
+            name: {f"p{share:g}": histogram.get_value_at_percentile(share) / 1000 for share in PERCENTILES}
+            for name, histogram in sorted(self.acked.items())
         }
 
 
-def read_back(exported: dict[str, Any]) -> Latencies:
-    made = Latencies()
-    made.acked = {name: HdrHistogram.decode(text) for name, text in exported["acked"].items()}
-    made.outcomes = {name: Counter(counts) for name, counts in exported["outcomes"].items()}
-    made.late = HdrHistogram.decode(exported["late"])
-    return made
+def decode_latencies(exported: dict[str, Any]) -> Latencies:
+    latencies = Latencies()
+    latencies.acked = {name: HdrHistogram.decode(text) for name, text in exported["acked"].items()}
+    latencies.outcomes = {name: Counter(counts) for name, counts in exported["outcomes"].items()}
+    latencies.late = HdrHistogram.decode(exported["late"])
+    return latencies
 
 
-__all__ = ["Latencies", "read_back"]
+__all__ = ["Latencies", "decode_latencies"]
--- a/cedarshift/load/plan.py
+++ b/cedarshift/load/plan.py
@@ -1,4 +1,4 @@
-"""Load files: HCL, checked with file, line and reason."""
+"""Load files in HCL: schema, validation and conversion to a load plan."""
 
 from __future__ import annotations
 
@@ -8,28 +8,32 @@
 from cedarshift.deployment import hcl
 from cedarshift.deployment.hcl import MUST, Checked, FileRefused, Problem
 from cedarshift.load import trace as traces
-from cedarshift.load.arrivals import KEYS_MOST, LoadPlan, OpMix, Shape
-
-AT = {"at": (hcl.span(), 0), "for": (hcl.span(1_000), MUST)}
-SHAPES: dict[str, dict[str, Any]] = {
-    "ramp": {**AT, "from": (hcl.number(0, 1000), 1.0), "to": (hcl.number(0, 1000), MUST)},
-    "wave": {**AT, "depth": (hcl.number(0, 1), MUST), "period": (hcl.span(10_000), MUST)},
-    "burst": {**AT, "times": (hcl.number(0, 1000), MUST)},
-    "hot_key": {**AT, "share": (hcl.number(0, 1), MUST)},
-    "shift": {**AT, "share": (hcl.number(0, 1), MUST), "target": (hcl.whole(0, 10_000), MUST)},
-    "mix": {**AT, "op_types": (hcl.texts, MUST), "shares": (lambda raw: _shares(raw), MUST)},
+from cedarshift.load.arrivals import MAX_KEYS, LoadPlan, OpMix, Shape
+
+TIME_ATTRIBUTES = {"at": (hcl.span(), 0), "for": (hcl.span(1_000), MUST)}
+SHAPE_ATTRIBUTES: dict[str, dict[str, Any]] = {
+    "ramp": {**TIME_ATTRIBUTES, "from": (hcl.number(0, 1000), 1.0), "to": (hcl.number(0, 1000), MUST)},
+    "wave": {**TIME_ATTRIBUTES, "depth": (hcl.number(0, 1), MUST), "period": (hcl.span(10_000), MUST)},
+    "burst": {**TIME_ATTRIBUTES, "times": (hcl.number(0, 1000), MUST)},
+    "hot_key": {**TIME_ATTRIBUTES, "share": (hcl.number(0, 1), MUST)},
+    "shift": {**TIME_ATTRIBUTES, "share": (hcl.number(0, 1), MUST), "target": (hcl.whole(0, 10_000), MUST)},
+    "mix": {
+        **TIME_ATTRIBUTES,
+        "op_types": (hcl.texts, MUST),
+        "shares": (lambda raw: _parse_shares(raw), MUST),
+    },
 }
-OP = hcl.Shape(
+OP_TYPE_SCHEMA = hcl.Shape(
     {
         "share": (hcl.number(0, 1000), 1.0),
         "op_timeout": (hcl.span(1_000), 6_000_000),
         "work": (hcl.span(), 100_000),
     }
 )
-TRACE = hcl.Shape(
+TRACE_SCHEMA = hcl.Shape(
     {
         "file": (hcl.text, MUST),
-        "unit": (hcl.choice(*traces.UNITS), "s"),
+        "unit": (hcl.choice(*traces.US_PER_UNIT), "s"),
         "gap_most": (hcl.span(1_000), 60_000_000),
         "gaps": (hcl.choice("keep", "close", "refuse"), "keep"),
         "back": (hcl.choice("sort", "drop", "refuse"), "sort"),
@@ -37,7 +41,7 @@
         "speed": (hcl.number(0.001, 1000), 1.0),
     }
 )
-LOAD = hcl.Shape(
+LOAD_SCHEMA = hcl.Shape(
     {
         "targets": (hcl.addresses, MUST),
         "rate": (hcl.number(0.01, 1_000_000), 100.0),
@@ -49,18 +53,24 @@
         "burst_span": (hcl.span(1_000), 500_000),
         "calm_span": (hcl.span(1_000), 2_000_000),
         "tail": (hcl.number(1.05, 10), 1.6),
-        "keys": (hcl.whole(1, KEYS_MOST), 2_000),
+        "keys": (hcl.whole(1, MAX_KEYS), 2_000),
         "zipf": (hcl.number(0, 5), 0.8),
         "clients": (hcl.whole(1, 100_000), 50),
         "sizes_cv": (hcl.number(0, 10), 0.6),
         "work_cv": (hcl.number(0, 10), 0.5),
     },
-    {"op_type": (OP, 1, 1, 64), "shape": (hcl.Shape({}), 1, 0, 100), "trace": (TRACE, 0, 0, 1)},
+    {
+        "op_type": (OP_TYPE_SCHEMA, 1, 1, 64),
+        "shape": (hcl.Shape({}), 1, 0, 100),
+        "trace": (TRACE_SCHEMA, 0, 0, 1),
+    },
 )
-FILE = hcl.Shape({}, {"load": (LOAD, 1, 1, 1)})
+FILE_SCHEMA = hcl.Shape({}, {"load": (LOAD_SCHEMA, 1, 1, 1)})
 
 
 class LoadFile(NamedTuple):
+    """A load file: its name and path, the target addresses, the load plan and the trace."""
+
     name: str
     file: str
     targets: list[tuple[str, int]]
@@ -69,7 +79,7 @@
     trace: traces.Trace
 
 
-def _shares(raw: Any) -> tuple[Any, str]:
+def _parse_shares(raw: Any) -> tuple[Any, str]:
     fits = (
         isinstance(raw, list)
         and raw
@@ -82,44 +92,48 @@
 
 
 def load_file(path: str) -> LoadFile:
-    """Raises FileRefused with every problem, TraceRefused for a trace that can't be played, OSError."""
+    """Reads a load file. Raises FileRefused with every problem, InvalidTrace for its trace, and OSError."""
     with open(path, encoding="utf-8") as source:
         top = hcl.parse(source.read(), path)
     problems: list[Problem] = []
     shapes = _read_shapes(top, path, problems)
-    found = hcl.check(top, FILE, path, problems)
+    found = hcl.check(top, FILE_SCHEMA, path, problems)
     if problems or not found.blocks["load"]:
         raise FileRefused(problems)
     body = found.blocks["load"][0]
     ops = tuple(
         OpMix(one.labels[0], one["share"], one["op_timeout"], one["work"]) for one in body.blocks["op_type"]
     )
-    _agree(body, ops, shapes, path, problems)
+    _check_consistency(body, ops, shapes, path, problems)
     if problems:
         raise FileRefused(problems)
     plan = LoadPlan(
         ops=ops,
         targets=len(body["targets"]),
         shapes=tuple(shapes),
-        **{name: body[name] for name in LOAD.attributes if name not in ("targets", "workers")},
+        **{name: body[name] for name in LOAD_SCHEMA.attributes if name not in ("targets", "workers")},
     )
-    trace = _trace(body, path)
-    _tell_unplayed(trace, plan)
+    trace = _read_trace(body, path)
+    _note_unused_rows(trace, plan)
     return LoadFile(body.labels[0], path, body["targets"], body["workers"], plan, trace)
 
 
 def _read_shapes(top: hcl.Block, path: str, problems: list[Problem]) -> list[Shape]:
-    """Each shape is checked against its own kind; its body is then emptied for the general check."""
-    made = []
+    """Checks each shape against the schema of its kind and empties its body for the general check."""
+    parsed_shapes = []
     for block in [b for load in top.blocks for b in load.blocks if b.kind == "shape" and len(b.labels) == 1]:
         kind = block.labels[0]
-        if kind not in SHAPES:
+        if kind not in SHAPE_ATTRIBUTES:
             problems.append(
-                Problem(path, block.line, f"shape {kind!r} is unknown; known: {', '.join(sorted(SHAPES))}")
+                Problem(
+                    path,
+                    block.line,
+                    f"shape {kind!r} is unknown; known: {', '.join(sorted(SHAPE_ATTRIBUTES))}",
+                )
             )
         else:
-            got = hcl.check(block, hcl.Shape(SHAPES[kind]), path, problems, f' in shape "{kind}"')
-            made.append((kind, got, block.line))
+            got = hcl.check(block, hcl.Shape(SHAPE_ATTRIBUTES[kind]), path, problems, f' in shape "{kind}"')
+            parsed_shapes.append((kind, got, block.line))
         block.attributes = {}
         block.labels = [f"{kind} {block.line}"]
     if problems:
@@ -137,11 +151,11 @@
             target=got.values.get("target", 0),
             shares=tuple(zip(got.values.get("op_types", []), got.values.get("shares", []))),
         )
-        for kind, got, _ in made
+        for kind, got, _ in parsed_shapes
     ]
 
 
-def _agree(
+def _check_consistency(
     body: Checked, ops: tuple[OpMix, ...], shapes: list[Shape], path: str, problems: list[Problem]
 ) -> None:
     names = {op.name for op in ops}
@@ -175,25 +189,25 @@
             problems.append(Problem(path, body.line, "shape mix: every share is 0"))
 
 
-def _trace(body: Checked, path: str) -> traces.Trace:
+def _read_trace(body: Checked, path: str) -> traces.Trace:
     if not body.blocks["trace"]:
         return traces.Trace()
     values = dict(body.blocks["trace"][0].values)
     file = os.path.join(os.path.dirname(path), values.pop("file"))
-    return traces.read(file, traces.TraceTerms(**values))
+    return traces.read(file, traces.TraceSettings(**values))
 
 
-def _tell_unplayed(trace: traces.Trace, plan: LoadPlan) -> None:
+def _note_unused_rows(trace: traces.Trace, plan: LoadPlan) -> None:
     names = {op.name for op in plan.ops}
     unknown = sorted({row.op_type for row in trace.rows} - names)
     if unknown:
-        trace.told.append(
-            f"op types of the trace without a block op_type, played with the first one's op_timeout and work: "
-            f"{', '.join(unknown[:20])}"
+        trace.notices.append(
+            f"op types of the trace without a block op_type, played with the first one's op_timeout and "
+            f"work: {', '.join(unknown[:20])}"
         )
     beyond = sum(row.at >= plan.length for row in trace.rows)
     if beyond:
-        trace.told.append(
+        trace.notices.append(
             f"{beyond} rows of the trace lie beyond length = {plan.length / 1e6:g} s and are not played"
         )
 
--- a/cedarshift/load/sender.py
+++ b/cedarshift/load/sender.py
@@ -1,4 +1,4 @@
-"""Sends a worker's arrivals at their times, on the loop, whatever becomes of those before: an open loop."""
+"""Open-loop sender: sends each op at its arrival time, whether or not earlier ops have been answered."""
 
 from __future__ import annotations
 
@@ -10,15 +10,13 @@
 from cedarshift.loop.core import Coroutine
 from cedarshift.web import Pool
 
-IN_FLIGHT_MOST = (
-    5_000  # ops of one worker without an answer; an arrival beyond is left out, and the run not certified
-)
-DIAL = 1_000_000  # us
-TOGETHER = 1_000  # us; arrivals so close are sent in one go
+MAX_IN_FLIGHT = 5_000  # unanswered ops of one worker; arrivals beyond are left out
+DIAL_TIMEOUT_US = 1_000_000
+SEND_BATCH_WINDOW_US = 1_000
 
 
 class Sender:
-    """`begin`: us on the loop's clock. `targets`: where the ops go, by the arrivals' target numbers."""
+    """Sends arrivals to `targets`, by target number; `begin` is the start in us on the loop's clock."""
 
     def __init__(
         self, loop: Loop, targets: list[tuple[str, int]], arrivals: Iterable[Arrival], begin: int
@@ -27,47 +25,49 @@
         self.targets = targets
         self.arrivals = arrivals
         self.begin = begin
-        self.pool = Pool(loop, DIAL)
+        self.pool = Pool(loop, DIAL_TIMEOUT_US)
         self.latencies = Latencies()
         self.planned = 0
         self.sent = 0
         self.left_out = 0
-        self.open = 0
+        self.in_flight = 0
 
     def run(self) -> Coroutine:
-        """Until every answer has come, or its op timeout has passed."""
+        """Sends all arrivals and waits until each is answered or has timed out."""
         for arrival in self.arrivals:
             wait = self.begin + arrival.at - self.loop.now()
             if wait > 0:
                 yield from self.loop.sleep(wait)
             elif self.planned % 64 == 0:
-                yield from self.loop.yield_control()  # behind time: answers must be heard all the same
+                yield from self.loop.yield_control()  # lets answers be processed while behind schedule
             self.planned += 1
-            if self.open >= IN_FLIGHT_MOST:
+            if self.in_flight >= MAX_IN_FLIGHT:
                 self.left_out += 1
-                self.latencies.done(arrival.op.name, "left out", 0, 0)
+                self.latencies.record_outcome(arrival.op.name, "left out", 0, 0)
                 continue
-            self.open += 1
+            self.in_flight += 1
             self.sent += 1
             self.loop.spawn(self._op(arrival), "op")
-        while self.open:
+        while self.in_flight:
             yield from self.loop.sleep(5_000)
         self.pool.close_idle()
 
-    def _op(self, a: Arrival) -> Coroutine:
-        intended, outcome = self.begin + a.at, "aborted"
-        self.latencies.sent(intended, self.loop.now())
-        until = intended + a.op.op_timeout
+    def _op(self, arrival: Arrival) -> Coroutine:
+        intended, outcome = self.begin + arrival.at, "aborted"
+        self.latencies.record_sent(intended, self.loop.now())
+        until = intended + arrival.op.op_timeout
         headers = [
-            ("x-op", f"load-{a.number}"),
-            ("x-key", a.key),
-            ("x-type", a.op.name),
+            ("x-op", f"load-{arrival.number}"),
+            ("x-key", arrival.key),
+            ("x-type", arrival.op.name),
             ("x-try", "0"),
-            ("x-work-us", str(a.work)),
+            ("x-work-us", str(arrival.work)),
             ("x-left-us", str(max(1, until - self.loop.now()))),
         ]
         try:
-            reply = yield from self.pool.request(self.targets[a.target], "POST", "/op", headers, b"", until)
+            reply = yield from self.pool.request(
+                self.targets[arrival.target], "POST", "/op", headers, b"", until
+            )
             outcome = (
                 "acked"
                 if reply.status == 200
@@ -80,8 +80,8 @@
         except StreamBroken:
             pass
         finally:
-            self.open -= 1
-            self.latencies.done(a.op.name, outcome, intended, self.loop.now())
+            self.in_flight -= 1
+            self.latencies.record_outcome(arrival.op.name, outcome, intended, self.loop.now())
 
 
 __all__ = ["Sender"]
--- a/cedarshift/overload/pilot.py
+++ b/cedarshift/overload/pilot.py
@@ -65,8 +65,8 @@
 
     `owner_of(slice)` returns the slice's current endpoint, and `random()` a number in [0, 1) that sets the
     phase of the updates. `endpoints()` returns the endpoints that proxies choose from if the fleet has no
-    slices; without it sick endpoints get no trials, as their slices are moved instead. Statistics of endpoints
-    that are not `is_listed` are ignored.
+    slices; without it sick endpoints get no trials, as their slices are moved instead. Statistics of
+    endpoints that are not `is_listed` are ignored.
     """
 
     def __init__(
@@ -315,7 +315,7 @@
         self._update_fair_factors(now)
 
     def _update_fair_factors(self, now: int) -> None:
-        """Sets per-proxy factors for partly admitted op types, so that a busy proxy does not crowd out others."""
+        """Sets factors per proxy for partly admitted op types, so busy proxies cannot crowd out others."""
         self.fair_factors = {}
         if self.answer.state == "calm" or not self.answer.mix:
             return
--- a/tests/test_load.py
+++ b/tests/test_load.py
@@ -17,11 +17,11 @@
 from cedarshift.cli.main import main
 from cedarshift.deployment import FileRefused
 from cedarshift.load import trace as tr
-from cedarshift.load.arrivals import LoadPlan, OpMix, Shape, arrivals, times
-from cedarshift.load.certify import WorkerFigures, faults
-from cedarshift.load.latency import Latencies, read_back
+from cedarshift.load.arrivals import LoadPlan, OpMix, Shape, arrival_times, arrivals
+from cedarshift.load.certify import WorkerMetrics, faults
+from cedarshift.load.latency import Latencies, decode_latencies
 from cedarshift.load.plan import load_file
-from cedarshift.load.run import figures_of
+from cedarshift.load.run import worker_metrics
 from cedarshift.load.sender import Sender
 from cedarshift.loop import listen
 from cedarshift.loop.epoll import real_loop
@@ -51,7 +51,7 @@
 def test_the_mean_is_the_rate_and_the_spread_is_the_kinds(kind, spread):
     """The index of dispersion over 100 ms: 1 for Poisson, more for what comes in bursts."""
     p = plan(arrivals=kind, rate=300.0, length=400 * SECOND)
-    found = list(times(p))
+    found = list(arrival_times(p))
     assert found == sorted(found) and all(0 <= at < p.length for at in found)
     assert len(found) / 400 == pytest.approx(300, rel=0.1)
     counts = in_windows(found, SECOND // 10, p.length)
@@ -59,7 +59,7 @@
 
 
 def test_poisson_gaps_are_exponential():
-    found = list(times(plan(rate=1000.0, length=100 * SECOND)))
+    found = list(arrival_times(plan(rate=1000.0, length=100 * SECOND)))
     gaps = [b - a for a, b in zip(found, found[1:])]
     for share in (0.1, 0.5, 0.9, 0.99):
         wanted = -math.log(1 - share) * 1000
@@ -80,7 +80,7 @@
     ],
 )
 def test_shapes_bend_the_rate(shape, at, factor):
-    counts = in_windows(times(plan(rate=2000.0, shapes=(shape,))), SECOND, 20 * SECOND)
+    counts = in_windows(arrival_times(plan(rate=2000.0, shapes=(shape,))), SECOND, 20 * SECOND)
     assert counts[at] == pytest.approx(2000 * factor, rel=0.12, abs=1)
 
 
@@ -126,11 +126,11 @@
     whole, parts = Latencies(), [Latencies() for _ in range(3)]
     for n in range(3000):
         for one in (whole, parts[n % 3]):
-            one.sent(n * 1000, n * 1000 + n % 7)
-            one.done("get", "acked" if n % 10 else "aborted", n * 1000, n * 1000 + 37 * n)
+            one.record_sent(n * 1000, n * 1000 + n % 7)
+            one.record_outcome("get", "acked" if n % 10 else "aborted", n * 1000, n * 1000 + 37 * n)
     merged = Latencies()
     for part in parts:
-        merged.add(read_back(json.loads(json.dumps(part.export()))))
+        merged.merge(decode_latencies(json.loads(json.dumps(part.export()))))
     assert (
         merged.percentiles() == whole.percentiles()
         and merged.outcomes == whole.outcomes
@@ -175,15 +175,15 @@
     world = World(1, lambda chance: 100)
     served(world, [(5 * SECOND, 7 * SECOND)])
     sender = sent(world, plan(arrivals="even", rate=200.0, length=10 * SECOND, targets=1))
-    times = sender.latencies
-    both = times.acked["get"]
-    both.add(times.acked["put"])
-    assert times.ops() == 1999 and both.get_total_count() == 1999  # the first comes 5 ms after the begin
+    latencies = sender.latencies
+    both = latencies.acked["get"]
+    both.add(latencies.acked["put"])
+    assert latencies.ops() == 1999 and both.get_total_count() == 1999  # the first comes 5 ms after the begin
     assert both.get_value_at_percentile(50) < 3_000
     assert both.get_value_at_percentile(90) == pytest.approx(SECOND, rel=0.03)
     assert both.get_value_at_percentile(99) == pytest.approx(1.9 * SECOND, rel=0.03)
     assert both.get_max_value() == pytest.approx(2 * SECOND, rel=0.02)
-    assert faults([figures_of(sender, 0, 0.2)], 1) == []
+    assert faults([worker_metrics(sender, 0, 0.2)], 1) == []
 
 
 def test_a_generator_that_stalls_is_not_certified_and_its_ops_count_from_when_they_were_meant():
@@ -196,7 +196,7 @@
         other.loop.at(7 * SECOND, host.resume)
 
     sender = sent(world, plan(arrivals="even", rate=200.0, length=10 * SECOND, targets=1), stall)
-    found = faults([figures_of(sender, 0, 0.2)], 1)
+    found = faults([worker_metrics(sender, 0, 0.2)], 1)
     assert len(found) == 2 and "late at the 99th" in found[0] and "late once" in found[1]
     assert sender.sent == 1999 and sender.latencies.acked["get"].get_max_value() > 1.9 * SECOND
 
@@ -211,22 +211,22 @@
 
 
 def test_what_would_be_too_many_in_flight_is_left_out_and_said(monkeypatch):
-    monkeypatch.setattr("cedarshift.load.sender.IN_FLIGHT_MOST", 20)
+    monkeypatch.setattr("cedarshift.load.sender.MAX_IN_FLIGHT", 20)
     world = World(1, lambda chance: 100)
     served(world, [(0, 1 << 60)])
     sender = sent(world, plan(arrivals="even", rate=50.0, length=2 * SECOND, targets=1))
-    assert sender.left_out == 79 and "left out 79 of 99" in faults([figures_of(sender, 0, 0.1)], 1)[0]
+    assert sender.left_out == 79 and "left out 79 of 99" in faults([worker_metrics(sender, 0, 0.1)], 1)[0]
 
 
 @pytest.mark.parametrize(
     "figures, wanted, said",
     [
-        ([WorkerFigures(0, 100, 100, 0, 400, 9_000, 0.3)], 1, []),
+        ([WorkerMetrics(0, 100, 100, 0, 400, 9_000, 0.3)], 1, []),
         ([], 2, ["2 of 2 workers died"]),
-        ([WorkerFigures(0, 100, 100, 0, 6_000, 9_000, 0.3)], 1, ["late at the 99th"]),
-        ([WorkerFigures(0, 100, 100, 0, 400, 200_000, 0.3)], 1, ["late once"]),
-        ([WorkerFigures(0, 100, 100, 0, 400, 9_000, 0.9)], 1, ["start more workers"]),
-        ([WorkerFigures(0, 100, 99, 1, 400, 9_000, 0.3)], 1, ["left out 1 of 100"]),
+        ([WorkerMetrics(0, 100, 100, 0, 6_000, 9_000, 0.3)], 1, ["late at the 99th"]),
+        ([WorkerMetrics(0, 100, 100, 0, 400, 200_000, 0.3)], 1, ["late once"]),
+        ([WorkerMetrics(0, 100, 100, 0, 400, 9_000, 0.9)], 1, ["start more workers"]),
+        ([WorkerMetrics(0, 100, 99, 1, 400, 9_000, 0.3)], 1, ["left out 1 of 100"]),
     ],
 )
 def test_when_a_run_is_not_certified(figures, wanted, said):
@@ -252,13 +252,13 @@
 
 @pytest.mark.parametrize("name", ["t.csv", "t.csv.gz", "t.csv.zst"])
 def test_a_sound_trace(tmp_path, name):
-    got = tr.read(csv(tmp_path, SOUND, name=name), tr.TraceTerms())
+    got = tr.read(csv(tmp_path, SOUND, name=name), tr.TraceSettings())
     assert [(row.at, row.op_type, row.key) for row in got.rows] == [
         (0, "get", "a"),
         (500_000, "put", "b"),
         (2_000_000, "get", "c"),
     ]
-    assert got.told == [] and got.dropped == 0
+    assert got.notices == [] and got.dropped == 0
 
 
 def test_a_parquet_trace_with_clients_and_work_at_twice_the_speed(tmp_path):
@@ -272,7 +272,7 @@
             "work_us": [5, 6],
         }
     ).write_parquet(path)
-    got = tr.read(path, tr.TraceTerms(unit="ms", speed=2.0))
+    got = tr.read(path, tr.TraceSettings(unit="ms", speed=2.0))
     assert got.rows == [tr.Row(0, "get", "a", "x", 5), tr.Row(1_000_000, "put", "b", "y", 6)]
 
 
@@ -308,8 +308,10 @@
     ],
 )
 def test_what_is_odd_is_told_with_its_row_and_handled_as_asked(tmp_path, rows, terms, ats, said):
-    got = tr.read(csv(tmp_path, rows), tr.TraceTerms(**terms))
-    assert [row.at // SECOND for row in got.rows] == ats and any(said in line for line in got.told), got.told
+    got = tr.read(csv(tmp_path, rows), tr.TraceSettings(**terms))
+    assert [row.at // SECOND for row in got.rows] == ats and any(said in line for line in got.notices), (
+        got.notices
+    )
     assert len(got.rows) + got.dropped == len(rows)
 
 
@@ -324,16 +326,16 @@
     ],
 )
 def test_a_trace_that_is_refused_names_the_row(tmp_path, rows, head, terms, said):
-    with pytest.raises(tr.TraceRefused, match=said):
-        tr.read(csv(tmp_path, rows, head), tr.TraceTerms(**terms))
+    with pytest.raises(tr.InvalidTrace, match=said):
+        tr.read(csv(tmp_path, rows, head), tr.TraceSettings(**terms))
 
 
 def test_a_file_that_is_no_trace(tmp_path):
     (tmp_path / "t.parquet").write_bytes(b"no parquet")
-    with pytest.raises(tr.TraceRefused, match="t.parquet"):
-        tr.read(str(tmp_path / "t.parquet"), tr.TraceTerms())
+    with pytest.raises(tr.InvalidTrace, match="t.parquet"):
+        tr.read(str(tmp_path / "t.parquet"), tr.TraceSettings())
     with pytest.raises(FileNotFoundError):
-        tr.read(str(tmp_path / "none.csv"), tr.TraceTerms())
+        tr.read(str(tmp_path / "none.csv"), tr.TraceSettings())
 
 
 # ---- files and the command
@@ -395,7 +397,7 @@
         main, ["load", str(tmp_path / "l.hcl"), "--out", str(tmp_path / "report.json"), "--quiet"]
     )
     report = json.loads((tmp_path / "report.json").read_text())
-    wanted = len(list(times(load_file(str(tmp_path / "l.hcl")).plan)))
+    wanted = len(list(arrival_times(load_file(str(tmp_path / "l.hcl")).plan)))
     assert report["ops"] == wanted > 50 and len(report["workers"]) == 2
     assert report["outcomes"]["tile-fetch"]["acked"] > 20 and report["latency_ms"]["tile-fetch"]["p50"] > 1
     assert got.exit_code == (0 if report["certified"] else 1) and "tile-fetch" in got.output
