--- a/cedarshift/cli/budgets.py
+++ b/cedarshift/cli/budgets.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from cedarshift.budgets.terms import parts, plan_of
+from cedarshift.budgets.terms import build_plan, millitokens
 from cedarshift.codec import Identity, ProtocolError, Session
 from cedarshift.codec import messages as m
 from cedarshift.deployment import Deployment
@@ -126,7 +126,7 @@
     assert terms is not None
     pilots, plan = (
         [settings.name for settings in deployment.pilots],
-        plan_of(terms.named, len(deployment.pilots)),
+        build_plan(terms.named, len(deployment.pilots)),
     )
     for name in down:
         if name not in pilots:
@@ -146,7 +146,7 @@
         except ValueError:
             raise ValueError(f"--demand {text!r}: {tokens!r} is no number") from None
         if pilot in demands[leaf]:
-            units = int(requested) if leaf in _held_budgets(deployment) else parts(requested)
+            units = int(requested) if leaf in _held_budgets(deployment) else millitokens(requested)
             demands[leaf][pilot] = max(0, units - plan.budgets[leaf].floor)
     targets = plan.targets(demands, {root: plan.leasable(root) for root in plan.roots})
     lines = [
--- a/cedarshift/cli/daemons.py
+++ b/cedarshift/cli/daemons.py
@@ -7,7 +7,7 @@
 import sqlite3
 from typing import Any, Callable, Optional
 
-from cedarshift.budgets.desk import ShareDesk, open_desk
+from cedarshift.budgets.desk import ShareAllocator, open_share_allocator
 from cedarshift.budgets.ledger import ShareLedger
 from cedarshift.budgets.pilot import open_budgets
 from cedarshift.codec import Identity
@@ -59,14 +59,14 @@
     return 1 + (int.from_bytes(random_bytes(8), "big") >> 12)
 
 
-def open_share_desk(loop: Loop, deployment: Deployment) -> Optional[ShareDesk]:
+def open_share_desk(loop: Loop, deployment: Deployment) -> Optional[ShareAllocator]:
     """Opens the budget shares, in a file next to the store's; None if the deployment has no budgets.
 
     Raises DamagedLedgerError.
     """
     if deployment.budgets is None or deployment.store is None:
         return None
-    return open_desk(
+    return open_share_allocator(
         loop,
         deployment.budgets,
         len(deployment.pilots),
--- a/cedarshift/cli/main.py
+++ b/cedarshift/cli/main.py
@@ -457,11 +457,11 @@
     Exit code 1 if the generator itself was the bottleneck.
     """
     from cedarshift.load.run import as_text, play
-    from cedarshift.load.trace import TraceRefused
+    from cedarshift.load.trace import InvalidTrace
 
     try:
         result = play(file, lambda text: None if quiet else click.echo(text, err=True))
-    except (OSError, InvalidFile, TraceRefused) as error:
+    except (OSError, InvalidFile, InvalidTrace) as error:
         raise click.ClickException(str(error)) from None
     if out:
         with open(out, "w", encoding="utf-8") as report:
--- a/cedarshift/deployment/deployment.py
+++ b/cedarshift/deployment/deployment.py
@@ -6,12 +6,12 @@
 from dataclasses import dataclass
 from typing import Any, Callable, Optional
 
-from cedarshift.budgets.terms import BEATS_A_LEASE, HELD, USES, plan_of
+from cedarshift.budgets.terms import BUDGET_USES, CONCURRENCY_USES, HEARTBEATS_PER_LEASE, build_plan
 from cedarshift.codec.zookeeper.jute import check_path
 from cedarshift.deployment import hcl
 from cedarshift.deployment.hcl import REQUIRED, CheckedBlock, InvalidFile, Problem, Schema
 from cedarshift.judge.budgets import ASKS_PER_LEASE, MIN_ASK_INTERVAL_US, InvalidBudget
-from cedarshift.overload.digest import KINDS_MOST
+from cedarshift.overload.digest import MAX_OP_TYPES
 
 Address = tuple[str, int]
 
@@ -255,7 +255,7 @@
 MEMBERSHIP_SCHEMA = Schema({"period": (hcl.duration(50_000, 60_000_000), 1_000_000)})
 BUDGET_SCHEMA = Schema(
     {
-        "use": (hcl.choice(*USES), ""),
+        "use": (hcl.choice(*BUDGET_USES), ""),
         "rate": (hcl.number(0.001, 1e9), 0.0),
         "held": (hcl.integer(1, 1_000_000), 0),
         "burst": (hcl.duration(1_000, 60_000_000), 500_000),
@@ -460,7 +460,7 @@
         {},
     )
     problems_before = len(problems)
-    ask_interval = max(MIN_ASK_INTERVAL_US, body.blocks["proxy"][0]["lease"] // BEATS_A_LEASE)
+    ask_interval = max(MIN_ASK_INTERVAL_US, body.blocks["proxy"][0]["lease"] // HEARTBEATS_PER_LEASE)
     if block["proxy_lease"] < ASKS_PER_LEASE * ask_interval:
         line = block.lines.get("proxy_lease", block.line)
         problems.append(
@@ -499,7 +499,7 @@
     ]
     if len(problems) == problems_before:
         try:
-            plan = plan_of(named, pilots)
+            plan = build_plan(named, pilots)
             for name, planned in named.items():
                 if name in plan.children and planned.use:
                     problems.append(
@@ -530,11 +530,11 @@
     name, errors = budget.labels[0], []
     if bool(budget["rate"]) == bool(budget["held"]):
         errors.append((budget.line, f"budget {name!r} needs either a rate or a number held at a time"))
-    elif budget["use"] and (budget["use"] in HELD) != bool(budget["held"]):
+    elif budget["use"] and (budget["use"] in CONCURRENCY_USES) != bool(budget["held"]):
         errors.append(
             (
                 budget.lines["use"],
-                f"{budget['use']} are limited by {'held' if budget['use'] in HELD else 'rate'}",
+                f"{budget['use']} are limited by {'held' if budget['use'] in CONCURRENCY_USES else 'rate'}",
             )
         )
     if budget["held"] and budget["floor"] != int(budget["floor"]):
@@ -593,12 +593,12 @@
                 "several pilots coordinate through membership: there is no block membership",
             )
         )
-    if len(ops) > KINDS_MOST:
+    if len(ops) > MAX_OP_TYPES:
         problems.append(
             Problem(
                 path,
                 block.line,
-                f"{len(ops)} op types, the digest that pilots exchange holds at most {KINDS_MOST}",
+                f"{len(ops)} op types, the digest that pilots exchange holds at most {MAX_OP_TYPES}",
             )
         )
     seen_names: set[str] = set()
