--- a/cedarshift/codec/errors.py
+++ b/cedarshift/codec/errors.py
@@ -1,4 +1,4 @@
-"""Protocol errors. Each closes the session; its code and reason are sent to the peer."""
+"""Protocol errors. Each closes the session; all but PeerClosed are sent to the peer in a Bye."""
 
 
 class ProtocolError(Exception):
@@ -38,19 +38,19 @@
 
 
 class TooManyMessages(ProtocolError):
-    """The peer exceeded its message rate."""
+    """The peer sent more messages per second than allowed."""
 
     code = "too-many-messages"
 
 
 class Refused(ProtocolError):
-    """The handshake was rejected."""
+    """One side rejected the identity or the proof of the other during the handshake."""
 
     code = "refused"
 
 
 class Busy(ProtocolError):
-    """The peer may retry after `after` microseconds."""
+    """The accepting side takes no more sessions now; the peer may retry after `after` microseconds."""
 
     code = "busy"
 
--- a/cedarshift/codec/frames.py
+++ b/cedarshift/codec/frames.py
@@ -13,7 +13,7 @@
 from cedarshift.codec.errors import BadBody, BadVersion, FrameTooLarge, ProtocolError, UnknownKind
 from cedarshift.codec.messages import MAJOR, MESSAGE_CODES, MESSAGE_TYPES, Message, Order
 
-HEADER = struct.Struct(">IBB")
+HEADER = struct.Struct(">IBB")  # length, kind, major version
 MAX_FRAME_BYTES = 1 << 20  # without the length field
 
 ENCODER = msgspec.msgpack.Encoder()
@@ -29,7 +29,7 @@
 
 
 def pack_rows(rows: list) -> msgspec.Raw:
-    """Encodes rows once, for use in many orders."""
+    """Encodes a list of lines or levels once, for use in many orders."""
     return msgspec.Raw(ENCODER.encode(rows))
 
 
@@ -44,7 +44,9 @@
 
 
 class Frames:
-    """Decodes a byte stream into messages. Unusable after an error."""
+    """Decodes a byte stream into messages. Must not be used after it has raised an error.
+
+    `max_bytes`: limit on the length of a frame, without the length field."""
 
     def __init__(self, max_bytes: int = MAX_FRAME_BYTES) -> None:
         self.max_bytes = max_bytes
--- a/cedarshift/codec/gossip.py
+++ b/cedarshift/codec/gossip.py
@@ -17,21 +17,24 @@
 
 MAGIC = b"cG"
 VERSION = 1
-HEADER = struct.Struct(">2sB8s16s")
+HEADER = struct.Struct(">2sB8s16s")  # magic, version, deployment tag, HMAC
 MAX_DATAGRAM_BYTES = 1_400  # fits an Ethernet frame, with room for tunnel headers
-MAX_FRAME_BYTES = 1 << 20  # of a stream frame
-FRAME_HEADER = struct.Struct(">I")
+MAX_FRAME_BYTES = 1 << 20  # of a message in a stream, without the length field
+FRAME_HEADER = struct.Struct(">I")  # length of the message
 MIN_BODY_BYTES = 8
 MAX_NAME_LENGTH = 64  # characters
-MAX_RECORDS = 100_000  # per body
+MAX_RECORDS = 100_000  # members, observations and verdicts per body
 MAX_RIDER_BYTES = 480  # of one rider's payload, leaves room for records in a datagram
 MAX_RIDERS = 64  # per body
 
+# Kinds of messages.
 PING, ACK, PING_REQUEST, NACK, UPDATE, FULL_STATE, FULL_STATE_REPLY = range(1, 8)
 
 
 class MemberRecord(msgspec.Struct, array_like=True):
-    """What the sender knows of a member; `left`: it has left the deployment."""
+    """What the sender knows of a member.
+
+    `start`: number of the process, higher after each restart. `left`: it has left the deployment."""
 
     name: str
     start: int
@@ -77,10 +80,11 @@
 
 
 class Body(msgspec.Struct, array_like=True):
-    """A gossip message.
+    """A gossip message. `start` and `incarnation` are those of the sender.
 
-    `seq` numbers the messages of this process of the sender. `subject`: the member that a ping
-    request or its answer concerns. `digest`: of all member records and verdicts of the sender."""
+    `seq` numbers the messages of this process of the sender. `nonce`: copied from a ping or ping request to
+    its answer. `subject`: the member that a ping request or its answer concerns. `digest`: of all member
+    records and verdicts of the sender."""
 
     kind: int
     sender: str
@@ -101,7 +105,10 @@
 
 
 class InvalidMessage(Exception):
-    """A rejected message; `why` is "short", "long", "foreign", "version", "proof" or "body"."""
+    """A rejected message; `why` is "short", "long", "foreign", "version", "proof" or "body".
+
+    "foreign": not gossip, or of another deployment. "proof": the HMAC does not match. "body": it cannot be
+    decoded or a field is out of range."""
 
     def __init__(self, why: str, reason: str = "") -> None:
         super().__init__(f"{why}: {reason}" if reason else why)
@@ -121,7 +128,7 @@
         return HEADER.pack(MAGIC, VERSION, self.tag, self._proof(raw)) + raw
 
     def open(self, data: bytes, max_bytes: int = MAX_DATAGRAM_BYTES) -> Body:
-        """Verifies and decodes a message. Raises InvalidMessage."""
+        """Verifies and decodes a message of at most `max_bytes`. Raises InvalidMessage."""
         if len(data) < HEADER.size + MIN_BODY_BYTES:
             raise InvalidMessage("short")
         if len(data) > max_bytes:
@@ -168,7 +175,7 @@
 
 
 def length_prefixed(sealed: bytes) -> bytes:
-    """Frames a message for a stream."""
+    """Prepends the length of an encoded message, for sending it over a stream."""
     return FRAME_HEADER.pack(len(sealed)) + sealed
 
 
--- a/cedarshift/codec/messages.py
+++ b/cedarshift/codec/messages.py
@@ -10,6 +10,7 @@
 
 import msgspec
 
+# Protocol version.
 MAJOR = 1
 MINOR = 0
 
@@ -33,7 +34,11 @@
 
 
 class Level(Row, frozen=True, array_like=True):
-    """The share of op types that a table admits; mask 0: all op types, table 65535: all tables."""
+    """The share of ops of some types that is admitted to a table.
+
+    `table` 65535: all tables. `mask`: bit i stands for op type i; 0: all op types. `retries`: 0 for none, 1
+    for one if the first try certainly did not run, 2 for one after any failure, 3 for two. `epoch`: as in
+    `Line`."""
 
     table: TableId
     mask: NonNegativeInt
@@ -70,7 +75,8 @@
 
 
 class SliceState(Row, frozen=True, array_like=True):
-    """A slice in the store: epoch of its assignment, version, owning endpoint ("" for none) and levels."""
+    """A slice in the store: epoch of its assignment to a pilot, version, owning endpoint ("" for none) and
+    levels."""
 
     slice: TableId
     epoch: NonNegativeInt
@@ -80,7 +86,9 @@
 
 
 class SliceWrite(Row, frozen=True, array_like=True):
-    """A conditional write to a slice in the store; `owner` None keeps the owner, "" clears it."""
+    """A write to a slice in the store, denied unless `epoch` is that of the pilot's assignment.
+
+    `owner` None keeps the owner, "" clears it; `levels` None keeps the levels."""
 
     slice: TableId
     epoch: NonNegativeInt
@@ -112,8 +120,8 @@
 
     `source` and `rev`: the list this comes from; `confirmed`: age of that list's last answer. `origin`:
     incarnation of the pilot that observed it directly; `hops`: number of times it has been forwarded since.
-    `told`: age of the report that it leaves. `started`: age of its start. `sick_left`: us that it still
-    counts as sick."""
+    `told`: age of the report that it leaves. `start`: identifies its process, `started`: age of that.
+    `sick_left`: us that it still counts as sick. `sums`: its outcomes."""
 
     endpoint: ShortString
     phase: ShortString
@@ -142,7 +150,7 @@
 
 
 class SliceFact(Row, frozen=True, array_like=True):
-    """What a pilot knows about the ops of a slice; `origin` and `hops` as in `EndpointFact`."""
+    """What a pilot knows about a slice. `heats`: its ops; `origin` and `hops` as in `EndpointFact`."""
 
     slice: TableId
     heats: list[LentSliceStats]
@@ -159,7 +167,7 @@
 
 
 class BudgetSpec(Row, frozen=True, array_like=True):
-    """A budget that proxies spend from.
+    """A budget that proxies spend from. `use`: the activity that it limits, such as "retries".
 
     `burst`: time (us) over which unused tokens accumulate. `of_fresh`: tokens earned per fresh op, 0 for no
     such limit. `drift`: assumed relative clock drift."""
@@ -172,8 +180,9 @@
 
 
 class BudgetRequest(Row, frozen=True, array_like=True):
-    """A request for a share of a budget, in parts of it.
+    """A request for a share of a budget.
 
+    `demand` and `amount` are in thousandths of a token per second, or units of a budget that is held.
     `number` and `amount`: the grant currently held. `newest`: the newest grant number seen. `weight`: number
     of spenders this request stands for."""
 
@@ -186,7 +195,9 @@
 
 
 class BudgetGrant(Row, frozen=True, array_like=True):
-    """Parts of a budget, granted for `span` us from the request. Higher numbers replace lower ones."""
+    """A share of a budget, granted for `span` us from the request; `amount` is in units of `BudgetRequest`.
+
+    Higher numbers replace lower ones."""
 
     budget: ShortString
     number: NonNegativeInt
@@ -195,7 +206,9 @@
 
 
 class RequestedClaim(Row, frozen=True, array_like=True):
-    """A claimed resource and whether it is held now. Resources missing from a later request are released."""
+    """A claim to exclusive use of the resource `thing`, and whether the requester holds it now.
+
+    Claims missing from a later request are released."""
 
     thing: ShortString
     held: bool
@@ -211,6 +224,7 @@
 class OpTypeStats(Row, frozen=True, array_like=True):
     """Ops of a type that arrived for a pilot's slices, with their outcomes.
 
+    `fresh`: first tries of an op by its caller, `repeats`: later ones. `let_in`: admitted ops.
     `full`: ops rejected by endpoints for lack of capacity. `took`: mean time of the acked ops (us). `span`:
     period covered (us)."""
 
@@ -235,9 +249,9 @@
 class AdmissionPolicy(Row, frozen=True, array_like=True):
     """What proxies admit.
 
-    `share`: part of all work. `order`: op types by priority, `mix`: the admitted part of each. `again`:
-    repeats per fresh op. `wait`: us that rejected callers are asked to wait. `own`: endpoints with a share of
-    their own."""
+    `share`: admitted part of all work. `order`: op types by priority; each is admitted in full before the
+    next. `mix`: part of each op type in the offered work. `again`: repeats per fresh op. `wait`: us that
+    rejected callers are asked to wait. `own`: endpoints with a share of their own."""
 
     state: ShortString
     share: NonNegativeFloat
@@ -277,7 +291,8 @@
 class Welcome(Message):
     """Accepts a Hello. `session`: its number.
 
-    `lease`, `beat_every`, `report_every`: us. `proof`: as in the Hello, over the Hello's challenge and this
+    `lease`, `beat_every` (interval of heartbeats), `report_every`: us. `apply_cost`: us that the
+    proxy takes to apply a table line. `proof`: as in the Hello, over the Hello's challenge and this
     side's id. `loads`: whether the proxy is to report `OpTypeStats`."""
 
     session: int
@@ -325,7 +340,7 @@
 class Order(Message):
     """A change of the tables. `seq` increases by one per message of the session.
 
-    `waited`: us spent in the pilot's send queue. `mark`: to be acked by the proxy, if set."""
+    `waited`: us spent in the pilot's send queue. `mark`: if set, the proxy is to answer with an Ack of it."""
 
     seq: int
     waited: int = 0
@@ -356,7 +371,7 @@
 
 
 class HeartbeatOk(Message):
-    """Answers a Heartbeat.
+    """Answers the Heartbeat with number `n`.
 
     `in_charge`: the pilot still owns its slices, so the lease is renewed. `told`: the new admission policy,
     if changed. `fair`: per op type, the factor on it for this proxy. `trials`: endpoints that get part of
@@ -381,7 +396,7 @@
 
 
 class ProxyReport(Message):
-    """What the proxy observed since its last report.
+    """What the proxy observed since its last report. `met`: outcomes by endpoint. `heat`: ops by slice.
 
     `loads`: if requested in the Welcome. `shuns`: endpoints the proxy avoids because of failures."""
 
@@ -392,7 +407,7 @@
 
 
 class Open(Message):
-    """A pilot asks the store for a session."""
+    """A pilot asks the store for a session. `place`: index of the pilot in the configuration."""
 
     place: int = 0
 
@@ -411,7 +426,7 @@
 
 
 class Renewed(Message):
-    """Answers a Renew."""
+    """Answers the Renew with number `n`."""
 
     n: int
 
@@ -439,8 +454,9 @@
 class Chunk(msgspec.Struct, array_like=True):
     """Contents of a payload.
 
-    `list_age`: us since the lender's list answered last, -1 for never. `proxies_joined`: proxies joined to
-    the lender."""
+    `origin`: incarnation of the lender. `list_age`: us since the lender's list answered last, -1 for never.
+    `proxies_joined`: number of proxies joined to the lender. `in_charge`: whether the lender owns its slices.
+    `level`: share of ops that the lender admits to all slices."""
 
     origin: ShortString
     list_age: int
@@ -553,6 +569,7 @@
     payload: bytes = b""
 
 
+# Message types by the kind number in the frame header.
 MESSAGE_TYPES: dict[int, type[Message]] = {
     1: Greet,
     2: Hello,
--- a/cedarshift/codec/session.py
+++ b/cedarshift/codec/session.py
@@ -3,8 +3,8 @@
     accepting side:  start() -> Greet      GREETED --Hello--> OPEN --Bye/error--> CLOSED
     dialing side:                          WAITING --Greet--> HELLOED --Welcome--> OPEN --Bye/error--> CLOSED
 
-`receive` takes bytes and returns the messages for the application. Frames that the session itself sends are
-collected in `outbox`. Pings are answered here.
+`receive` takes bytes and returns the messages for the application. Frames of the handshake, Pongs and Byes
+are collected in `outbox` for the caller to send.
 """
 
 from __future__ import annotations
@@ -20,6 +20,7 @@
 RATE_WINDOW_US = 1_000_000  # over which messages are counted
 MAX_ID_LENGTH = 128  # characters
 
+# States of a session, see the diagram above.
 WAITING, GREETED, HELLOED, OPEN, CLOSED = "waiting", "greeted", "helloed", "open", "closed"
 
 # Messages allowed in an open session, by (role of the sender, role of the receiver).
@@ -62,16 +63,18 @@
 
 
 def proof(secret: bytes, challenge: bytes, name: str) -> bytes:
-    """HMAC-SHA256 (RFC 2104) of challenge and name; empty if the deployment has no secret."""
+    """HMAC-SHA256 (RFC 2104) of the challenge and the id of the proving side; empty without a secret."""
     return hmac.new(secret, challenge + name.encode(), hashlib.sha256).digest() if secret else b""
 
 
 class Session:
     """One side of a session.
 
-    `admit(hello)` returns the Welcome on the accepting side; it raises Refused or Busy to reject the peer.
+    `admit(hello)`, given on the accepting side only, returns the Welcome, or raises Refused or Busy to reject
+    the peer. `peer` is set during the handshake, `welcome` on the dialing side at its end.
     `challenge`: random bytes over which the peer proves that it knows the secret.
-    `max_messages_per_s`: limit on messages from the peer, 0 for none."""
+    `max_messages_per_s`: limit on messages from the peer, 0 for none. `max_frame_bytes`: limit on the length
+    of a frame from the peer."""
 
     def __init__(
         self,
@@ -95,7 +98,7 @@
         self.rate_count = 0
 
     def start(self) -> None:
-        """Sends the Greet of the accepting side."""
+        """Adds the Greet to the outbox; called once, on the accepting side only."""
         assert self.admit is not None and self.state == WAITING
         self.state = GREETED
         self._queue(m.Greet(self.identity.deployment, self.identity.role, self.identity.id, self.challenge))
@@ -103,8 +106,8 @@
     def receive(self, now: int, data: bytes) -> list[m.Message]:
         """Decodes bytes received at `now` (us) and returns the messages for the application.
 
-        On a ProtocolError the session is closed and `outbox` ends with a Bye. Messages before the error are
-        returned first; the error is then raised by the next call."""
+        On a ProtocolError the session is closed and `outbox` ends with a Bye, unless the peer has closed it.
+        If messages precede the error, they are returned and the next call raises the error."""
         received: list[m.Message] = []
         self.raise_pending_error()
         self.frames.feed(data)
@@ -125,7 +128,9 @@
             raise self.pending_error
 
     def send(self, message: m.Message) -> bytes:
-        """Encodes a message of the application; asserts that the state and roles allow it."""
+        """Returns a message of the application as a frame, which the caller sends.
+
+        Asserts that the session is open and that the roles allow the message."""
         assert self.state == OPEN and self.peer is not None, f"{type(message).__name__} while {self.state}"
         assert isinstance(message, ALLOWED_MESSAGES[self.identity.role, self.peer.role] + (m.Ping,)), type(
             message
@@ -156,6 +161,7 @@
             raise TooManyMessages(f"more than {self.max_messages_per_s} messages per second")
 
     def _handle(self, message: m.Message, received: list[m.Message]) -> None:
+        """Processes a message; appends it to `received` if it is for the application."""
         if isinstance(message, m.Bye):
             self.state = CLOSED
             raise PeerClosed(f"{message.code}: {message.reason}", message.after)
--- a/cedarshift/link/link.py
+++ b/cedarshift/link/link.py
@@ -34,7 +34,10 @@
         return self.session.peer
 
     def receive(self, until: Optional[int] = None) -> Coroutine:
-        """Waits for messages. Raises StreamBroken at the end of the stream and TimedOut at `until`."""
+        """Waits for messages and returns at least one.
+
+        Raises StreamBroken if the connection ends, a ProtocolError if the session does, and TimedOut at
+        `until` (us)."""
         while True:
             self.session.raise_pending_error()
             data = yield from self.stream.read(until)
@@ -49,10 +52,10 @@
                 return received
 
     def send(self, message: m.Message) -> None:
-        """Queues a message; it is dropped if the session has ended or the stream breaks.
+        """Sends a message without waiting; drops it if the session has ended or the stream breaks.
 
-        Never raises StreamBroken, as one broken peer must not stop a sender that serves many; the reader gets
-        the error."""
+        Does not raise StreamBroken, so that one broken peer does not stop a sender that serves many; the
+        reader gets the error."""
         if not self.closed:
             try:
                 self.stream.write(self.session.send(message))
@@ -60,12 +63,16 @@
                 pass  # the stream is closed and its reader gets the error
 
     def send_frame(self, frame: bytes) -> None:
-        """Queues an encoded frame; raises StreamBroken if the stream breaks."""
+        """Sends an encoded frame without waiting; drops it if the session has ended.
+
+        Raises StreamBroken if the stream breaks."""
         if not self.closed:
             self.stream.write(frame)
 
     def close(self, code: str, reason: str) -> None:
-        """Sends a Bye if the stream is still usable, and closes. Never raises."""
+        """Closes the session with a Bye, if the stream still takes it, and finishes the stream.
+
+        Does not raise StreamBroken."""
         self.session.close(code, reason)
         try:
             self._flush()
@@ -79,7 +86,9 @@
             self.stream.write(out)
 
     def handshake(self, until: int) -> Coroutine:
-        """Runs the handshake; returns the messages received together with its last frame."""
+        """Runs the handshake; returns the application messages that arrived together with its last frame.
+
+        Raises StreamBroken, a ProtocolError, or TimedOut at `until` (us)."""
         self._flush()
         while self.session.state != OPEN:
             data = yield from self.stream.read(until)
@@ -101,10 +110,11 @@
     handler: Callable[[Link, list[m.Message]], Coroutine],
     report: Callable[..., None],
 ) -> Coroutine:
-    """Accepts connections forever; each runs the handshake and then `handler(link, first messages)` in its
-    own task.
+    """Accepts connections; each runs the handshake and then `handler(link, first messages)` in its own task.
 
-    The end of a session is reported with the peer's id and does not affect other sessions."""
+    The first messages are those that arrived together with the end of the handshake. The end of a session is
+    reported with the peer's id, or its address before the handshake, and does not affect other sessions.
+    Raises StreamBroken when the listener is closed."""
     while True:
         stream = yield from listener.accept()
         loop.spawn(_run_session(loop, stream, make_session(), handler, report), f"session {stream.peer}")
@@ -140,7 +150,8 @@
 def connect(loop: Loop, address: tuple[str, int], session: Session, timeout: int) -> Coroutine:
     """Dials and runs the handshake within `timeout` (us); returns (link, first messages).
 
-    Raises StreamBroken if the peer does not answer in time, a ProtocolError if it rejects the session."""
+    Raises StreamBroken if the connection fails or the peer does not answer in time, a ProtocolError if either
+    side rejects the session."""
     until = loop.now() + timeout
     stream = yield from dial(loop, address, timeout)
     link = Link(loop, stream, session)
--- a/cedarshift/loop/core.py
+++ b/cedarshift/loop/core.py
@@ -13,7 +13,7 @@
 from typing import Any, Callable, Generator, Optional, Protocol
 
 SLOW_STEP_US = 50_000  # longer task steps are reported
-TIMER_COMPACTION_THRESHOLD = 1024  # timers added between two removals of cancelled ones
+TIMER_COMPACTION_THRESHOLD = 1024  # growth of the timer heap after which cancelled timers are removed
 MAX_STEPS_PER_PASS = 64  # ready tasks run between two polls of the network, so that I/O is not starved
 
 Coroutine = Generator[None, Any, Any]
@@ -43,7 +43,7 @@
 
 
 class Timer:
-    """A scheduled call; `cancel` prevents it from running."""
+    """A call scheduled at `at` (us); `cancel` prevents it from running."""
 
     __slots__ = ("at", "call", "args")
 
@@ -58,7 +58,7 @@
 
 
 class Waker:
-    """Resumes one suspension of one task, at most once; calls after the task was resumed have no effect."""
+    """Resumes a task from its current suspension; has no effect once the task was resumed or cancelled."""
 
     __slots__ = ("task", "ticket")
 
@@ -82,7 +82,9 @@
 
 
 class Task:
-    """A scheduled coroutine. `ticket` counts its wake-ups, so that stale wakers can be detected."""
+    """A scheduled coroutine.
+
+    `ticket` counts its wake-ups, so that stale wakers can be detected. `joiners`: tasks waiting in `join`."""
 
     __slots__ = ("loop", "name", "run", "ticket", "done", "result", "error", "joiners")
 
@@ -119,9 +121,9 @@
         self.clock = clock
         self.network = network
         self.report = report or (lambda event, **fields: None)
-        self.ready: deque[tuple[Task, Any, Optional[BaseException]]] = deque()
-        self.timers: list[tuple[int, int, Timer]] = []
-        self.compact_at = TIMER_COMPACTION_THRESHOLD
+        self.ready: deque[tuple[Task, Any, Optional[BaseException]]] = deque()  # task, value or error for it
+        self.timers: list[tuple[int, int, Timer]] = []  # heap of (due time, sequence, timer)
+        self.compact_at = TIMER_COMPACTION_THRESHOLD  # heap size at which cancelled timers are removed
         self.timer_sequence = 0  # breaks ties: timers due at the same time run in the order they were set
         self.current: Optional[Task] = None
         self.tasks: set[Task] = set()
@@ -141,12 +143,14 @@
         return task
 
     def waker(self) -> Waker:
-        """Creates a waker for the running task, which must suspend next."""
+        """Creates a waker for the next suspension of the running task."""
         assert self.current is not None, "only a running task can park"
         return Waker(self.current, self.current.ticket)
 
     def park(self, until: Optional[int] = None) -> Coroutine:
-        """Suspends until a waker created beforehand fires. Raises TimedOut at `until` (us)."""
+        """Suspends until a waker of this task, created before the call, is used.
+
+        Returns the waker's value or raises its error. Raises TimedOut at `until` (us on the loop's clock)."""
         if until is None:
             return (yield)
         timer = self.at(until, self.waker().fail, TimedOut())
@@ -213,7 +217,9 @@
         return self.timers[0][0] if self.timers else None
 
     def run(self, main: Optional[Task] = None) -> Any:
-        """Runs until `main` finishes, `stop` is called or nothing is left to run; returns `main`'s result."""
+        """Runs until `main` finishes, `stop` is called or no tasks and timers are left.
+
+        Returns `main`'s result, None if it has not finished, or raises its error."""
         while not self.stopping and not (main is not None and main.done):
             self.run_pass()
             if self.stopping or (main is not None and main.done):
@@ -235,6 +241,7 @@
         self.stopping = True
 
     def _step(self, task: Task, value: Any, error: Optional[BaseException]) -> None:
+        """Resumes a task with a value or an error, until it suspends again or ends."""
         if task.done:
             return
         self.current = task
--- a/cedarshift/loop/datagram.py
+++ b/cedarshift/loop/datagram.py
@@ -1,7 +1,6 @@
 """Size-limited datagrams over a non-blocking socket supplied by the network.
 
-`send` returns False if the socket buffer is full and the datagram was dropped. Readiness is edge-triggered,
-as for stream transports.
+Readiness of the socket is edge-triggered, as for stream transports.
 """
 
 from __future__ import annotations
@@ -15,7 +14,10 @@
 
 
 class DatagramSocket(Protocol):
-    """A non-blocking datagram socket; `recv` returns None if no datagram is waiting."""
+    """A non-blocking datagram socket.
+
+    `recv` returns None if no datagram is waiting. `send` returns False if it could not hand over the
+    datagram, for example because the socket buffer is full; the datagram is dropped."""
 
     address: tuple[str, int]
 
@@ -26,13 +28,15 @@
 
 
 class Datagrams:
-    """Datagrams of one local address; one task may receive at a time. Drops those over `max_bytes`."""
+    """Sends and receives at one local address; one task may receive at a time.
+
+    `port`: the socket. Received datagrams of more than `max_bytes` are dropped and counted as "too_long"."""
 
     def __init__(self, loop: Loop, port: DatagramSocket, max_bytes: int) -> None:
         self.loop = loop
         self.port = port
         self.max_bytes = max_bytes
-        self.readable = True
+        self.readable = True  # until the socket would block
         self.reader: Optional[Waker] = None
         self.receives_since_yield = 0
         self.closed = False
@@ -44,7 +48,7 @@
         return self.port.address
 
     def receive(self, until: Optional[int] = None) -> Coroutine:
-        """Returns the next datagram and its source address. Raises TimedOut at `until`."""
+        """Returns the next datagram and its source address. Raises TimedOut at `until` (us)."""
         self.receives_since_yield += 1
         if self.receives_since_yield > MAX_RECEIVES_PER_STEP:
             self.receives_since_yield = 0
@@ -66,7 +70,7 @@
                 return datagram
 
     def send(self, data: bytes, address: tuple[str, int]) -> None:
-        """Sends a datagram, or drops it if the socket is closed or its buffer is full."""
+        """Sends a datagram; if the socket is closed or cannot take it, drops it and counts it as unsent."""
         sent = not self.closed and self.port.send(data, address)
         self.counts["sent" if sent else "unsent"] += 1
 
--- a/cedarshift/loop/epoll.py
+++ b/cedarshift/loop/epoll.py
@@ -64,6 +64,7 @@
         self.callbacks: dict[int, Callable[[bool, bool, bool], None]] = {}
 
     def poll(self, wait: Optional[int]) -> None:
+        """Waits up to `wait` microseconds (None: no limit) and runs the callbacks of ready descriptors."""
         # epoll has millisecond resolution; rounding down would busy-wait until a timer is due.
         timeout = -1 if wait is None else -(-wait // 1000) / 1000
         try:
@@ -76,16 +77,17 @@
                 call(bool(events & READ_EVENTS), bool(events & WRITE_EVENTS), bool(events & HANGUP_EVENTS))
 
     def register(self, descriptor: int, call: Callable[[bool, bool, bool], None]) -> None:
-        """Calls `call` on readiness changes. Raises OSError (ENOSPC, ENOMEM) if the kernel cannot do so."""
+        """Has `call(readable, writable, hung_up)` run on readiness changes, also if already ready now.
+
+        Replaces an earlier callback. Raises OSError (ENOSPC, ENOMEM) if the kernel is out of resources."""
         if descriptor in self.callbacks:
-            self.epoll.modify(
-                descriptor, REGISTERED_EVENTS
-            )  # re-arms it: current readiness is reported again
+            self.epoll.modify(descriptor, REGISTERED_EVENTS)  # has the kernel report current readiness again
         else:
             self.epoll.register(descriptor, REGISTERED_EVENTS)
         self.callbacks[descriptor] = call
 
     def unregister(self, descriptor: int) -> None:
+        """Stops the callbacks of a descriptor; has no effect if it is not registered."""
         if self.callbacks.pop(descriptor, None) is not None:
             try:
                 self.epoll.unregister(descriptor)
@@ -93,6 +95,7 @@
                 pass
 
     def listen(self, address: tuple[str, int]) -> SocketAcceptor:
+        """Opens a listening TCP socket. Raises OSError, with the address, if it cannot be bound."""
         sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         try:
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
@@ -105,6 +108,7 @@
         return SocketAcceptor(self, sock)
 
     def dial(self, address: tuple[str, int]) -> SocketAttempt:
+        """Starts a non-blocking connect. Raises OSError if it fails at once."""
         sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         sock.setblocking(False)
         result = sock.connect_ex(address)
@@ -114,6 +118,7 @@
         return SocketAttempt(self, sock, result == 0)
 
     def datagrams(self, address: tuple[str, int]) -> UdpSocket:
+        """Opens a UDP socket. Raises OSError, with the address, if it cannot be bound."""
         sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         try:
             sock.bind(address)
@@ -207,8 +212,9 @@
     def accept(self) -> Optional[tuple[SocketTransport, str]]:
         """Returns the next connection and its peer, or None if none is waiting.
 
-        Raises OSError if the system is out of resources (EMFILE, ENFILE, ENOBUFS, ENOMEM). The connection
-        then stays in the kernel's queue and its readiness is not reported again."""
+        Raises OSError if the system is out of resources (EMFILE, ENFILE, ENOBUFS, ENOMEM), or EAGAIN after
+        MAX_ABORTED_ACCEPTS aborted connections. Connections may then remain in the kernel's queue, and
+        readiness is not reported again."""
         for _ in range(MAX_ABORTED_ACCEPTS):
             try:
                 sock, peer = self.sock.accept()
@@ -236,7 +242,10 @@
 
 
 class SocketAttempt:
-    """A connect in progress. `poll` returns the transport or None, and raises OSError on failure."""
+    """A connect in progress.
+
+    `poll` returns the transport, or None while the connect is not complete, and raises OSError if it has
+    failed."""
 
     def __init__(self, network: EpollNetwork, sock: socket.socket, done: bool) -> None:
         self.network = network
--- a/cedarshift/loop/memory.py
+++ b/cedarshift/loop/memory.py
@@ -1,4 +1,4 @@
-"""A simulated network and clock in memory, without sockets: time advances only when every task waits.
+"""A simulated network and clock in memory, without sockets: time advances only when the network is polled.
 
 Transports have latency, a bounded buffer and can be reset. A single loop may use the network directly. If
 several hosts share it (`loop/world.py`), each transport, acceptor and attempt has an owner, which receives
@@ -20,11 +20,13 @@
 MAX_BUFFERED_BYTES = 65_536  # sent but not yet read, per direction
 MAX_ACCEPT_QUEUE = 1_024  # connections waiting to be accepted; further dials get no answer
 MAX_QUEUED_DATAGRAMS = 256  # per socket; further ones are dropped
-RETRANSMIT_DELAY_US = 200_000  # added to the delay of a lost stream segment
+RETRANSMIT_DELAY_US = 200_000  # added to the link's delay for a lost stream segment
 
 
 class Owner(Protocol):
-    """A host on the network: `deliver` runs a readiness callback in it, `add_transport` adds a transport."""
+    """A host on the network: `deliver` runs a readiness callback in it, `add_transport` adds a transport.
+
+    Its `name` attribute, if any, identifies it in `MemoryNetwork.link_conditions`."""
 
     alive: bool
 
@@ -52,21 +54,24 @@
 
 
 class LinkConditions:
-    """Impairments of traffic in one direction between two hosts. Probabilities are from 0 to 1."""
+    """Impairments of traffic in one direction between two hosts.
+
+    `loss`: probability that a datagram is dropped or a stream segment is delayed by RETRANSMIT_DELAY_US.
+    `duplicated`: probability that a datagram arrives twice."""
 
     def __init__(
         self, loss: float = 0.0, delay: int = 0, jitter: int = 0, duplicated: float = 0.0, cut: bool = False
     ) -> None:
         self.loss = loss
-        self.delay = delay  # us, in addition to the network's own
+        self.delay = delay  # us; added to the network's own for datagrams, its lower bound for streams
         self.jitter = jitter  # us at most, drawn per datagram, so that they may be reordered
         self.duplicated = duplicated
-        self.cut = cut  # datagrams are dropped; stream data waits until it is repaired
+        self.cut = cut  # datagrams are dropped, dials get no answer, stream data waits until it is repaired
 
 
 class MemoryNetwork:
     """`delay()` returns the one-way latency in microseconds. `refused_addresses` refuse connections.
-    `link_conditions` holds the impairments between hosts by (source, target); `rng` draws them."""
+    `link_conditions` holds the impairments by the names of (source, target) host; `rng` draws them."""
 
     def __init__(
         self,
@@ -79,14 +84,14 @@
         self.blocked: dict[
             tuple[str, str], list[tuple[MemoryTransport, Callable[[], None]]]
         ] = {}  # stream data waiting for a cut link to be repaired
-        self.ports: dict[Address, MemoryDatagramSocket] = {}
+        self.ports: dict[Address, MemoryDatagramSocket] = {}  # open datagram sockets
         self.clock = clock
         self.delay = delay or (lambda: 100)
         self.acceptors: dict[tuple[str, int], MemoryAcceptor] = {}
         self.refused_addresses: set[tuple[str, int]] = set()
-        self.due: list[tuple[int, int, Callable[[], None]]] = []
+        self.due: list[tuple[int, int, Callable[[], None]]] = []  # heap of (time, sequence, call)
         self.event_sequence = 0
-        self.next_port = 40_000
+        self.next_port = 40_000  # port numbers assigned automatically start above it
         self.segmenter: Optional[Callable[[bytes], list[bytes]]] = None  # splits one write into segments
         self.max_accept_queue = MAX_ACCEPT_QUEUE
         self.dropped_dials = 0  # because the accept queue was full
@@ -108,7 +113,9 @@
             heapq.heappop(self.due)[2]()
 
     def poll(self, wait: Optional[int]) -> None:
-        """Advances the clock to the next event, or by `wait` microseconds if none is due before that."""
+        """Advances the clock to the next event, or by `wait` microseconds if none is due before that.
+
+        Raises RuntimeError if `wait` is None and no event is scheduled."""
         limit = None if wait is None else self.clock.time + wait
         if self.due and (limit is None or self.due[0][0] <= limit):
             self.clock.time = max(self.clock.time, self.due[0][0])
@@ -119,12 +126,15 @@
             self.clock.time = limit
 
     def conditions(self, source: Optional[Owner], target: Optional[Owner]) -> Optional[LinkConditions]:
+        """Returns the impairments of traffic from `source` to `target`, None if there are none."""
         if not self.link_conditions:
             return None
         return self.link_conditions.get((getattr(source, "name", ""), getattr(target, "name", "")))
 
     def set_link_conditions(self, source: str, target: str, conditions: Optional[LinkConditions]) -> None:
-        """Sets the conditions of a link, None for unimpaired; data held back by a cut is then delivered."""
+        """Sets the conditions of traffic from host `source` to host `target`, None for unimpaired.
+
+        Unless they cut the link, stream data that waited for its repair is delivered."""
         if conditions is None:
             self.link_conditions.pop((source, target), None)
         else:
@@ -166,7 +176,7 @@
         self.peer: Optional[MemoryTransport] = None
         self.inbox: deque[bytes] = deque()
         self.buffered_bytes = 0  # sent to this side and not read yet
-        self.last_arrival = 0  # of the newest segment, to keep the stream in order
+        self.last_arrival = 0  # time (us) at which the newest segment arrives, to keep the stream in order
         self.call: Optional[ReadyCallback] = None
         self.finished = False  # the peer has shut down its sending side
         self.reset = False
@@ -182,7 +192,7 @@
             raise OSError(errno.ECONNRESET, "connection reset")
         if not self.inbox:
             return b"" if self.finished else None
-        data = b"".join(self.inbox)  # a short read means that the buffer is empty, as on a socket
+        data = b"".join(self.inbox)  # as on a socket, one read may return the data of several writes
         self.inbox.clear()
         if len(data) > max_bytes:
             self.inbox.append(data[max_bytes:])
@@ -261,7 +271,9 @@
 
 
 class MemoryDatagramSocket:
-    """A datagram socket whose traffic is impaired according to the link conditions."""
+    """A datagram socket whose traffic is impaired according to the link conditions.
+
+    `send` returns False only if the socket is closed: a datagram lost on the way counts as sent."""
 
     def __init__(self, network: MemoryNetwork, address: Address, owner: Optional[Owner] = None) -> None:
         self.network = network
--- a/cedarshift/loop/stream.py
+++ b/cedarshift/loop/stream.py
@@ -1,8 +1,7 @@
 """Byte streams with limits over non-blocking transports, and listeners that accept them.
 
 Readiness of a transport is edge-triggered: its `watch` callback runs once per change. The stream remembers
-readiness and reads or writes until the transport would block. Any transfer may be short, so its length does
-not show readiness.
+readiness and reads or writes until the transport would block; a short transfer does not mean that it would.
 """
 
 from __future__ import annotations
@@ -13,7 +12,7 @@
 from cedarshift.loop.core import Coroutine, Loop, TimedOut, Waker
 
 READ_CHUNK_BYTES = 65_536
-MAX_READS_PER_STEP = 4  # before other tasks run
+MAX_READS_PER_STEP = 4  # reads of one stream before other tasks run
 MAX_PENDING_BYTES = 1 << 20  # unsent bytes after which a write fails
 DIAL_TIMEOUT_US = 1_000_000
 MAX_LINGER_BYTES = 4 << 20  # input discarded while waiting for the peer to close
@@ -22,7 +21,7 @@
 
 
 class StreamBroken(Exception):
-    """The stream was closed or reset."""
+    """The connection could not be made, or the stream or listener was closed or reset."""
 
 
 class BufferFull(StreamBroken):
@@ -54,14 +53,14 @@
         self.max_pending_bytes = max_pending_bytes
         self.pending = 0  # unsent bytes
         self.closed = False
-        self.chunks: deque[memoryview] = deque()
+        self.chunks: deque[memoryview] = deque()  # unsent data
         self.readable = True  # until the transport would block
         self.writable = True
         self.close_error: Optional[StreamBroken] = None
         self.reader: Optional[Waker] = None
         self.drainer: Optional[Waker] = None
-        self.reads = 0
-        self.has_written = False  # an immediate close could then lose unsent or unread data
+        self.reads = 0  # since the reader last waited or let other tasks run
+        self.has_written = False  # if so, closing at once could lose data the peer has not read
         self.finishing = False  # `finish` was called: no more reads or writes
         self.lingering = False  # everything is sent, waiting for the peer to close
         self.discarded_bytes = 0  # while lingering
@@ -70,7 +69,9 @@
     # ---- reading
 
     def read(self, until: Optional[int] = None) -> Coroutine:
-        """Returns the next bytes, b"" at the end. Raises TimedOut at `until` and StreamBroken on a reset."""
+        """Returns the next bytes, b"" at the end of the stream.
+
+        Raises TimedOut at `until` (us), and StreamBroken if the stream is reset or closed on this side."""
         self.reads += 1
         if self.reads > MAX_READS_PER_STEP:
             self.reads = 0
@@ -108,7 +109,10 @@
     # ---- writing
 
     def write(self, data: bytes) -> None:
-        """Sends what it can and buffers the rest. Closes and raises BufferFull past the limit."""
+        """Sends what the transport takes and buffers the rest, without waiting.
+
+        If more than `max_pending_bytes` are then unsent, closes the stream and raises BufferFull. Raises
+        StreamBroken if the stream is closed or the transport fails."""
         self._check_open()
         self.has_written = True
         view = memoryview(data)
@@ -142,7 +146,9 @@
         return sent
 
     def drain(self, below: int = 0, until: Optional[int] = None) -> Coroutine:
-        """Waits until at most `below` bytes are unsent. Raises TimedOut at `until`."""
+        """Waits until at most `below` bytes are unsent, or the stream is closed, which discards unsent data.
+
+        Raises TimedOut at `until` (us)."""
         while self.pending > below:
             if self.closed:
                 raise self.close_error or StreamBroken("closed on this side")
@@ -168,6 +174,7 @@
     def finish(self, timeout: int) -> None:
         """Closes once everything is sent and the peer has closed, or after `timeout` microseconds.
 
+        Closes at once if nothing was written, and early if more than MAX_LINGER_BYTES arrive.
         Input is read and discarded meanwhile: closing a socket with unread input resets the connection, which
         can destroy data the peer has not read yet."""
         if self.closed or self.finishing:
@@ -183,6 +190,7 @@
         self._linger()
 
     def _linger(self) -> None:
+        """Once everything is sent, shuts down the sending side and starts to discard input."""
         if self.pending or self.lingering or self.closed:
             return
         try:
@@ -194,6 +202,7 @@
         self._discard_input()
 
     def _discard_input(self) -> None:
+        """Discards the available input; closes at its end, on an error or past MAX_LINGER_BYTES."""
         for _ in range(MAX_LINGER_READS):
             if self.closed:
                 return
@@ -251,7 +260,7 @@
         self.max_streams = max_streams
         self.max_pending_bytes = max_pending_bytes
         self.open: set[Stream] = set()
-        self.refused_count = 0
+        self.refused_count = 0  # connections closed because of `max_streams`
         self.failures = 0  # failed accepts
         self.waiting: Optional[Waker] = None
         self.closed = False
@@ -281,7 +290,9 @@
                 self.waiting = None
 
     def accept_nowait(self) -> Optional[Stream]:
-        """Returns a waiting stream or None. Raises OSError if the system is out of resources."""
+        """Returns the next stream, or None if no connection is waiting.
+
+        Raises OSError if the acceptor cannot accept, for example for lack of resources."""
         while (got := self.acceptor.accept()) is not None:
             transport, peer = got
             self.open = {stream for stream in self.open if not stream.closed}
@@ -316,7 +327,9 @@
 def listen(
     loop: Loop, address: tuple[str, int], max_streams: int = 4096, max_pending_bytes: int = MAX_PENDING_BYTES
 ) -> Listener:
-    """Opens a listener; port 0 selects a free port. Raises OSError if the address is in use."""
+    """Opens a listener; port 0 selects a free port. Raises OSError if the address is in use.
+
+    `max_streams`: connections open at a time. `max_pending_bytes`: limit on unsent data, per stream."""
     return Listener(loop, loop.network.listen(address), max_streams, max_pending_bytes)
 
 
--- a/cedarshift/loop/world.py
+++ b/cedarshift/loop/world.py
@@ -30,7 +30,7 @@
 
 
 class HostClock:
-    """A host's monotonic clock, with its own rate and offset (us) relative to the world's clock."""
+    """A host's monotonic clock: the world's clock times `rate`, plus `offset` (us)."""
 
     def __init__(self, clock: VirtualClock, rate: float = 1.0, offset: int = 0) -> None:
         self.clock = clock
@@ -55,7 +55,7 @@
 
 
 class HostNetwork:
-    """The network as seen by one host, which owns what it opens."""
+    """The network as seen by one host: what is opened through it belongs to that host and ends with it."""
 
     def __init__(self, host: Host, network: MemoryNetwork) -> None:
         self.host = host
@@ -93,9 +93,9 @@
         self.clock = clock or HostClock(world.clock)
         self.loop = Loop(self.clock, HostNetwork(self, world.network), report)
         self.acceptors: list[MemoryAcceptor] = []
-        self.ports: list[MemoryDatagramSocket] = []
+        self.ports: list[MemoryDatagramSocket] = []  # datagram sockets
         self.transports: list[MemoryTransport] = []
-        self.compact_at = TRANSPORT_CLEANUP_THRESHOLD
+        self.compact_at = TRANSPORT_CLEANUP_THRESHOLD  # number of transports at which closed ones are removed
         self.alive = True
         self.paused = False
         self.deferred_events: list[
@@ -158,12 +158,13 @@
         self.network = MemoryNetwork(self.clock, lambda: draw(self.rng), self.rng)
         self.hosts: dict[Host, Optional[int]] = {}  # live hosts -> world time of their next work
         self.runnable: dict[Host, None] = {}  # used as an ordered set
-        self.passes = 0
+        self.passes = 0  # loop passes so far, of all hosts
         self.after_pass: Optional[Callable[[Host], None]] = None  # called after each pass of a host
         self.ended_hosts: list[Host] = []  # kept so that their generators are not finalized during a run
 
     def dispose(self) -> None:
-        """Ends all hosts and closes the generators of their tasks before the garbage collector would."""
+        """Ends all hosts and closes the generators of their tasks, rather than leave that to the garbage
+        collector."""
         for host in [*self.hosts, *self.ended_hosts]:
             host.end()
             for task in list(host.loop.tasks):
--- a/tests/test_loop.py
+++ b/tests/test_loop.py
@@ -143,14 +143,14 @@
         def poll(self, wait):
             pass
 
-    heard = []
-    loop = Loop(Clock(), IdleNetwork(), lambda event, **fields: heard.append((event, fields["task"])))
+    reported = []
+    loop = Loop(Clock(), IdleNetwork(), lambda event, **fields: reported.append((event, fields["task"])))
     loop.run(loop.spawn(loop.yield_control(), "slow"))
-    assert ("slow_step", "slow") in heard
+    assert ("slow_step", "slow") in reported
 
 
 def test_a_reader_that_always_has_more_lets_others_run():
-    loop, swallowed = virtual_loop(delay=0), []
+    loop, read_sizes = virtual_loop(delay=0), []
     listener = listen(loop, ADDRESS)
 
     def flood(stream):
@@ -162,16 +162,16 @@
         stream = yield from dial(loop, ADDRESS)
         loop.spawn(flood((yield from listener.accept())), "flood")
 
-        def swallow():
+        def read_all():
             while True:
-                swallowed.append(len((yield from stream.read())))
+                read_sizes.append(len((yield from stream.read())))
 
-        loop.spawn(swallow(), "swallow")
+        loop.spawn(read_all(), "read all")
         for _ in range(50):
             yield from loop.yield_control()
 
     loop.run(loop.spawn(main(), "main"))
-    assert 0 < len(swallowed) < 200
+    assert 0 < len(read_sizes) < 200
 
 
 def test_a_coroutine_can_wait_for_a_signal():
