--- a/cedarshift/agent/client.py
+++ b/cedarshift/agent/client.py
@@ -26,14 +26,14 @@
     """Counts for the next report to one pilot."""
 
     def __init__(self, now: int) -> None:
-        self.since = now
+        self.since = now  # us, start of the period counted
         # endpoint -> tries, aborted, total latency of acked tries (us), tries that found it full
         self.endpoint_stats: dict[str, list[int]] = {}
         self.slice_stats: dict[tuple[int, int], list[int]] = {}  # (slice, op type) -> ops, unanswered
 
 
 class Agent:
-    """Connects a proxy to its pilots and the store.
+    """Connects a proxy to its pilots and, unless `store` is None, reads the tables of the store at the start.
 
     `rng` returns random numbers in [0, 1) and `challenge` random bytes for a handshake.
     `observe(event, **fields)` is called for events on the streams.
@@ -63,7 +63,7 @@
         self.observe = observe or (lambda event, **fields: None)
         self.pending_reports: dict[str, PendingReport] = {}
         self.in_flight: dict[str, Counter[str]] = {}  # pilot -> tries in flight by endpoint
-        self.applying_until = 0  # us; nothing is picked while a message is being applied
+        self.applying_until = 0  # us; no endpoint is picked while an order is being applied
         self.owner_waiters: list[Waker] = []  # ops that wait for an owner
         self.links: dict[str, Link] = {}
         if tables.slices:  # any pilot may hold slices, so a stream to each is kept
@@ -89,7 +89,7 @@
         return self.shares.spend(self.loop.now(), "probes")
 
     def pick(self, slice_id: int, op_type: int) -> Coroutine:
-        """Returns a Pick or a NoPick, after waiting while a message is being applied."""
+        """Returns a Pick or a NoPick, after waiting while an order is being applied."""
         while self.loop.now() < self.applying_until:
             yield from self.loop.sleep(self.applying_until - self.loop.now())
         return self.tables.pick(self.loop.now(), slice_id, op_type, self.rng())
@@ -109,7 +109,7 @@
                 return picked
 
     def on_op_received(self, slice_id: int, op_type: int, fresh: bool = True) -> None:
-        """Counts an incoming op, whatever becomes of it. `fresh` is whether it is no repeat."""
+        """Counts an incoming op, admitted or not. `fresh` is whether it is no repeat."""
         if fresh:
             self.shares.on_first_try()
         self.gate.on_op_received(self.loop.now(), self.tables.pilot_for(slice_id), op_type, fresh)
@@ -126,7 +126,10 @@
                 pending.slice_stats.setdefault((slice_id, op_type), [0, 0])[1] += 1
 
     def admit(self, pick: Pick, op_type: int, left: int, fresh: bool = True) -> Optional[Rejection]:
-        """Returns None if a picked op may be sent, or why not. `left` is the rest of its op timeout (us)."""
+        """Returns None if a picked op may be sent, else the rejection.
+
+        `left` is the rest of its op timeout (us), `fresh` whether it is no repeat.
+        """
         return self.gate.admit(self.loop.now(), pick.pilot, pick.endpoint, op_type, left, fresh)
 
     def on_try_started(self, pick: Pick) -> None:
@@ -136,7 +139,10 @@
     def on_try_finished(
         self, pick: Pick, aborted: bool, took: int, op_type: int = -1, full: bool = False
     ) -> None:
-        """Records a try that took `took` us. `full` is whether the endpoint's queue was full."""
+        """Records a try that took `took` us. `full` is whether the endpoint's queue was full.
+
+        With `op_type` -1 the try does not count in the loads that pilots ask for.
+        """
         self.tables.on_outcome(self.loop.now(), pick.endpoint, aborted)
         in_flight = self.in_flight.get(pick.pilot)
         if in_flight is not None and in_flight[pick.endpoint] > 0:
@@ -155,7 +161,7 @@
     # ---- streams of pilots
 
     def _stream_loop(self, names: list[str]) -> Coroutine:
-        """Keeps one stream open to any of `names`, tried in turn from a random one."""
+        """Keeps one stream open to one of the pilots `names`, which are tried in turn from a random one."""
         backoff = Backoff(MIN_REDIAL_DELAY_US, MAX_REDIAL_DELAY_US, self.rng)
         attempt = int(self.rng() * len(names))
         while True:
@@ -190,7 +196,7 @@
         self.gate.on_join(self.loop.now(), name, welcome.loads)
         pending = self.pending_reports[name] = PendingReport(self.loop.now())
         self.observe("joined", pilot=name)
-        heartbeats: dict[int, int] = {}
+        heartbeats: dict[int, int] = {}  # unanswered heartbeat -> when it was sent (us)
         background_tasks = [
             self.loop.spawn(
                 self._heartbeat_loop(name, link, heartbeats, welcome.beat_every), f"agent {name} beat"
@@ -215,11 +221,12 @@
             self.tables.on_lost(name)
             self.shares.on_lost(self.loop.now(), name)
             self.links.pop(name, None)
-            link.stream.finish(500_000)
+            link.stream.finish(500_000)  # us, to send what is queued
 
     def _handle_message(
         self, name: str, link: Link, message: m.Message, heartbeats: dict[int, int], cost: int
     ) -> Coroutine:
+        """Applies one message of a pilot. `cost` is how long applying a line or level takes (us)."""
         now = self.loop.now()
         if isinstance(message, m.HeartbeatOk):
             asked_at = heartbeats.pop(message.n, None)
@@ -235,7 +242,7 @@
         elif isinstance(message, m.Order):
             rows = len(message.lines) + len(message.levels)
             self.observe("order", pilot=name, order=message)
-            if cost and rows:  # applying takes the configured cost per line
+            if cost and rows:
                 self.applying_until = max(now, self.applying_until) + cost * rows
                 yield from self.loop.sleep(self.applying_until - now)
             self.tables.on_order(name, message)
@@ -252,6 +259,7 @@
             self._wake_waiters(name)
 
     def _wake_waiters(self, name: str) -> None:
+        """Lets waiting ops pick again after the tables changed; `name` is the pilot, "" for the store."""
         self.observe("in_force", pilot=name)
         waiting, self.owner_waiters = self.owner_waiters, []
         for waker in waiting:
--- a/cedarshift/agent/gate.py
+++ b/cedarshift/agent/gate.py
@@ -13,7 +13,7 @@
 from cedarshift.judge.overload import MAX_REPEAT_RATIO, REJECT_WAIT_US, shares
 
 POLICY_TTL_US = 3_000_000
-MAX_SAVED_REPEATS = 10.0  # bounds the burst of repeats after a quiet period
+MAX_SAVED_REPEATS = 10.0  # repeats; bounds the burst of repeats after a quiet period
 LATENCY_TTL_US = 3_000_000
 MIN_LATENCY_SAMPLES = 3  # acks before the latency estimate is used
 LATENCY_EWMA_WEIGHT = 0.2  # of the newest ack
@@ -46,11 +46,12 @@
     """Moving average of an endpoint's ack latency, in us."""
 
     def __init__(self) -> None:
-        self.took = 0.0
-        self.count = 0
-        self.at = 0
+        self.took = 0.0  # the average
+        self.count = 0  # acks in the average
+        self.at = 0  # when the newest ack was recorded
 
     def record(self, now: int, took: int) -> None:
+        """Adds an ack; the average starts anew if the last one is older than LATENCY_TTL_US."""
         if now - self.at > LATENCY_TTL_US:
             self.count = 0
         self.took = took if not self.count else self.took + LATENCY_EWMA_WEIGHT * (took - self.took)
@@ -63,8 +64,8 @@
 
     at: int  # us, when it was received
     policy: m.AdmissionPolicy
-    fair: list[float]  # by op type, the part of its load that this proxy may send
-    own: dict[str, float]  # endpoint -> its own share, where that differs
+    fair: list[float]  # by op type, the factor on the admitted share for this proxy
+    own: dict[str, float]  # endpoint -> its admitted share, where that differs from the policy's
 
 
 class ProxyGate:
@@ -75,7 +76,7 @@
         self.counting_since: dict[str, int] = {}  # pilot that asks for loads -> start of the current counts
         self.policies: dict[str, ActivePolicy] = {}
         self.counters: dict[str, dict[int, list[int]]] = {}  # by pilot and op type, see LOAD_COUNTERS
-        self.repeats = MAX_SAVED_REPEATS
+        self.repeats = MAX_SAVED_REPEATS  # credit for repeats, earned by fresh ops
         self.admitted = Thinning()
         self.ack_latencies: dict[str, AckLatency] = {}
 
@@ -90,7 +91,7 @@
             self.counting_since[pilot] = now
 
     def on_policy(self, now: int, pilot: str, policy: m.AdmissionPolicy, fair: list[float]) -> None:
-        """Replaces a pilot's policy. One whose order does not match its mix is ignored."""
+        """Replaces a pilot's policy. It is ignored unless its order lists each op type of its mix once."""
         if sorted(policy.order) != list(range(len(policy.mix))):
             return
         self.policies[pilot] = ActivePolicy(
@@ -109,10 +110,11 @@
         )
 
     def has_active_policy(self, now: int, pilot: str) -> bool:
+        """Returns whether a pilot's policy limits anything now."""
         return self.active_policy(now, pilot) is not None
 
     def take_loads(self, now: int, pilot: str) -> list[m.OpTypeStats]:
-        """Returns the counts to report to a pilot and resets them."""
+        """Returns the counts to report to a pilot and resets them; none if it does not ask for loads."""
         if pilot not in self.counting_since:
             return []
         span, self.counting_since[pilot] = now - self.counting_since[pilot], now
@@ -135,7 +137,7 @@
         return self.counters.setdefault(pilot, {}).setdefault(op_type, [0] * len(LOAD_COUNTERS))
 
     def on_op_received(self, now: int, pilot: str, op_type: int, fresh: bool) -> None:
-        """Counts an incoming op. `fresh` is whether it is no repeat and so earns part of one."""
+        """Counts an incoming op. `fresh` is whether it is no repeat; fresh ops earn credit for repeats."""
         counts = self._counters(pilot, op_type)
         if counts is not None:
             counts[0 if fresh else 1] += 1
@@ -149,7 +151,10 @@
     def admit(
         self, now: int, pilot: str, endpoint: str, op_type: int, left: int, fresh: bool
     ) -> Optional[Rejection]:
-        """Returns None if an op may be sent, or why not. `left` is the rest of its op timeout (us)."""
+        """Returns None if an op may be sent, else the rejection.
+
+        `left` is the rest of its op timeout (us).
+        """
         counts = self._counters(pilot, op_type)
         if counts is None:
             return None
@@ -166,6 +171,7 @@
         return None
 
     def _too_late(self, now: int, endpoint: str, left: int) -> bool:
+        """Returns whether the endpoint's ack would likely arrive after the op timeout."""
         latency = self.ack_latencies.get(endpoint)
         return (
             latency is not None
@@ -175,6 +181,7 @@
         )
 
     def _passes_limit(self, pilot: str, endpoint: str, op_type: int, policy: m.AdmissionPolicy) -> bool:
+        """Returns whether an op is within the share of its op type that the policy admits."""
         if op_type >= len(policy.mix):
             return True
         active = self.policies[pilot]
--- a/cedarshift/agent/shares.py
+++ b/cedarshift/agent/shares.py
@@ -21,16 +21,16 @@
 
     def __init__(self, incarnation: int, now: int) -> None:
         self.incarnation = incarnation
-        self.terms: dict[str, m.BudgetSpec] = {}  # by budget
+        self.terms: dict[str, m.BudgetSpec] = {}  # announced by any pilot, by budget
         self.budget_by_use: dict[str, str] = {}
         self.holders: dict[str, Holder] = {}  # by pilot
         self.buckets: dict[tuple[str, str], TokenBucket] = {}  # by budget and pilot
         self.demand: dict[str, DemandEstimator] = {}  # by budget
         self.joined: set[str] = set()  # pilots
-        self.asked_at: dict[str, int] = {}  # by pilot
-        self.ask_interval: dict[str, int] = {}  # by pilot, from the duration of its last shares
-        self.retry_credit: dict[str, float] = {}  # by budget, earned by fresh ops
-        self.announced_terms: dict[str, list[m.BudgetSpec]] = {}  # by pilot
+        self.asked_at: dict[str, int] = {}  # us, by pilot
+        self.ask_interval: dict[str, int] = {}  # us, by pilot, from the duration of its last shares
+        self.retry_credit: dict[str, float] = {}  # tokens by budget, earned by fresh ops
+        self.announced_terms: dict[str, list[m.BudgetSpec]] = {}  # by pilot, kept when its stream ends
 
     # ---- streams
 
@@ -105,7 +105,7 @@
             self.asked_at.pop(pilot, None)
 
     def _demands(self, now: int) -> dict[str, int]:
-        """Returns the demand of each budget to request from one pilot: an equal part from each."""
+        """Returns each budget's demand to request from one pilot; joined pilots are asked for equal parts."""
         for demand in self.demand.values():
             demand.close_interval(now)
         return {name: -(-demand.rate() // max(1, len(self.joined))) for name, demand in self.demand.items()}
@@ -119,21 +119,24 @@
                 self.retry_credit[name] = min(MAX_RETRY_CREDIT, self.retry_credit[name] + budget.of_fresh)
 
     def spend(self, now: int, use: str) -> bool:
-        """Spends one token of any pilot's share. Returns False if there is none."""
+        """Spends one token of any pilot's share. Returns False if there is none, True without a budget."""
         name = self.budget_by_use.get(use)
         if name is None:
             return True
-        limited = self.terms[name].of_fresh > 0
-        if limited and self.retry_credit[name] < 1.0:
+        needs_credit = self.terms[name].of_fresh > 0
+        if needs_credit and self.retry_credit[name] < 1.0:
             return False
         self.demand[name].record()
         for (budget, _), bucket in self.buckets.items():
             if budget == name and bucket.take(now):
-                self.retry_credit[name] -= 1.0 if limited else 0.0
+                self.retry_credit[name] -= 1.0 if needs_credit else 0.0
                 return True
         return False
 
     def granted(self, now: int, use: str) -> Optional[int]:
-        """Returns the amount granted by all pilots together, in parts, or None if the use is unlimited."""
+        """Returns the rate granted by all pilots together, or None if the use is unlimited.
+
+        The unit is a thousandth of a token per second.
+        """
         name = self.budget_by_use.get(use)
         return None if name is None else sum(holder.right(now, name) for holder in self.holders.values())
--- a/cedarshift/agent/tables.py
+++ b/cedarshift/agent/tables.py
@@ -17,8 +17,8 @@
 ALL_TABLES = 65_535  # table number of levels that apply to every table
 AVOID_DURATION_US = 3_000_000  # how long an endpoint is avoided after consecutive failures
 TRIALS_TTL_US = 3_000_000  # pilots repeat the trials every second
-PROBE_PERMIT_TTL_US = 1_000_000
-MAX_AVOIDED_REPORTED = 32  # in one message
+PROBE_PERMIT_TTL_US = 1_000_000  # an unused permit expires after this
+MAX_AVOIDED_REPORTED = 32  # endpoints in one report
 
 
 class OpKind(NamedTuple):
@@ -33,13 +33,17 @@
 
     endpoint: str
     pilot: str  # receives the report on the outcome
-    epoch: int
+    epoch: int  # of the slice, 0 without slices
 
 
 class NoPick(NamedTuple):
-    """No endpoint was chosen. `waits` is whether the op may wait briefly for an owner."""
+    """No endpoint was chosen. `waits` is whether the op may wait briefly for an owner.
 
-    reason: str  # "no-owner", "closed", "level", "lease"
+    Reasons: "no-owner"; "closed", a level admits none of its op type; "level", outside the share that a level
+    admits; "lease", a write without a running lease of the slice's pilot.
+    """
+
+    reason: str
     waits: bool = False
 
 
@@ -51,7 +55,7 @@
     pilot: str = ""  # assigned pilot; "" if the slice is known from the store only
     owner: str = ""
     levels: list[Level] = field(default_factory=list)
-    writes_until: Optional[int] = None  # set when the slice is revoked from its pilot
+    writes_until: Optional[int] = None  # us, end of writes once the slice is revoked from its pilot
 
 
 @dataclass
@@ -70,8 +74,9 @@
 class Tables:
     """The tables that a proxy has received from its pilots and the store.
 
-    `lease` is in us. Endpoints are picked by weighted round robin if `round_robin` is set, else at random by
-    weight. After `outlier_after` consecutive failures an endpoint is avoided; 0 disables this.
+    `lease` is how long a pilot's answer to a heartbeat allows writes, in us, counted from the heartbeat.
+    Endpoints are picked by weighted round robin if `round_robin` is set, else at random by weight. After
+    `outlier_after` consecutive failures an endpoint is avoided; 0 disables this.
     """
 
     def __init__(
@@ -90,10 +95,10 @@
         self.round_robin = round_robin
         self.outlier_after = outlier_after
         self.held: dict[int, HeldSlice] = {n: HeldSlice() for n in range(slices)}
-        self.views: dict[str, PilotView] = {}
+        self.views: dict[str, PilotView] = {}  # by pilot
         self.admitted = Thinning()
-        self.consecutive_failures: dict[str, int] = {}
-        self.avoided_until: dict[str, int] = {}
+        self.consecutive_failures: dict[str, int] = {}  # by endpoint
+        self.avoided_until: dict[str, int] = {}  # us, by endpoint; kept until a try succeeds
         self.may_probe: Optional[Callable[[], bool]] = None  # asked before an avoided endpoint is retried
         self.trials: dict[
             str, tuple[int, dict[str, float]]
@@ -107,6 +112,7 @@
     # ---- messages of pilots and the store
 
     def on_join(self, pilot: str) -> None:
+        """A pilot's stream has opened. Its orders are numbered from 1 again."""
         view = self.views.setdefault(pilot, PilotView())
         view.joined, view.seq = True, 0
 
@@ -201,6 +207,7 @@
 
     @staticmethod
     def _set_line(view: PilotView, line: Line) -> None:
+        """Sets an endpoint's weight; weight 0 removes the endpoint."""
         if line.weight > 0:
             view.lines[line.endpoint] = line.weight
         else:
@@ -209,6 +216,7 @@
 
     @staticmethod
     def _set_level(levels: list[Level], level: Level) -> None:
+        """Appends a level in place of the one for the same op types."""
         levels[:] = [old for old in levels if old.mask != level.mask] + [level]
 
     # ---- picks
@@ -235,6 +243,7 @@
         return Pick(held_slice.owner, held_slice.pilot, held_slice.epoch)
 
     def _pick_line(self, now: int, op_type: int, random_value: float) -> Union[Pick, NoPick]:
+        """Chooses an endpoint by weight from a joined pilot's table, else from the last one received."""
         joined = [name for name, view in self.views.items() if view.joined and view.lines]
         name = next(iter(joined or [name for name, view in self.views.items() if view.lines]), "")
         if not name:
@@ -294,7 +303,7 @@
     # ---- fleet-wide trials of endpoints, which override this proxy's own outlier detection
 
     def on_trials(self, now: int, pilot: str, shares: dict[str, float]) -> None:
-        """Replaces a pilot's trials: endpoint -> share of its weight."""
+        """Replaces a pilot's trials: endpoint -> fraction of its weight that it gets meanwhile."""
         self.trials[pilot] = (now, shares)
 
     def on_probe_permit(self, now: int, endpoint: str) -> None:
@@ -308,11 +317,12 @@
         ]
 
     def _current_trials(self, now: int, pilot: str) -> dict[str, float]:
+        """Returns a pilot's trials unless they have expired."""
         at, shares = self.trials.get(pilot, (0, {}))
         return shares if now - at <= TRIALS_TTL_US else {}
 
     def _take_probe_permit(self, now: int, view: PilotView) -> str:
-        """Uses up a permit and returns its endpoint, or "" if there is none."""
+        """Removes permits up to the first usable one and returns its endpoint, or "" if none is usable."""
         for endpoint, until in list(self.probe_permits.items()):
             del self.probe_permits[endpoint]
             if now < until and endpoint in view.lines:
@@ -321,6 +331,7 @@
 
     @staticmethod
     def _weighted_random(lines: dict[str, float], random_value: float) -> str:
+        """Picks an endpoint with a probability proportional to its weight."""
         left = random_value * sum(lines.values())
         for endpoint, weight in lines.items():
             left -= weight
@@ -338,7 +349,7 @@
         return best
 
     def _check_level(self, levels: list[Level], table: int, op_type: int) -> Optional[NoPick]:
-        """Returns None if an op passes the lowest level that applies to its type, else why not."""
+        """Returns None if an op is within the lowest share of the levels for its type, else why not."""
         share = min((lv.share for lv in levels if not lv.mask or lv.mask >> op_type & 1), default=1.0)
         if share >= 1.0:
             return None
@@ -347,7 +358,7 @@
         return None if self.admitted.passes((table, op_type), share) else NoPick("level")
 
     def retries(self, slice_id: int, op_type: int) -> int:
-        """Returns the retry level.
+        """Returns how ops of a type may be retried, by the last level that applies to them.
 
         0: no retry; 1: one, if the first try provably never ran; 2: one after any failure; 3: two.
         """
--- a/cedarshift/pilot/admin.py
+++ b/cedarshift/pilot/admin.py
@@ -57,7 +57,7 @@
 
 
 def _source_gauges(service: PilotService) -> dict[str, float]:
-    """Gauges of the endpoint list's source: age of the list, and members kept though their nodes vanished."""
+    """Gauges of the endpoint list's source: age of the list (-1 before the first) and counts of members."""
     source, now = service.source, service.loop.now()
     gauges = {"list_age_seconds": -1.0 if source.confirmed is None else (now - source.confirmed) / 1e6}
     if isinstance(source, EphemeralSource):
--- a/cedarshift/pilot/channel.py
+++ b/cedarshift/pilot/channel.py
@@ -22,7 +22,11 @@
 
 
 class PacedChannel(Generic[Item]):
-    """FIFO queue whose messages become available at a fixed rate of lines per second."""
+    """FIFO queue whose messages become available at a fixed rate of lines per second.
+
+    At most `max_messages` per proxy are expected within `message_window`; 0 disables this check. Each message
+    costs `lines_per_message` besides its own lines.
+    """
 
     def __init__(
         self,
@@ -32,7 +36,7 @@
         max_messages: int,
         message_window: int,
     ) -> None:
-        self.us_per_line = 1_000_000 / lines_per_s  # us
+        self.us_per_line = 1_000_000 / lines_per_s
         self.max_waiting_lines = max_waiting_lines
         self.header_lines = lines_per_message
         self.max_messages = max_messages
@@ -40,7 +44,7 @@
         self.queue: deque[QueuedMessage] = deque()
         self.waiting = 0.0  # lines queued now
         self.peak = 0.0  # most lines queued at a time
-        self.free_at = 0.0  # us, when the last message had passed the channel
+        self.free_at = 0.0  # us, when the last message taken had passed the channel
         self.sent: dict[int, deque[int]] = {}  # proxy -> send times (us) within the message window
         self.breaches = 0  # violations of the limits on queued lines and on messages per proxy
         self.lines_sent = 0.0
@@ -75,6 +79,7 @@
         return first
 
     def _check_message_rate(self, proxy: int, at: int) -> None:
+        """Counts a violation if a proxy receives too many messages within the window."""
         times = self.sent.setdefault(proxy, deque())
         times.append(at)
         while times[0] <= at - self.message_window:
--- a/cedarshift/pilot/intake.py
+++ b/cedarshift/pilot/intake.py
@@ -41,7 +41,7 @@
         self.zone_totals: dict[tuple[str, str], list[int]] = {}
         # (slice, op type) -> ops, unanswered, counted since (us)
         self.slice_totals: dict[tuple[int, int], list[int]] = {}
-        self.tokens = 0.0
+        self.tokens = 0.0  # aggregates that may be released; at most those of one period accumulate
         self.refilled_at = now
 
     def add_endpoint_stats(self, now: int, zone: str, stats: EndpointStats) -> None:
@@ -53,7 +53,7 @@
         totals[2] += stats.took * (tries - aborted)
 
     def add_slice_stats(self, now: int, stats: SliceStats) -> None:
-        """Adds a proxy's report on one slice."""
+        """Adds a proxy's report on one slice; more unanswered than received counts as all unanswered."""
         totals = self.slice_totals.setdefault((stats.slice, stats.op_type), [0, 0, now - stats.span])
         totals[0] += stats.ops
         totals[1] += min(stats.unanswered, stats.ops)
--- a/cedarshift/pilot/learning.py
+++ b/cedarshift/pilot/learning.py
@@ -37,13 +37,13 @@
 NEXT_LENDER_DELAY_US = 300_000  # pause before another lender is tried
 WARNING_CHECK_INTERVAL_US = 500_000
 MAX_PAYLOAD_BYTES = 8 << 20  # of a decompressed chunk
-MAX_CHUNKS = 4_096  # in one transfer
+MAX_CHUNKS = 4_096  # chunks in one transfer
 
 DECODER = msgspec.msgpack.Decoder(m.Chunk)
 
 
 class LearningError(Exception):
-    """A lender's answer is invalid, or the lender declines."""
+    """A lender's answer is invalid, or the lender declines. The message names the reason."""
 
 
 def unpack_chunk(facts: m.Facts) -> m.Chunk:
@@ -64,7 +64,9 @@
     except msgspec.DecodeError as error:
         raise LearningError(f"chunk {facts.chunk}: {error}") from None
     if not 0 <= facts.chunk < facts.chunks <= MAX_CHUNKS:
-        raise LearningError(f"chunk number {facts.chunk} of {facts.chunks}")
+        raise LearningError(
+            f"chunk number {facts.chunk} of {facts.chunks}, at most {MAX_CHUNKS} chunks are allowed"
+        )
     return chunk
 
 
@@ -74,7 +76,7 @@
 
 
 class Learning:
-    """Facts learnt from peers, and the task that fetches them.
+    """Facts learnt from peers, and the task that fetches them. `terms` is the deployment's block `learn`.
 
     `incarnation` identifies this run of the pilot; facts that originate from it are refused.
     """
@@ -84,8 +86,8 @@
         self.loop = service.loop
         self.terms = terms
         self.incarnation = incarnation
-        self.trust = BorrowedFacts()
-        self.lenders: dict[str, Lender] = {}
+        self.trust = BorrowedFacts()  # peers' reports on endpoints
+        self.lenders: dict[str, Lender] = {}  # by incarnation
         self.endpoints: dict[str, m.EndpointFact] = {}  # newest first-hand fact
         self.slice_stats: dict[int, list[tuple[int, m.LentSliceStats]]] = {}  # slice -> (heard at, stats)
         self.endpoint_stats: dict[
@@ -99,7 +101,7 @@
             str, tuple[str, int]
         ] = {}  # endpoint -> (process, start), as first passed to the decision module
         self.warned = 0  # endpoints under a borrowed warning now
-        self.done_at: Optional[int] = None  # when the first transfer was complete
+        self.done_at: Optional[int] = None  # us, when the first transfer was complete
         self.started_at = self.loop.now()
         self.tasks = [
             self.loop.spawn(self._fetch_loop(), "learning"),
@@ -190,7 +192,10 @@
                 return
 
     def _receive_chunk(self, link: Link, asked_at: int) -> Coroutine:
-        """Returns the lender's answer. Raises LearningError if it declines, TimedOut if it is too slow."""
+        """Returns the lender's answer. Raises TimedOut if it is too slow.
+
+        If the lender declines, raises LearningError after the wait that it asks for.
+        """
         while True:
             for message in (yield from link.receive(asked_at + self.terms.answer_within)):
                 if isinstance(message, m.Facts):
@@ -346,18 +351,18 @@
         now, trust = self.loop.now(), self.trust
         rows = []
         for reports, weight_of in ((trust.good, trust.good_weight), (trust.bad, trust.bad_weight)):
-            for (name, source), word in sorted(reports.items()):
+            for (name, source), report in sorted(reports.items()):
                 rows.append(
                     {
                         "endpoint": name,
-                        "phase": word.phase,
-                        "start": word.start,
-                        "origin": word.origin,
-                        "hops": word.hops,
+                        "phase": report.phase,
+                        "start": report.start,
+                        "origin": report.origin,
+                        "hops": report.hops,
                         "source": source,
-                        "rev": word.rev,
-                        "age_s": (now - word.heard) / 1e6,
-                        "weight": round(weight_of(word, now), 3),
+                        "rev": report.rev,
+                        "age_s": (now - report.heard) / 1e6,
+                        "weight": round(weight_of(report, now), 3),
                     }
                 )
         return {
--- a/cedarshift/pilot/lending.py
+++ b/cedarshift/pilot/lending.py
@@ -48,7 +48,7 @@
             ("proxies", proxies[n : n + PROXIES_PER_CHUNK]) for n in range(0, len(proxies), PROXIES_PER_CHUNK)
         ]
         self.parts = parts or [("endpoints", [])]
-        self.last_used_at = 0
+        self.last_used_at = 0  # us
 
 
 class Lending:
@@ -58,12 +58,13 @@
         self.service = service
         self.loop = service.loop
         self.incarnation = incarnation
+        # Reports with the time of their receipt (us), by endpoint and by slice (there with the op type).
         self.endpoint_stats: dict[str, deque[tuple[int, ZoneTotals]]] = {}
         self.slice_stats: dict[int, deque[tuple[int, str, SliceTotals]]] = {}
         self.plans: dict[str, LendingPlan] = {}  # by version
         self.plan_count = 0
         self.borrower: Optional[Link] = None
-        self.asked_at = -BORROWER_TIMEOUT_US
+        self.asked_at = -BORROWER_TIMEOUT_US  # us, newest request of the borrower
         self.free_at = 0  # us, when the next chunk may be built
         self.counts = {"chunks_lent": 0, "facts_lent": 0, "bytes_lent": 0, "lendings_declined": 0}
 
@@ -81,18 +82,18 @@
 
     def serve(self, link: Link, first: list[m.Message]) -> Coroutine:
         """Handles one borrower's connection until it ends."""
-        got = first
+        messages = first
         try:
             while True:
-                for message in got:
+                for message in messages:
                     if isinstance(message, m.FactsRequest):
                         yield from self._handle_request(link, message)
-                got = yield from link.receive(self.loop.now() + PLAN_TTL_US)
+                messages = yield from link.receive(self.loop.now() + PLAN_TTL_US)
         finally:
             if self.borrower is link:
                 self.borrower = None
 
-    def _handle_request(self, link: Link, ask: m.FactsRequest) -> Coroutine:
+    def _handle_request(self, link: Link, request: m.FactsRequest) -> Coroutine:
         """Sends the requested chunk, delayed to keep within the configured share of time, or declines."""
         now = self.loop.now()
         if self.borrower not in (None, link) and now - self.asked_at < BORROWER_TIMEOUT_US:
@@ -103,11 +104,11 @@
         if now < self.free_at:
             yield from self.loop.sleep(self.free_at - now)
         started_at = self.loop.now()
-        plan = self._get_plan(ask.version)
-        if ask.chunk >= len(plan.parts):
-            link.send(m.FactsDeclined(f"chunk {ask.chunk} of {len(plan.parts)}"))
+        plan = self._get_plan(request.version)
+        if request.chunk >= len(plan.parts):
+            link.send(m.FactsDeclined(f"chunk {request.chunk} of {len(plan.parts)}"))
             return
-        link.send(self._build_chunk(plan, ask.chunk if plan.version == ask.version else 0))
+        link.send(self._build_chunk(plan, request.chunk if plan.version == request.version else 0))
         learn = self.service.deployment.learn
         assert learn is not None
         now = self.loop.now()
@@ -173,21 +174,21 @@
         facts = [
             m.EndpointFact(
                 name,
-                word.phase,
-                word.start,
+                report.phase,
+                report.start,
                 1.0,
                 "",
-                now - word.heard,
+                now - report.heard,
                 -1,
                 -1,
                 0,
                 [],
                 source,
-                word.rev,
-                word.origin,
-                word.hops,
+                report.rev,
+                report.origin,
+                report.hops,
             )
-            for source, word in service.borrowed_reports(name)
+            for source, report in service.borrowed_reports(name)
         ]
         entry, known = service.listed.get(name), service.brain.endpoints.get(name)
         confirmed = service.source.confirmed
@@ -197,7 +198,7 @@
         leave_age = (
             now - known.leave_reported_at * TICK_US if entry.phase != "on" and known.leave_reported_at else -1
         )
-        sums = [
+        recorded = [
             m.LentEndpointStats(now - at, stats.tries, stats.aborted, stats.took, stats.span, stats.zone)
             for at, stats in self.endpoint_stats.get(name, ())
         ]
@@ -214,7 +215,7 @@
                 leave_age,
                 now - started * TICK_US if started is not None else -1,
                 max(0, sick * TICK_US - now),
-                sums,
+                recorded,
                 service.source.name,
                 service.source.rev,
                 self.incarnation,
@@ -224,8 +225,9 @@
         return facts
 
     def _slice_fact(self, number: int, now: int) -> m.SliceFact:
-        heats = [
+        """Returns the first-hand reports on a slice."""
+        recorded = [
             m.LentSliceStats(now - at, op_type, stats.ops, stats.unanswered, stats.span)
             for at, op_type, stats in self.slice_stats.get(number, ())
         ]
-        return m.SliceFact(number, heats, self.incarnation, 0)
+        return m.SliceFact(number, recorded, self.incarnation, 0)
--- a/cedarshift/pilot/rights.py
+++ b/cedarshift/pilot/rights.py
@@ -28,8 +28,8 @@
     def live_pilots() -> list[str]:
         if service.membership is None:
             return [pilot.name for pilot in service.deployment.pilots]
-        roll = service.membership.member.table
-        return [name for name in roll.names if roll.states[name] not in (DEAD, LEFT)]
+        membership_table = service.membership.member.table
+        return [name for name in membership_table.names if membership_table.states[name] not in (DEAD, LEFT)]
 
     fleet = Fleet(
         cold_endpoints,
--- a/cedarshift/pilot/service.py
+++ b/cedarshift/pilot/service.py
@@ -2,7 +2,8 @@
 
 Single ownership depends on the order of steps: the store commits a batch of decisions before any proxy
 receives it, and a joining proxy receives a snapshot of the committed state before any later order. An ack
-of a mark therefore covers everything the store held when the mark was ordered.
+of a mark therefore covers everything the store held when the mark was ordered. A mark is a number that the
+decision module puts into an order; a proxy acks it once it has applied that order and all earlier ones.
 """
 
 from __future__ import annotations
@@ -39,7 +40,7 @@
 from cedarshift.roster.sources import SavedList
 
 MAX_MESSAGES_PER_S = 400  # from one proxy
-MAX_PENDING_MARKS = 256  # unacked marks remembered per proxy
+MAX_PENDING_MARKS = 256  # unacked marks remembered per proxy session
 JOURNAL_SIZE = 200  # latest decisions, for `cedarshift tables`
 JOIN_BURSTS_PER_S = 4  # a burst of joins is one second's joins divided by this
 
@@ -84,11 +85,16 @@
         self.installs: dict[int, int] = {}  # proxy -> table, in deployments without slices
 
     def row_count(self) -> int:
+        """Returns the lines that the batch takes on the channel, levels included."""
         return len(self.lines) + len(self.levels)
 
 
 class PilotService:
-    """Runs one pilot. `seed` seeds its random numbers, `challenge()` returns random bytes for a handshake."""
+    """Runs one pilot.
+
+    `seed` seeds its random numbers, `challenge()` returns random bytes for a handshake, and
+    `report(event, **fields)` logs an event.
+    """
 
     def __init__(
         self,
@@ -126,11 +132,11 @@
         self.tables: dict[int, dict[str, float]] = {}  # table -> endpoint -> weight, without slices
         self.levels: list[m.Level] = []  # levels that apply to all tables
         self.listed: dict[str, Entry] = {}  # the endpoint list as its source reports it
-        self.list_rev = 0
-        self.snapshot_frame: Optional[bytes] = None
-        self.session_count = 0
-        self.pulling = False
-        self.channel_waker: Optional[Waker] = None
+        self.list_rev = 0  # lists and updates received
+        self.snapshot_frame: Optional[bytes] = None  # cache, None after a change
+        self.session_count = 0  # peers accepted, numbers their sessions
+        self.pulling = False  # whether _pull_decisions runs, which may call back into this object
+        self.channel_waker: Optional[Waker] = None  # set while the channel is empty
         self.counts = {
             "turns": 0,
             "lines": 0,
@@ -140,8 +146,9 @@
             "joins": 0,
             "refused": 0,
         }
+        # Latest delays from a decision to its ack, less the time the proxy held the ack back.
         self.in_force_us: deque[int] = deque(maxlen=10_000)
-        self.journal: deque[tuple[int, tuple]] = deque(maxlen=JOURNAL_SIZE)
+        self.journal: deque[tuple[int, tuple]] = deque(maxlen=JOURNAL_SIZE)  # (decided at us, decision)
         self.store: Optional[StoreClient] = None
         # The entries as passed to the decision module, with borrowed warnings applied.
         self.applied_entries: dict[str, Entry] = {}
@@ -208,7 +215,7 @@
             yield from self.budgets.spend("list_calls")
 
     def reload(self, deployment: Deployment) -> None:
-        """Applies the settings that may change at run time."""
+        """Applies the settings that may change at run time: the intake rate and the source of the list."""
         self.intake.lines_per_s = deployment.intake_per_s
         if deployment.listed != self.deployment.listed:
             self.source.stop()
@@ -217,7 +224,7 @@
         self.deployment = deployment
 
     def stop(self) -> None:
-        """Releases the slices, after which the store may assign them to another pilot at once."""
+        """Stops the pilot. Its slices are released, so the store may assign them to another one at once."""
         if self.store is not None:
             self.store.stop()
         for session in list(self.proxies.values()):
@@ -234,7 +241,11 @@
     # ---- endpoint list
 
     def on_list(self, kind: str, entries: list[Entry]) -> None:
-        """Handles a list from the source; `kind` is "replace", "restored", "update" or "unavailable"."""
+        """Handles a list from the source.
+
+        `kind` is "replace" (a full list), "restored" (a saved list), "update" (changed entries) or
+        "unavailable" (no entries).
+        """
         if kind in ("replace", "restored"):
             self.listed = {}
         self.listed.update({e.endpoint: e for e in entries})
@@ -314,14 +325,14 @@
             return []
         trust = self.learning.trust
         return [
-            (source, word)
+            (source, report)
             for source in sorted(trust.sources.get(name, ()))
             for reports in (trust.good, trust.bad)
-            if (word := reports.get((name, source))) is not None
+            if (report := reports.get((name, source))) is not None
         ]
 
     def proxy_rate(self, session: ProxySession) -> float:
-        """Returns the ops per second of a proxy."""
+        """Returns the ops per second that a proxy reported last."""
         return round(self.proxy_op_rates.get(session.number, 0.0), 2)
 
     # ---- store
@@ -391,6 +402,7 @@
             self._send(session, frame)
 
     def _send(self, session: ProxySession, frame: bytes) -> None:
+        """Sends a frame to a proxy; a broken stream is only reported."""
         try:
             session.link.send_frame(frame)
         except StreamBroken as error:  # the proxy's own task handles the end of its session
@@ -491,6 +503,7 @@
         return self.snapshot_frame
 
     def _handle_message(self, session: ProxySession, message: m.Message) -> None:
+        """Answers a heartbeat, or applies an ack or a report of a proxy."""
         if isinstance(message, m.Heartbeat):
             answer = m.HeartbeatOk(message.n, self.in_charge())
             if message.ask and self.budgets is not None:
@@ -524,7 +537,7 @@
         return row.owner if row is not None else ""
 
     def in_charge(self) -> bool:
-        """Returns whether this pilot's assignment of slices is still valid."""
+        """Returns whether this pilot's assignment of slices is still valid; True without slices."""
         return not self.deployment.slices or (self.store is not None and self.store.in_charge())
 
     def _handle_ack(self, session: ProxySession, ack: m.Ack) -> None:
@@ -588,6 +601,7 @@
         return round_down(self.loop.now())
 
     def _schedule_alarm(self, after: int, nonce: int) -> None:
+        """Calls the module's alarm with `nonce` in `after` ticks."""
         self.loop.at(self.loop.now() + after * TICK_US, self._on_alarm, nonce)
 
     def _on_alarm(self, nonce: int) -> None:
@@ -635,6 +649,7 @@
             raise ValueError(f"unknown decision {verb!r}")
 
     def _epoch(self, table: int) -> int:
+        """Returns the epoch of an assigned slice, or 0 for any other table."""
         row = self.slices.get(table)
         return row.epoch if row is not None else 0
 
@@ -693,12 +708,13 @@
         self._send_batch(batch)
 
     def _send_batch(self, batch: DecisionBatch) -> None:
+        """Queues a committed batch for all proxies."""
         self._update_fleet_levels(batch)
         packed = (pack_rows(batch.lines), pack_rows(batch.levels), batch.mark, batch.decided_at)
         self._enqueue(self.proxies, batch, packed)
 
     def _update_fleet_levels(self, batch: DecisionBatch) -> None:
-        """Keeps the levels that apply to all tables for later snapshots."""
+        """Keeps the levels that apply to all tables for later snapshots and drops the cached snapshot."""
         for level in batch.levels:
             if level.table == ALL_TABLES:
                 self.levels = [lv for lv in self.levels if lv.mask != level.mask] + [level]
@@ -748,7 +764,8 @@
             if joined is not None:
                 joined.table = table
                 lines = [
-                    m.Line(table, end, weight) for end, weight in sorted(self.tables.get(table, {}).items())
+                    m.Line(table, endpoint, weight)
+                    for endpoint, weight in sorted(self.tables.get(table, {}).items())
                 ]
                 self._send(joined, encode(m.Snapshot(table=table, lines=lines, levels=self.levels)))
 
--- a/cedarshift/pilot/store_client.py
+++ b/cedarshift/pilot/store_client.py
@@ -15,10 +15,10 @@
 from cedarshift.loop import Loop, StreamBroken, TimedOut
 from cedarshift.loop.core import Coroutine
 
-DIAL_TIMEOUT_US = 1_000_000
+DIAL_TIMEOUT_US = 1_000_000  # connect and handshake; also for the answer to Open
 MIN_REDIAL_DELAY_US = 100_000
 MAX_REDIAL_DELAY_US = 2_000_000
-DIAL_PERMIT_POLL_US = 20_000
+DIAL_PERMIT_POLL_US = 20_000  # between checks whether the budget allows a dial
 LEASE_JITTER_DIVISOR = 8  # while the lease runs, redials are spread over this fraction of it
 CLOCK_DRIFT_DIVISOR = 500  # the lease is shortened by 1/500, as the store's clock may run up to 0.2% faster
 RENEWALS_PER_LEASE = 4
@@ -35,7 +35,10 @@
 
 
 class StoreBudgets(Protocol):
-    """The budgets that use the pilot's store session and limit how often the store is dialled."""
+    """The budgets that use the pilot's store session and limit how often the store is dialled.
+
+    `wish` registers that one dial is wanted, `take` spends it from the budget if that is possible now.
+    """
 
     def on_store_link(self, link: Optional[Link]) -> None: ...
     def on_shares(self, message: m.BudgetSharesReply) -> None: ...
@@ -44,7 +47,11 @@
 
 
 class StoreClient:
-    """Keeps a pilot's session at the store open. `rng` returns random numbers in [0, 1)."""
+    """Keeps a pilot's session at the store open.
+
+    `pilot_index` is the pilot's position among the deployment's pilots; `rng` returns random numbers in
+    [0, 1).
+    """
 
     def __init__(
         self,
@@ -68,10 +75,10 @@
         self.report = report
         self.link: Optional[Link] = None
         self.valid_until = 0  # us, when the session's lease expires
-        self.lease = 0  # us
+        self.lease = 0  # us, as counted here: shortened for clock drift
         self.renewals: dict[int, int] = {}  # unanswered renewal -> when it was sent (us)
-        self.last_number = 0
-        self.pending_commits: dict[int, CommitCallback] = {}
+        self.last_number = 0  # of the commits and renewals, which are numbered together
+        self.pending_commits: dict[int, CommitCallback] = {}  # by number
         self.budgets = budgets
         self.rng = rng
         self.backoff = Backoff(MIN_REDIAL_DELAY_US, MAX_REDIAL_DELAY_US, rng)
@@ -85,7 +92,8 @@
     def commit(self, writes: list[m.SliceWrite], then: CommitCallback) -> bool:
         """Sends writes and returns True, or returns False if there is no valid session.
 
-        `then(denied)` is called once the store has answered, in the order of the commits.
+        `then(denied)` is called once the store has answered, in the order of the commits. It is never called
+        if the session ends before.
         """
         if self.link is not None and not self.in_charge():
             # Answers to renewals may still be unread, e.g. after the process was suspended. They must not
@@ -156,6 +164,7 @@
             self._release_slices()
 
     def _release_slices(self) -> None:
+        """Informs the observer, once per session, that no slice is assigned any more."""
         if not self.lapsed:
             self.lapsed = True
             self.observer.on_store_session_lost()
--- a/cedarshift/store/ledger.py
+++ b/cedarshift/store/ledger.py
@@ -33,6 +33,7 @@
 
 
 def _checksum(row: SliceRecord, levels: bytes) -> int:
+    """Returns the CRC-32 of a row's columns; `levels` are the encoded levels."""
     return zlib.crc32(
         msgspec.msgpack.encode([row.slice, row.epoch, row.version, row.pilot, row.owner, levels])
     )
@@ -73,7 +74,7 @@
 
 
 class MemoryLedger:
-    """Keeps the rows in memory, for tests and simulations."""
+    """Keeps the rows in memory, for tests and simulations; `slices` is their number."""
 
     def __init__(self, slices: int) -> None:
         self.rows = {n: SliceRecord(n) for n in range(slices)}
@@ -81,6 +82,7 @@
         self.starts = 0
 
     def record_start(self) -> int:
+        """Counts a start of the store and returns its number, from 1."""
         self.starts += 1
         return self.starts
 
@@ -100,9 +102,10 @@
 
 
 class Ledger:
-    """A store's file. `put` returns once the rows would survive a crash or a loss of power.
+    """A store's rows in an SQLite file, created if it is missing, for a deployment of `slices` slices.
 
-    Raises DamagedLedgerError if the file can't be used.
+    `put` returns once the rows would survive a crash or a loss of power. The constructor raises
+    DamagedLedgerError if the file can't be used.
     """
 
     def __init__(self, path: str, deployment: str, slices: int) -> None:
@@ -121,6 +124,7 @@
             raise
 
     def _damaged(self, what: str) -> DamagedLedgerError:
+        """Returns the error for the fault `what`, with instructions for recovery."""
         return DamagedLedgerError(
             f"{self.path}: {what}. The file is not used. To recover, stop every pilot of the deployment, "
             f"then run `cedarshift store restore DEPLOYMENT-FILE --from BACKUP`, or move the file away to "
@@ -128,7 +132,10 @@
         )
 
     def _check_header(self, deployment: str) -> None:
-        """Initialises a new file. Raises DamagedLedgerError if it was made for other settings."""
+        """Initialises a new file and checks the settings of an existing one.
+
+        Raises DamagedLedgerError if the format, deployment or number of slices differs.
+        """
         assert self.db is not None
         expected = {"format": str(FORMAT_VERSION), "deployment": deployment, "slices": str(self.slices)}
         self.db.execute("BEGIN IMMEDIATE")
@@ -155,7 +162,7 @@
         return int(row[0]) if row else 0
 
     def record_start(self, ahead: int = 0) -> int:
-        """Durably records a start, `ahead` numbers beyond the next, and returns its number, from 1.
+        """Durably records a start and returns its number, from 1; `ahead` is how many numbers to skip.
 
         Raises DamagedLedgerError if it can't be written.
         """
@@ -225,10 +232,11 @@
 def restore(
     path: str, backup: str, deployment: str, slices: int, ahead: int = RESTORE_START_OFFSET * EPOCHS_PER_LIFE
 ) -> int:
-    """Replaces a damaged file, kept as `.damaged`, by a backup. Returns the number of slices.
+    """Replaces the file at `path`, kept as `.damaged`, by a backup. Returns the number of slices.
 
-    The owners in a backup may be outdated, so all are cleared, and epochs are raised beyond any that a proxy
-    may have seen. The pilots then wait out a lease and the settle time for each slice.
+    The owners in a backup may be outdated, so all are cleared. Each epoch is raised by `ahead`, beyond any
+    that a proxy may have seen, and the count of starts by RESTORE_START_OFFSET. The pilots then wait out a
+    lease and the settle time for each slice.
     """
     source = Ledger(backup, deployment, slices)
     try:
--- a/cedarshift/store/service.py
+++ b/cedarshift/store/service.py
@@ -16,15 +16,19 @@
 
 MAX_MESSAGES_PER_S = 2_000  # from one peer
 MAX_READERS_PER_S = 500.0  # proxies that read all tables, limited so that pilots are not delayed
-READER_BURST = 100.0
+READER_BURST = 100.0  # readers admitted at once
 
 
 def to_held_row(row: SliceRecord) -> m.SliceState:
+    """Converts a stored row to the form sent to pilots and proxies."""
     return m.SliceState(row.slice, row.epoch, row.version, row.owner, row.levels)
 
 
 class BudgetAllocator(Protocol):
-    """Allocates shares of the budgets: collects requests with `hear`, answers them in `carry_out`."""
+    """Allocates shares of the budgets among the pilots.
+
+    `hear` queues a request, `carry_out` answers all queued ones, `shown` returns the status as JSON.
+    """
 
     def hear(self, peer: Link, name: str, message: m.Message) -> None: ...
     def carry_out(self) -> None: ...
@@ -35,7 +39,9 @@
 class StoreService:
     """Serves one store. Answers to a pilot are sent only after the commit they report.
 
-    `lease`, `takeover` and `back_after` are in us.
+    `lease` is how long a pilot's session lasts without renewal, `takeover` how long slices wait for
+    their absent home pilot before others get them, and `back_after` how long the home pilot must be back
+    before they return to it, all in us.
     """
 
     def __init__(
@@ -61,12 +67,12 @@
         )
         self.challenge = challenge
         self.peers: dict[str, Link] = {}  # pilot -> newest connection
-        self.session_numbers: dict[str, int] = {}  # pilot -> session
+        self.session_numbers: dict[str, int] = {}  # pilot -> number of its newest session
         self.waiting: list[tuple[Link, str, m.Commit]] = []  # commits not processed yet
         self.pending_revocations: dict[tuple[str, int], list[int]] = {}  # (pilot, number) -> slices
-        self.last_number = 0
-        self.work_waker: Optional[Waker] = None
-        self.denied = 0
+        self.last_number = 0  # of the connections and revocations, which are numbered together
+        self.work_waker: Optional[Waker] = None  # set while _process_loop waits for work
+        self.denied = 0  # writes refused since the start
         self.reader_limiter = JoinLimiter(MAX_READERS_PER_S, READER_BURST, loop.now())
         self.packed_rows: Any = None  # cache of all rows, packed
         self.tasks = [
@@ -77,6 +83,7 @@
         ]
 
     def stop(self) -> None:
+        """Closes the connections of the pilots, the ledger and the allocator."""
         for task in self.tasks:
             task.cancel()
         self.listener.close()
@@ -131,6 +138,7 @@
         return self.packed_rows
 
     def _handle_message(self, peer: Link, name: str, message: m.Message) -> None:
+        """Handles a pilot's message. A connection without the pilot's current session is closed."""
         now = self.loop.now()
         if isinstance(message, m.Open):
             former = self.peers.get(name)
@@ -166,6 +174,7 @@
     # ---- commits and assignments
 
     def _wake(self) -> None:
+        """Lets _process_loop run in the next pass of the loop."""
         if self.work_waker is not None:
             self.work_waker.wake()
 
--- a/tests/program.py
+++ b/tests/program.py
@@ -128,6 +128,7 @@
         return self.agents[name]
 
     def run(self, seconds):
+        """Runs the loop for this long on its virtual clock."""
         self.loop.run(self.loop.spawn(self.loop.sleep(int(seconds * SECOND)), "wait"))
 
     def owners(self, name="x0"):
@@ -161,7 +162,7 @@
     After the last proxy may send to one owner, none may send to another until the settle time is over.
     """
 
-    STEP = 4_000  # us
+    STEP = 4_000  # us between polls
 
     def __init__(self, fleet, writes=1):
         self.fleet, self.writes, self.violations = fleet, writes, []
@@ -182,6 +183,7 @@
             yield from loop.sleep(self.STEP)
 
     def permit(self, now, number, endpoint, settle):
+        """Records that a proxy may write to an endpoint; too soon after a former owner is a violation."""
         self.permitted += 1
         former = self.owner.get(number)
         if former not in (None, endpoint):
--- a/tests/test_agent.py
+++ b/tests/test_agent.py
@@ -1,3 +1,5 @@
+"""A proxy's routing tables, its shares of the budgets, and the credit for retries."""
+
 import pytest
 from program import virtual_loop
 
@@ -12,6 +14,7 @@
 
 
 def tables(slices=2, epoch=5, owner="a", lease_until=LEASE, **options):
+    """Tables with one pilot "p", whose lease runs until `lease_until` and whose slices `owner` owns."""
     made = Tables(
         slices, [OpKind("get", False), OpKind("put", True)], True, LEASE, options.pop("even", True), **options
     )
--- a/tests/test_peer.py
+++ b/tests/test_peer.py
@@ -28,6 +28,7 @@
 
 
 def drain_and_list(tmp_path, phases):
+    """Rewrites the list; `phases` is endpoint -> (phase, start)."""
     write_list(tmp_path, [(e, phase, start) for e, (phase, start) in sorted(phases.items())])
 
 
@@ -101,6 +102,7 @@
 
 
 def stop_list_source(pilot):
+    """Cuts a pilot off from its list, which ages from now on."""
     pilot.source.stop()
 
 
--- a/tests/test_pilot.py
+++ b/tests/test_pilot.py
@@ -12,6 +12,7 @@
 
 
 def fleet(tmp_path, seconds=12, proxies=3, delay=200, **terms):
+    """A fleet after `seconds` of running; `delay` is the network's, in us."""
     loop = virtual_loop(delay)
     made = Fleet(loop, deployment(tmp_path, **terms), proxies)
     made.run(seconds)
@@ -20,6 +21,7 @@
 
 
 def drain(tmp_path, names, endpoints="abcd"):
+    """Rewrites the list with the endpoints `names` draining."""
     write_list(tmp_path, [(e, "fading" if e in names else "on", "1") for e in endpoints])
 
 
@@ -178,6 +180,7 @@
 
 
 def peer_of(f, name="bad"):
+    """Connects an additional proxy to the first pilot and completes the handshake."""
     session = Session(Identity(f.deployment.name, "proxy", name, "z"))
     return connect(f.loop, f.deployment.pilots[0].listen, session, SECOND)
 
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -1,3 +1,5 @@
+"""The assignment of slices to pilots, and the ledger that keeps it across crashes and restores."""
+
 import os
 import random
 import signal
@@ -253,7 +255,7 @@
         c.renew(3 * LEASE // 2 - 1, "p0", 2),
         c.renew(3 * LEASE // 2 - 1, "p1", 1),
     )
-    assert c.step(BACK + 10).taken == {"p0": [1, 3]}  # then home, after a release
+    assert c.step(BACK + 10).taken == {"p0": [1, 3]}  # moved to their home pilot in two steps
     c.released("p0", [1, 3])
     assert {name: len(rows) for name, rows in c.step(BACK + 11).given.items()} == {"p1": 2} and holders(
         c
