--- a/cedarshift/codec/platform/config.py
+++ b/cedarshift/codec/platform/config.py
@@ -19,6 +19,8 @@
 
 
 class Environment(NamedTuple):
+    """The parsed environment variables. `config` is the path of the configuration file."""
+
     name: str
     listen: Address
     discovery: Address
@@ -38,6 +40,7 @@
 
 
 def parse_environment(environ: Mapping[str, str]) -> Environment:
+    """Raises ConfigError for a variable that is missing or invalid."""
     missing = [name for name in REQUIRED_VARIABLES if not environ.get(name)]
     if missing:
         raise ConfigError(
@@ -56,6 +59,7 @@
 
 
 def parse_address(raw: Any, key: str) -> Address:
+    """Parses the field `key`, "host:port". Raises InvalidMessage."""
     host, _, port = fields.string(raw, key).rpartition(":")
     if not host or not port.isascii() or not port.isdecimal() or not 0 < int(port) <= 65_535:
         raise InvalidMessage(f"{key}: {raw[key]!r}, expected host:port")
@@ -111,6 +115,7 @@
 
 
 def _with_path(key: str, read: Any) -> Any:
+    """Calls `read()` and prefixes the field path in an InvalidMessage with `key`."""
     try:
         return read()
     except InvalidMessage as error:
--- a/cedarshift/codec/platform/entries.py
+++ b/cedarshift/codec/platform/entries.py
@@ -11,7 +11,7 @@
 from cedarshift.interface import Entry
 
 PHASES = {"ready": "on", "draining": "fading", "gone": "off"}
-ORDER_SEPARATORS = {",", ";"}  # separate orders and their fields
+ORDER_SEPARATORS = {",", ";"}  # of the orders that contain endpoint names
 MAX_REVISION = 1 << 62
 MAX_LINE_BYTES = 4 << 20  # a list of 10,000 endpoints has about 2 MB
 MAX_UNIX_MS = 1e14
@@ -42,6 +42,7 @@
 
 
 def _parse_entry(raw: Any) -> Entry:
+    """Parses one endpoint. A missing or zero weight counts as 1, a missing or zero start time as unknown."""
     if not isinstance(raw, dict):
         raise InvalidMessage(f": JSON {type(raw).__name__}, expected an object")
     phase = PHASES.get(fields.string(raw, "lifecycle"))
--- a/cedarshift/codec/platform/events.py
+++ b/cedarshift/codec/platform/events.py
@@ -8,7 +8,7 @@
 from cedarshift.codec.platform import fields
 from cedarshift.codec.platform.errors import InvalidMessage, MalformedStream
 
-MAX_LINE_BYTES = 65_536  # also the limit of one event
+MAX_LINE_BYTES = 65_536  # also the limit of the data lines of one event
 MAX_INTEGER = 65_535  # of proxy, slice and mark numbers
 MAX_LATENCY_MS = 600_000.0
 
@@ -50,7 +50,7 @@
 
 
 def parse_fields(data: str) -> dict[str, str]:
-    """Parses `a=1&b=2`."""
+    """Parses event data such as `a=1&b=2`. The functions below read its fields or raise InvalidMessage."""
     out = {}
     for pair in data.split("&"):
         key, _, value = pair.partition("=")
@@ -97,6 +97,7 @@
 
 
 def is_assigned(values: dict[str, str]) -> bool:
+    """Whether a lease event assigns the slice to this pilot rather than removes it."""
     return boolean(values, "set")
 
 
@@ -106,5 +107,5 @@
 
 
 def line_endpoint(values: dict[str, str]) -> str:
-    """The endpoint of a table's line, "" for a line that was removed."""
+    """The endpoint of a slice's table line, "" for a line that was removed (weight 0)."""
     return values.get("endpoint", "") if number(values, "w", 1e9) > 0 else ""
--- a/cedarshift/codec/platform/fields.py
+++ b/cedarshift/codec/platform/fields.py
@@ -28,6 +28,7 @@
 
 
 def integer(raw: Any, key: str, minimum: int, maximum: int) -> int:
+    """Also accepts a float without a fractional part."""
     value = raw.get(key)
     if isinstance(value, float) and value.is_integer():
         value = int(value)
--- a/cedarshift/codec/platform/frames.py
+++ b/cedarshift/codec/platform/frames.py
@@ -13,6 +13,7 @@
 
 
 def encode(message: dict[str, Any]) -> bytes:
+    """Encodes one message with its length header."""
     body = orjson.dumps(message)
     return len(body).to_bytes(HEADER_BYTES, "big") + body
 
--- a/cedarshift/platform/collectors.py
+++ b/cedarshift/platform/collectors.py
@@ -15,7 +15,7 @@
 
 JOIN_TIMEOUT_US = 1_200_000  # the platform allows 1 s to 3 s
 UNJOINED_SOCKET_DIVISOR = 4  # 1/4 of the file descriptors for unjoined connections
-MIN_JOINED = 64  # joined connections
+MIN_JOINED = 64  # lower bound of the limit on joined connections
 JOINED_PER_ZONE = 4  # one collector per zone, plus its earlier connections
 JOINED_SOCKET_DIVISOR = 2  # at most 1/2 of the file descriptors for joined connections
 MAX_UNJOINED_MESSAGE_BYTES = 4_096
@@ -47,6 +47,7 @@
         self.messages_in_window = 0
 
     def feed(self, data: bytes, now: int) -> None:
+        """Passes received bytes to the decoder and updates the times that `deadline` uses."""
         if not self.decoder.buffer:
             self.message_started_at = now
         self.last_read_at = now
@@ -91,7 +92,8 @@
 class Collectors:
     """Accepts and serves connections. Collectors of `zones` may join, or any if there are no zones.
 
-    `on_report(message)` raises InvalidMessage for an invalid report."""
+    `on_report(message)` raises InvalidMessage for an invalid report; the connection stays open.
+    `report(event, **fields)` writes a log line."""
 
     def __init__(
         self,
@@ -110,7 +112,7 @@
         self.report = report
         self.unjoined: dict[Connection, None] = {}  # oldest first
         self.joined: dict[Connection, None] = {}
-        self.unjoined_messages = 0  # a stopping pilot waits until this no longer grows
+        self.unjoined_messages = 0  # received so far; `stop` waits until no more arrive
         self.counts = {"callers": 0, "joined": 0, "evicted": 0, "sent_away": 0, "reports": 0, "spoilt": 0}
         self.task = loop.spawn(self._accept(), "accept")
 
@@ -230,7 +232,7 @@
         self.unjoined.pop(connection, None)
         self.joined[connection] = None
         self.counts["joined"] += 1
-        if len(self.joined) > self.limits.joined:  # active collectors report each period
+        if len(self.joined) > self.limits.joined:  # close the one silent for longest
             self._evict(self.joined, min(self.joined, key=lambda one: one.last_read_at))
 
     def _handle_report(self, message: dict[str, Any]) -> None:
--- a/cedarshift/platform/discovery.py
+++ b/cedarshift/platform/discovery.py
@@ -15,7 +15,9 @@
 
 
 class Discovery:
-    """Follows the endpoint list and calls `on_list` with each EndpointList."""
+    """Follows the endpoint list and calls `on_list` with each EndpointList.
+
+    The first watch resumes from `initial_list`, or asks for the full list if it is None."""
 
     def __init__(
         self,
--- a/cedarshift/platform/relay.py
+++ b/cedarshift/platform/relay.py
@@ -1,8 +1,9 @@
 """The connections to the relay: calls that carry orders, and the event stream.
 
 Single ownership depends on the sequence of orders, so a call whose outcome is unknown is retried on a new
-connection before any later call. Orders are idempotent, but applying them twice loads the channel twice: an
-ack of the call's mark proves that the call was applied, so the pilot waits for one before it retries.
+connection before any later call. Orders are idempotent, but the relay pushes repeated ones to the proxies
+again. A mark is an order that proxies ack once they have applied everything before it, so the pilot first
+waits for an ack, which proves that the call was applied.
 """
 
 from __future__ import annotations
@@ -20,30 +21,31 @@
 IDLE_TIMEOUT_US = 2_000_000  # below the relay's own idle timeout of 10 s
 MIN_ACK_WAIT_US = 400_000
 MAX_ACK_WAIT_US = 4_000_000
-ACK_WAIT_FACTOR = 1.5  # times the latest latency of a batch's first ack
+ACK_WAIT_FACTOR = 1.5  # multiple of the latest latency of a first ack
 RETRY_MIN_DELAY_US = 10_000  # before the second retry of a call, doubled for each further one
 RETRY_MAX_DELAY_US = 200_000
 BUSY_DELAY_US = 100_000  # before the retry of a rejected call
-MAX_CALL_REJECTIONS = 3  # after which the call's first order is dropped
+MAX_CALL_REJECTIONS = 3  # retries before the first order is dropped; unlimited for BUSY
 SILENCE_TIMEOUT_US = 2_500_000  # heartbeats come every second
 SNAPSHOT_PAUSE_US = 25_000  # two pauses of this length end the initial snapshot
 
 
 class OrderBatch:
-    """Orders decided at one time. `pending`: those not yet known to be accepted."""
+    """Orders decided at one time (`decided_at`, us). `pending`: those not yet accepted or rejected."""
 
     def __init__(self, decided_at: int, pending: list[orders.Order]) -> None:
         self.decided_at = decided_at
         self.pending = pending
         self.marks = [one.mark for one in pending if one.mark is not None]
-        self.acked = False  # acks of a mark prove that all orders up to it were applied
+        self.acked = False  # whether any of `marks` was acked
 
 
 class RelayCalls:
     """Sends one batch of orders at a time.
 
-    `on_accepted(order)` or `on_rejected(order)` is called for each order, and `on_done(batch)` after the
-    last one. `acks_expected()` tells whether any proxy could ack."""
+    `on_accepted(order)` or `on_rejected(order)` is called for each order that was not removed by
+    `drop_slice`, and `on_done(batch)` after the last one. `acks_expected()` returns whether any proxy is
+    connected that could ack."""
 
     def __init__(
         self,
@@ -64,7 +66,7 @@
         self.report = report
         self.last_ack_latency_us = 0  # of the first ack of the latest acked batch
         self.ack_waker: Optional[Waker] = None
-        self.request_unsent = False  # no byte of the last call was sent
+        self.request_unsent = False  # no byte of the last failed call was sent
         self.pool = Pool(loop, DIAL_TIMEOUT_US, IDLE_TIMEOUT_US, max_idle=1)
         self.batch: Optional[OrderBatch] = None
         self.idle_waker: Optional[Waker] = None
@@ -73,9 +75,11 @@
 
     @property
     def busy(self) -> bool:
+        """Whether a batch is in progress."""
         return self.batch is not None
 
     def submit(self, batch: OrderBatch) -> None:
+        """Starts sending a batch. The previous one must be done."""
         assert self.batch is None, "one batch at a time"
         self.batch = batch
         if self.idle_waker is not None:
@@ -142,7 +146,9 @@
                 self._apply_response(batch, sent, response.accepted)
 
     def _wait_for_ack(self, batch: OrderBatch) -> Coroutine:
-        """Waits for an ack of the batch's mark and returns whether one arrived."""
+        """Waits for an ack of any mark of the batch and returns whether one has arrived.
+
+        Does not wait if the call was not sent or no proxy could ack."""
         deadline = self.loop.now() + int(
             min(MAX_ACK_WAIT_US, max(MIN_ACK_WAIT_US, ACK_WAIT_FACTOR * self.last_ack_latency_us))
         )
@@ -184,7 +190,8 @@
             return None
 
     def _on_call_rejected(self, batch: OrderBatch, error: str, attempts: int) -> Coroutine:
-        """Waits before the retry of a rejected call and drops its first order if the error persists.
+        """Waits before the retry of a rejected call. Drops its first order if an error other than BUSY occurs
+        after MAX_CALL_REJECTIONS retries, including unanswered ones.
 
         Returns the new attempt count."""
         self.counts["busy"] += 1
@@ -196,6 +203,8 @@
         return attempts + 1
 
     def _apply_response(self, batch: OrderBatch, sent: list[orders.Order], accepted: int) -> None:
+        """Settles the accepted orders and the first one not accepted, where the relay stops; later orders
+        stay pending."""
         for one in sent[:accepted]:
             self.on_accepted(one)
         settled_ids = set(map(id, sent[: accepted + 1]))
@@ -210,7 +219,10 @@
 
 
 class RelayEventHandler(Protocol):
-    """Receives the relay's events in the order of the stream."""
+    """Receives the relay's events in the order of the stream.
+
+    `proxies` maps a proxy to its zone, `slices` an assigned slice to the endpoint of its table line, "" for
+    none. `latency` is in 0.1 ms; `requested_at` and `stream_started_at` are loop times in us."""
 
     def on_snapshot(
         self, proxies: dict[int, str], slices: dict[int, str], silence_us: int, requested_at: int
@@ -262,7 +274,7 @@
         self.loop = loop
         self.handler = handler
         self.report = report
-        self.updated_at = loop.now()  # when the handler was last up to date
+        self.updated_at = loop.now()  # when data last arrived, not counting an unfinished snapshot
         self.counts = {"streams": 0, "events": 0, "news_spoilt": 0}
         self.stream = ReconnectingStream(
             loop,
--- a/cedarshift/platform/service.py
+++ b/cedarshift/platform/service.py
@@ -25,9 +25,9 @@
 from cedarshift.platform.relay import OrderBatch, RelayCalls, RelayEvents
 from cedarshift.platform.start_times import StartTimes
 
-TENTH_MS_US = 100  # the module's time unit is 0.1 ms
-MAX_MARKS = 512  # marks that still accept acks
-FAULT_RETRY_US = 50_000  # after an exception in the module
+TENTH_MS_US = 100  # 0.1 ms, the time unit of the decision module
+MAX_MARKS = 512  # most recent marks whose acks are processed
+FAULT_RETRY_US = 50_000  # delay after an exception in the decision module
 MAX_LOGGED_CHARS = 400  # of the orders or entries in one log line
 LATE_DIVISOR = 2  # a slice without a line is logged after 1/2 of the time that the settings allow
 SLOWEST_LOGGED = 5  # endpoints per log line
@@ -35,7 +35,7 @@
 
 
 class PendingMark:
-    """A mark that may still be acked. `decided_at` and `accepted_at` are in us."""
+    """A mark sent to the proxies. `decided_at` and `accepted_at` (by the relay) are loop times in us."""
 
     def __init__(self, decided_at: int) -> None:
         self.decided_at = decided_at
@@ -127,6 +127,7 @@
     # ---- inputs
 
     def on_list(self, endpoint_list: EndpointList) -> None:
+        """Handles a list from discovery: a full snapshot or the changed endpoints."""
         self.brain.on_list(
             self._now(),
             "replace" if endpoint_list.is_snapshot else "update",
@@ -168,7 +169,9 @@
         self.brain.on_leave(self._now(), proxy)
 
     def on_ack(self, proxy: int, mark: int, latency: int) -> None:
-        """`latency` (0.1 ms) counts from the relay's acceptance; the module expects it from the decision."""
+        """`latency` (0.1 ms) counts from the relay's acceptance; the module expects it from the decision.
+
+        Acks of unknown marks or proxies are ignored."""
         marked = self.marks.get(mark)
         if marked is None or proxy not in self.proxies:
             self.counts["acks_passed_over"] += 1
@@ -390,6 +393,7 @@
         self._pull_decisions()
 
     def _pull_decisions(self) -> None:
+        """Pulls decisions and sends their orders, unless a batch or a repeated snapshot is pending."""
         if self.pulling or self.calls.busy or self.resync_silence_us or self.stopped:
             return
         self.pulling = True
@@ -435,6 +439,7 @@
         self.calls.submit(batch)
 
     def _on_batch_done(self, batch: OrderBatch) -> None:
+        """Records when the batch was accepted and continues with later decisions or a new snapshot."""
         for mark in batch.marks:
             if mark in self.marks:
                 self.marks[mark].accepted_at = self.loop.now()
--- a/cedarshift/platform/start.py
+++ b/cedarshift/platform/start.py
@@ -94,7 +94,8 @@
 ) -> Coroutine:
     """Returns the configuration and a listener, or None if a signal to stop came first.
 
-    Retries temporary failures for START_TIMEOUT_US, then raises ConfigError or OSError."""
+    Retries temporary failures for START_TIMEOUT_US. Raises ConfigError or OSError after that, and at once
+    for an invalid configuration or another error."""
     deadline = loop.now() + START_TIMEOUT_US
     while True:
         try:
@@ -116,7 +117,8 @@
     pilot: PlatformPilot,
     report: Callable[..., None],
 ) -> Coroutine:
-    """Handles signals until one to stop, then returns the exit code. A SIGHUP restarts a reload."""
+    """Handles signals until one to stop, then returns the exit code. A SIGHUP starts a reload, and
+    cancels one in progress."""
     reload: Optional[Task] = None
     while True:
         number = yield from signals.next()
@@ -171,6 +173,7 @@
 
 
 def log_counters(loop: Loop, pilot: PlatformPilot, report: Callable[..., None]) -> Coroutine:
+    """Logs the counters and the slowest endpoints periodically."""
     while True:
         yield from loop.sleep(COUNTERS_INTERVAL_US)
         report("figures", **counters(pilot))
@@ -178,6 +181,7 @@
 
 
 def log_hand_overs(loop: Loop, pilot: PlatformPilot) -> Coroutine:
+    """Logs pending hand-overs periodically."""
     while True:
         yield from loop.sleep(HAND_OVERS_INTERVAL_US)
         pilot.log_hand_overs()
--- a/cedarshift/platform/start_times.py
+++ b/cedarshift/platform/start_times.py
@@ -18,7 +18,7 @@
 TENTH_MS_US = 100
 MIN_STEP_US = 100_000  # smaller changes are clock drift or scheduling delays
 MAX_OFFSETS = 16  # most recent wall clock offsets kept
-GONE = "off"
+GONE = "off"  # phase of a removed endpoint
 
 
 class Start(NamedTuple):
@@ -68,6 +68,7 @@
         return entry._replace(started=known.started)
 
     def _started(self, stamp: int) -> int:
+        """Converts a start time; one later than now by every known offset counts as now."""
         now = self.clock.now()
         ages = [units.round_down(now + offset, TENTH_MS_US) - stamp for offset in self.offsets]
         age = min((age for age in ages if age >= 0), default=0)
--- a/cedarshift/web/client.py
+++ b/cedarshift/web/client.py
@@ -13,6 +13,8 @@
 
 
 class Reply(NamedTuple):
+    """A received reply, of any status."""
+
     status: int
     headers: dict[str, str]
     body: bytes
@@ -51,7 +53,7 @@
         self.idle_timeout_us = idle_timeout_us
         self.max_idle = max_idle
         self.idle_connections: dict[tuple[str, int], list[IdleConnection]] = {}  # newest last; no empty lists
-        self.dialled = 0
+        self.dialled = 0  # attempts to open a connection
 
     def request(
         self,
@@ -173,6 +175,7 @@
                 return Reply(status, headers, body)
 
     def close_idle(self) -> None:
+        """Closes all idle connections; requests in progress continue."""
         for free in self.idle_connections.values():
             for idle in free:
                 idle.close()
--- a/cedarshift/web/follow.py
+++ b/cedarshift/web/follow.py
@@ -16,7 +16,7 @@
         self.conn = conn
 
     def read_body(self, deadline: int) -> Coroutine:
-        """Returns the body bytes received so far, b"" at the end. Raises StreamBroken or TimedOut."""
+        """Returns the next body bytes, b"" at the end. Raises StreamBroken or TimedOut."""
         chunks = []
         while True:
             event = self._event()
@@ -40,6 +40,7 @@
             raise StreamBroken(f"{self.stream.peer}: {error}") from None
 
     def read_head(self, deadline: int) -> Coroutine:
+        """Returns the h11.Response, skipping informational ones. Raises StreamBroken or TimedOut."""
         while True:
             event = self._event()
             if isinstance(event, h11.Response):
--- a/cedarshift/web/server.py
+++ b/cedarshift/web/server.py
@@ -14,11 +14,11 @@
 MAX_BODY_BYTES = 65_536  # of a request
 INTERNAL_ERROR = 500
 LINGER_TIMEOUT_US = 1_000_000  # for the client to read the last response
-IDLE_TIMEOUT_US = 60_000_000  # also the limit for receiving one request
+IDLE_TIMEOUT_US = 60_000_000  # for a complete request to arrive, or for buffered output to drain
 
 
 class HttpRequest(NamedTuple):
-    """A received request. `hung_up` tells whether the client has disconnected."""
+    """A received request. `hung_up()` returns whether the client has disconnected."""
 
     method: str
     target: str
@@ -29,7 +29,8 @@
 
 
 class HttpReply(NamedTuple):
-    """A reply. A `body` of None closes the connection instead; `cut` closes it after that many bytes."""
+    """A reply. A `body` of None closes the connection instead; a `cut` of 0 or more closes it
+    after that many body bytes."""
 
     status: int
     body: Optional[bytes] = b""
@@ -41,7 +42,9 @@
 
 
 def serve_http(loop: Loop, listener: Listener, handler: Handler) -> Coroutine:
-    """Accepts connections forever. `handler(request)` is a coroutine that returns an HttpReply."""
+    """Accepts connections until the listener is closed, then raises StreamBroken.
+
+    `handler(request)` is a coroutine that returns an HttpReply."""
     while True:
         stream = yield from listener.accept()
         loop.spawn(_serve_connection(loop, stream, handler), f"http {stream.peer}")
