--- a/cedarshift/codec/platform/orders.py
+++ b/cedarshift/codec/platform/orders.py
@@ -28,7 +28,8 @@
 
 
 def encode_order(decision: tuple, op_types: Sequence[str], all_tables: int) -> Order:
-    """Encodes a decision. Raises ValueError for an unknown verb."""
+    """Encodes a decision, as listed at `interface.DecisionModule`. Raises ValueError for any but line, level
+    and mark."""
     verb = decision[0]
     if verb == "line":
         _, number, endpoint, weight = decision
@@ -50,8 +51,8 @@
 def count_fitting(orders: Sequence[Order]) -> int:
     """The number of leading orders that fit into one call; at least one."""
     size = -1
-    for count, one in enumerate(orders):
-        size += len(one.text.encode()) + 1
+    for count, order in enumerate(orders):
+        size += len(order.text.encode()) + 1
         if size > MAX_ORDERS_BYTES:
             return max(1, count)
     return len(orders)
@@ -59,7 +60,8 @@
 
 def encode_form(orders: Sequence[Order]) -> bytes:
     return (
-        b"Action=CommitChanges&orders=" + quote_plus(";".join(one.text for one in orders), safe=",").encode()
+        b"Action=CommitChanges&orders="
+        + quote_plus(";".join(order.text for order in orders), safe=",").encode()
     )
 
 
--- a/cedarshift/codec/platform/reports.py
+++ b/cedarshift/codec/platform/reports.py
@@ -52,7 +52,9 @@
 def parse_slice_load(
     message: dict[str, Any], slices: int, op_types: Container[str]
 ) -> tuple[int, str, int, int, int]:
-    """(slice, op type, ops, unanswered, interval), the interval in 0.1 ms. Raises InvalidMessage."""
+    """(slice, op type, ops, unanswered, interval), the interval in 0.1 ms. Raises InvalidMessage.
+
+    `slices`: the number of slices."""
     number = fields.integer(message, "shard", 0, slices - 1)
     op_type = _one_of(message, "route", op_types)
     ops = fields.integer(message, "total", 0, MAX_COUNT)
--- a/cedarshift/platform/__init__.py
+++ b/cedarshift/platform/__init__.py
@@ -1,1 +1,1 @@
-"""Runs `brain.Pilot` at the platform: relay, discovery, collectors, process start and signals."""
+"""Runs the decision module `brain.Pilot` as a process: relay, discovery, collectors and signals."""
--- a/cedarshift/platform/collectors.py
+++ b/cedarshift/platform/collectors.py
@@ -233,7 +233,7 @@
         self.joined[connection] = None
         self.counts["joined"] += 1
         if len(self.joined) > self.limits.joined:  # close the one silent for longest
-            self._evict(self.joined, min(self.joined, key=lambda one: one.last_read_at))
+            self._evict(self.joined, min(self.joined, key=lambda other: other.last_read_at))
 
     def _handle_report(self, message: dict[str, Any]) -> None:
         self.counts["reports"] += 1
--- a/cedarshift/platform/relay.py
+++ b/cedarshift/platform/relay.py
@@ -22,7 +22,7 @@
 MIN_ACK_WAIT_US = 400_000
 MAX_ACK_WAIT_US = 4_000_000
 ACK_WAIT_FACTOR = 1.5  # multiple of the latest latency of a first ack
-RETRY_MIN_DELAY_US = 10_000  # before the second retry of a call, doubled for each further one
+RETRY_MIN_DELAY_US = 10_000  # before the second retry, doubled for later ones; the first is immediate
 RETRY_MAX_DELAY_US = 200_000
 BUSY_DELAY_US = 100_000  # before the retry of a rejected call
 MAX_CALL_REJECTIONS = 3  # retries before the first order is dropped; unlimited for BUSY
@@ -36,7 +36,7 @@
     def __init__(self, decided_at: int, pending: list[orders.Order]) -> None:
         self.decided_at = decided_at
         self.pending = pending
-        self.marks = [one.mark for one in pending if one.mark is not None]
+        self.marks = [order.mark for order in pending if order.mark is not None]
         self.acked = False  # whether any of `marks` was acked
 
 
@@ -86,9 +86,9 @@
             self.idle_waker.wake()
 
     def drop_slice(self, slice_id: int) -> None:
-        """Drops the pending orders of a slice that was removed; it may come back with another owner."""
+        """Drops the pending orders of a slice whose assignment has changed, as its owner may be another."""
         if self.batch is not None:
-            self.batch.pending = [one for one in self.batch.pending if one.slice_id != slice_id]
+            self.batch.pending = [order for order in self.batch.pending if order.slice_id != slice_id]
 
     def on_first_ack(self, mark: int, latency_us: int) -> None:
         """Records the first ack of a mark, which proves that its batch was applied."""
@@ -101,7 +101,9 @@
     def pending_for(self, slice_id: int) -> list[orders.Order]:
         """The orders of a slice whose outcome is unknown."""
         return (
-            [one for one in self.batch.pending if one.slice_id == slice_id] if self.batch is not None else []
+            [order for order in self.batch.pending if order.slice_id == slice_id]
+            if self.batch is not None
+            else []
         )
 
     def change_address(self, address: Address) -> None:
@@ -132,7 +134,7 @@
         while batch.pending:
             sent = batch.pending[: orders.count_fitting(batch.pending)]
             response = yield from self._call(sent, attempts)
-            marked_count = max((at for at, one in enumerate(sent, 1) if one.mark is not None), default=0)
+            marked_count = max((at for at, order in enumerate(sent, 1) if order.mark is not None), default=0)
             if response is None and marked_count and (yield from self._wait_for_ack(batch)):
                 self.counts["proved"] += 1
                 sent = sent[:marked_count]  # the ack proves nothing about orders after the mark
@@ -205,17 +207,17 @@
     def _apply_response(self, batch: OrderBatch, sent: list[orders.Order], accepted: int) -> None:
         """Settles the accepted orders and the first one not accepted, where the relay stops; later orders
         stay pending."""
-        for one in sent[:accepted]:
-            self.on_accepted(one)
+        for order in sent[:accepted]:
+            self.on_accepted(order)
         settled_ids = set(map(id, sent[: accepted + 1]))
         if accepted < len(sent):
             self._drop_order(sent[accepted], "not accepted")
-        batch.pending = [one for one in batch.pending if id(one) not in settled_ids]
+        batch.pending = [order for order in batch.pending if id(order) not in settled_ids]
 
-    def _drop_order(self, one: orders.Order, reason: str) -> None:
+    def _drop_order(self, order: orders.Order, reason: str) -> None:
         self.counts["refused"] += 1
-        self.report("order_refused", order=one.text[:120], reason=reason)
-        self.on_rejected(one)
+        self.report("order_refused", order=order.text[:120], reason=reason)
+        self.on_rejected(order)
 
 
 class RelayEventHandler(Protocol):
--- a/cedarshift/platform/service.py
+++ b/cedarshift/platform/service.py
@@ -46,8 +46,8 @@
 class PlatformPilot:
     """A pilot with its connections to the relay, to discovery and to collectors.
 
-    `wall()` returns Unix time in us, which may be stepped. The module's clock is the loop's, offset once
-    to Unix time. `random()` returns a number from 0 to 1 and randomizes reconnect delays."""
+    `wall()` returns Unix time in us, which may be stepped. The decision module's clock is the loop's,
+    offset once to Unix time. `random()` returns a number from 0 to 1 and randomizes reconnect delays."""
 
     def __init__(
         self,
@@ -72,10 +72,10 @@
         self.accepted_at: dict[int, int] = {}  # slice -> when its latest order was accepted (us)
         self.missing_proxies: set[int] = set()  # joined, but not in the current snapshot so far
         self.missing_slices: set[int] = set()  # assigned, but not in the current snapshot so far
-        self.resync_silence_us = 0  # silence before a snapshot that has to be repeated; 0 if none
+        self.resync_silence_us = 0  # silence before a snapshot that has to be requested again; 0 if none
         self.reopen_orders: dict[int, str] = {}  # slice with blocked op types -> order that admits them again
-        self.held_lines: set[int] = set()  # slices whose line was set again while op types were blocked
-        # Time that another pilot waits before it grants a slice with an empty line.
+        self.held_lines: set[int] = set()  # slices whose line was set again with op types still blocked
+        # Time (us) that another pilot waits before it grants a slice with an empty line.
         self.regrant_wait_us = (config.terms.lease + config.terms.in_flight_most) * TENTH_MS_US
         self.marks: dict[int, PendingMark] = {}  # oldest first
         self.counts = {
@@ -138,7 +138,9 @@
             revision=endpoint_list.revision,
             whole=endpoint_list.is_snapshot,
             entries=len(endpoint_list.entries),
-            texts=";".join(f"{one.endpoint}:{one.phase}" for one in endpoint_list.entries)[:MAX_LOGGED_CHARS],
+            texts=";".join(f"{entry.endpoint}:{entry.phase}" for entry in endpoint_list.entries)[
+                :MAX_LOGGED_CHARS
+            ],
         )
         self._pull_decisions()
 
@@ -300,12 +302,14 @@
         )
 
     def _reassign(self, slice_id: int, endpoint: str) -> None:
-        """Treats the slice as newly assigned, with the op types blocked that were blocked before."""
+        """Treats the slice as newly assigned, with the store's `endpoint` as its owner ("" for none).
+
+        Blocked op types are admitted again, except for a held line."""
         if slice_id in self.slices:
             self.counts["slices_given_anew"] += 1
         candidates = [
             self.reopen_orders.get(slice_id, ""),
-            *(one.reopen_order for one in self.calls.pending_for(slice_id)),
+            *(order.reopen_order for order in self.calls.pending_for(slice_id)),
         ]
         reopen = next(filter(None, candidates), None)
         if endpoint and self._has_held_line(slice_id):
@@ -319,14 +323,18 @@
     def _has_held_line(self, slice_id: int) -> bool:
         """Whether the slice's line was, or may have been, set again while op types were blocked."""
         pending_orders = self.calls.pending_for(slice_id)
-        admits = any(one.line is None and not one.reopen_order for one in pending_orders)
-        blocked = slice_id in self.reopen_orders or any(one.reopen_order for one in pending_orders)
+        admits = any(order.line is None and not order.reopen_order for order in pending_orders)
+        blocked = slice_id in self.reopen_orders or any(order.reopen_order for order in pending_orders)
         return (
-            slice_id in self.held_lines or blocked and not admits and any(one.line for one in pending_orders)
+            slice_id in self.held_lines
+            or blocked
+            and not admits
+            and any(order.line for order in pending_orders)
         )
 
     def _reassign_closed(self, slice_id: int, endpoint: str, reopen: str) -> None:
-        """Treats the slice as newly assigned but keeps op types blocked: its owner's drain grace is over."""
+        """Treats the slice as newly assigned, with its line held: all op types stay blocked, and the module
+        revokes the slice again before it grants it."""
         self.on_slice_added(slice_id)
         self.awaiting_line.discard(slice_id)
         self.slices[slice_id], self.reopen_orders[slice_id] = endpoint, reopen
@@ -334,7 +342,7 @@
         self.brain.on_stored_owner(self._now(), slice_id, endpoint, all_closed=True)
 
     def slowest_endpoints(self) -> list[dict[str, Any]]:
-        """The module's state of the endpoints with the longest op latency, for the log."""
+        """The module's state of the endpoints with the longest mean ack time, for the log."""
         brain, now = self.brain, self._now()
         slowest = sorted(getattr(brain, "endpoint_totals", {}).items(), key=lambda item: -item[1][2])
         return [
@@ -427,10 +435,10 @@
         self.report(
             "turn",
             orders=len(batch.pending),
-            texts=";".join(one.text for one in batch.pending)[:MAX_LOGGED_CHARS],
+            texts=";".join(order.text for order in batch.pending)[:MAX_LOGGED_CHARS],
         )
         # Lines of these slices that arrive from now on may be the result of these orders.
-        self.awaiting_line -= {one.slice_id for one in batch.pending if one.line is not None}
+        self.awaiting_line -= {order.slice_id for order in batch.pending if order.line is not None}
         for mark in batch.marks:
             self.marks.pop(mark, None)
             self.marks[mark] = PendingMark(batch.decided_at)
@@ -447,28 +455,28 @@
             self.events.stream.restart()
         self._pull_decisions()
 
-    def _on_order_accepted(self, one: orders.Order) -> None:
+    def _on_order_accepted(self, order: orders.Order) -> None:
         """Updates the known state of the store."""
-        if one.slice_id is None or one.slice_id not in self.slices:
+        if order.slice_id is None or order.slice_id not in self.slices:
             return
-        self.accepted_at[one.slice_id] = self.loop.now()
-        if one.line is not None:
-            self.slices[one.slice_id] = one.line
-            if one.line and one.slice_id in self.reopen_orders:
-                self.held_lines.add(one.slice_id)
+        self.accepted_at[order.slice_id] = self.loop.now()
+        if order.line is not None:
+            self.slices[order.slice_id] = order.line
+            if order.line and order.slice_id in self.reopen_orders:
+                self.held_lines.add(order.slice_id)
             else:
-                self.held_lines.discard(one.slice_id)
-        elif one.reopen_order:
-            self.reopen_orders[one.slice_id] = one.reopen_order
+                self.held_lines.discard(order.slice_id)
+        elif order.reopen_order:
+            self.reopen_orders[order.slice_id] = order.reopen_order
         else:
-            self.reopen_orders.pop(one.slice_id, None)
-            self.held_lines.discard(one.slice_id)
+            self.reopen_orders.pop(order.slice_id, None)
+            self.held_lines.discard(order.slice_id)
 
-    def _on_order_rejected(self, one: orders.Order) -> None:
+    def _on_order_rejected(self, order: orders.Order) -> None:
         """Resets the slice in the module, which assumes that the order was applied, to the store's state."""
-        if one.slice_id in self.slices:
+        if order.slice_id in self.slices:
             self.counts["slices_given_anew"] += 1
-            self._reassign(one.slice_id, self.slices[one.slice_id])
+            self._reassign(order.slice_id, self.slices[order.slice_id])
 
     def _reopen_slice(self, slice_id: int, text: str) -> None:
         """Sends an order that admits op types again, in the current batch or in one of its own."""
--- a/cedarshift/platform/start_times.py
+++ b/cedarshift/platform/start_times.py
@@ -29,7 +29,9 @@
 
 
 class StartTimes:
-    """Converts start times to the clock `clock.now() + base`. `wall()` returns Unix time in us."""
+    """Converts start times to the clock `clock.now() + base`. `wall()` returns Unix time in us.
+
+    `base` is the wall clock's offset (us) when the process started."""
 
     def __init__(self, clock: Clock, wall: Callable[[], int], report: Callable[..., None]) -> None:
         self.clock = clock
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -494,11 +494,11 @@
 
 def test_a_connection_that_is_reset_before_it_is_accepted_harms_no_other(stage):
     stage.begin()
-    gone, here = stage_calls = [connect_to(stage.loop, stage.listener.address) for _ in range(2)]
+    gone, here = connections = [connect_to(stage.loop, stage.listener.address) for _ in range(2)]
     gone.sock.sendall(frame(t="probe"))
     gone.reset()
     here.send(frame(t="probe"))
-    assert here.until(frame(t="alive")) and len(stage_calls) == 2
+    assert here.until(frame(t="alive")) and len(connections) == 2
     here.close()
     stage.loop.settle()
     assert not stage.pilot.collectors.unjoined
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -426,12 +426,12 @@
 
 def test_connections_wait_while_descriptors_are_exhausted(monkeypatch):
     stage = Stage().run(1)
-    door = stage.pilot.collectors.listener.acceptor
+    acceptor = stage.pilot.collectors.listener.acceptor
 
     def full():
         raise OSError(24, "Too many open files")
 
-    monkeypatch.setattr(door, "accept", full)
+    monkeypatch.setattr(acceptor, "accept", full)
     stage.loop.at(stage.loop.now() + 200_000, monkeypatch.undo)
     got, _ = stage.do(connect_and_send(stage, frame(t="probe")))
     assert got == frame(t="alive") and stage.logged("accept_failed")
@@ -499,7 +499,7 @@
     listen, nobody = (f"{host}:{port}" for host, port in (ports.take(), ports.take()))
     path = tmp_path / "config.json"
     path.write_text(json.dumps(configuration(listen=listen, discovery=nobody, registry={"address": nobody})))
-    orders_after = {
+    variables = {
         "RELAY_NAME": "n0",
         "RELAY_LISTEN": listen,
         "RELAY_DISCOVERY": nobody,
@@ -508,7 +508,7 @@
     ports.release()
     process = subprocess.Popen(
         [sys.executable, "-m", "cedarshift", "platform"],
-        env={**os.environ, **orders_after},
+        env={**os.environ, **variables},
         stderr=subprocess.PIPE,
         text=True,
     )
--- a/tests/test_platform_codec.py
+++ b/tests/test_platform_codec.py
@@ -107,12 +107,12 @@
 
 @pytest.mark.parametrize("length", [10, 59_999, 60_000])
 def test_calls_hold_no_more_than_the_relay_takes_and_the_mark_goes_last(length):
-    turn = [orders.Order(0, "x" * length) for _ in range(40)] + [orders.Order(None, "mark,1,1")]
+    pending = [orders.Order(0, "x" * length) for _ in range(40)] + [orders.Order(None, "mark,1,1")]
     calls = []
-    while turn:
-        count = orders.count_fitting(turn)
-        calls.append(";".join(one.text for one in turn[:count]))
-        turn = turn[count:]
+    while pending:
+        count = orders.count_fitting(pending)
+        calls.append(";".join(one.text for one in pending[:count]))
+        pending = pending[count:]
     assert all(len(call) <= orders.MAX_ORDERS_BYTES for call in calls) and calls[-1].endswith("mark,1,1")
 
 
