--- a/cedarshift/judge/admission.py
+++ b/cedarshift/judge/admission.py
@@ -7,12 +7,15 @@
 from __future__ import annotations
 
 RESERVED_SHARE = 0.25  # of the burst, for peers that are already known
-MAX_DELAY_US = 5_000_000  # a peer deferred for longer asks again
+MAX_DELAY_US = 5_000_000  # upper bound on a delay; peers that would wait longer share the last slot
 US_PER_SECOND = 1_000_000
 
 
 class JoinLimiter:
-    """Token bucket that admits `rate` joins a second and up to `burst` at once. Times are microseconds."""
+    """Token bucket that admits `rate` joins a second and up to `burst` at once. Times are microseconds.
+
+    `deferred` counts the peers that were sent away.
+    """
 
     def __init__(self, rate: float, burst: float, now: int) -> None:
         assert rate > 0 and burst >= 1
@@ -24,8 +27,9 @@
         self.deferred = 0
 
     def ask(self, now: int, known: bool = False) -> int:
-        """Return 0 if the peer may join now, otherwise the microseconds until its slot. `known` peers may use
-        the reserved share.
+        """Return 0 if the peer may join now, otherwise the microseconds after which it is to ask again.
+
+        `known` peers may use the reserved share; a burst of a single token has none.
         """
         self.tokens = min(self.burst, self.tokens + (now - self.updated_at) * self.rate / US_PER_SECOND)
         self.updated_at = now
--- a/cedarshift/judge/budgets.py
+++ b/cedarshift/judge/budgets.py
@@ -7,6 +7,9 @@
 or duplicated and whatever processes are killed, suspended or restored. A pilot is a holder towards the store
 and a grantor towards its proxies, by the same two classes.
 
+Amounts are integers in *parts*, the unit in which the capacity is given. A *leaf* is a budget that no other
+one draws on; only leaves are granted. A *life* is one run of a process.
+
 Grants of one holder life and budget are numbered and replace each other. A holder that claims number n never
 again spends on an older one, so a shrink takes effect at the grantor once its number is claimed or the larger
 grant has ended. A grantor that starts cannot know what an earlier life, or a lost write, had granted: for one
@@ -27,15 +30,15 @@
 MIN_ASK_INTERVAL_US = 200_000  # per holder; bounds the load of a thousand proxies on a pilot
 MIN_CHANGE_SHARE = 0.04  # smaller changes of a target are not worth a shrink
 MAX_ACCOUNTS_PER_ASK = 64  # with more accounts, targets are not computed at every ask
-TARGET_UPDATES_PER_LEASE = 16
-ROTATION_LEASES = 8  # leases after which leftover tokens go to other holders
+TARGET_UPDATES_PER_LEASE = 16  # with more than MAX_ACCOUNTS_PER_ASK accounts
+ROTATION_LEASES = 8  # leases after which the leftover parts of a division go to other holders
 MAX_DEPARTED_LIVES = 1_000  # departed lives whose late asks are still ignored
 MAX_UNCLAIMED_GRANTS = 24  # of one life and budget; a holder with more gets no further one
 FOREVER = 1 << 62  # us
 
 
 class InvalidBudget(ValueError):
-    """Budgets that are inconsistent; `budget` names the one to blame."""
+    """Raised for inconsistent budgets; `budget` names the faulty one."""
 
     def __init__(self, budget: str, what: str) -> None:
         super().__init__(what)
@@ -57,9 +60,11 @@
 
 
 class ShareRequest(NamedTuple):
-    """What a holder asks for: the parts that it could use (`demand`); the newest grant that it holds or,
-    while more is spent below, an older one, with the amount in force; and the newest number that it ever
-    took.
+    """What a holder asks for, and what it holds.
+
+    `demand`: the parts that it could use. `number`: the grant that it claims, which is the newest or, while
+    more is still spent below, an older one. `amount`: how much of that is in force. `newest`: the highest
+    grant number that it has received.
     """
 
     budget: str
@@ -126,7 +131,10 @@
 
 
 class Plan:
-    """The validated tree of budgets. `holders`: how many have a floor each. Raises InvalidBudget."""
+    """The validated trees of budgets. `holders`: how many holders have a floor of each leaf.
+
+    `ancestors` lists for each budget itself and its ancestors up to the root. Raises InvalidBudget.
+    """
 
     def __init__(self, budgets: Iterable[Budget], holders: int) -> None:
         self.budgets = {budget.name: budget for budget in budgets}
@@ -147,10 +155,10 @@
     def _ancestry(self, name: str) -> list[str]:
         """Return the budget and its ancestors, itself first."""
         path = [name]
-        while ancestors := self.budgets[path[-1]].within:
-            if ancestors in path:
-                raise InvalidBudget(name, f"within leads back to itself: {', '.join([*path, ancestors])}")
-            path.append(ancestors)
+        while parent := self.budgets[path[-1]].within:
+            if parent in path:
+                raise InvalidBudget(name, f"within leads back to itself: {', '.join([*path, parent])}")
+            path.append(parent)
         return path
 
     def _floors(self, name: str) -> int:
@@ -160,7 +168,7 @@
         return self.budgets[name].floor * self.holders
 
     def _check(self, budget: Budget) -> None:
-        """Raise InvalidBudget if a budget is inconsistent."""
+        """Raise InvalidBudget unless a budget's figures are consistent with those of its relatives."""
         if budget.capacity < 1:
             raise InvalidBudget(
                 budget.name, f"a capacity of {budget.capacity} parts leaves nothing to divide"
@@ -257,12 +265,12 @@
 
     def __init__(self, heard: int) -> None:
         self.grants: list[Grant] = []
-        self.number = 0  # the highest known
+        self.number = 0  # highest grant number known
         self.demand = 0
         self.weight = 1
         self.heard = heard
-        self.counted = 0  # its part of the budget's sum
-        self.kept: Optional[tuple[int, int]] = None  # amount and duration of the durable row
+        self.counted = 0  # amount included in the grantor's sum of the budget
+        self.kept: Optional[tuple[int, int]] = None  # (amount, duration) of the newest stored row
 
     def in_force(self, now: int) -> int:
         """Return the largest amount that may still be in use."""
@@ -270,7 +278,9 @@
 
 
 class Pool(NamedTuple):
-    """What a grantor may grant of a root now: `amount` until `until`, of which `permanent` has no end."""
+    """What a grantor may grant of a root budget: `amount` parts until `until`; `permanent` of them have no
+    end.
+    """
 
     amount: int
     until: int
@@ -281,9 +291,11 @@
 
 
 class Grantor:
-    """`lease` in microseconds; `era` identifies this life of the grantor: asks under another one are not
-    taken. `pool(now, root)`: set where the capacity is itself a share. `longest`: the longest lease that an
-    earlier life may have granted.
+    """The grantor's side. `lease` (us): longest duration of a grant.
+
+    `era` identifies this life of the grantor; asks under another one get nothing. `rows`: the stored grants
+    of earlier lives. `longest`: the longest lease (us) that an earlier life may have granted. `pool(now,
+    root)`: what may be granted of a root, where the capacity is itself a leased share.
     """
 
     def __init__(
@@ -305,7 +317,7 @@
         self.sums = dict.fromkeys(plan.leaves, 0)  # parts in force
         self.ends: list[tuple[int, Key]] = []  # when grants end
         self.heard: dict[tuple[str, int], int] = {}  # newest ask of each life; older ones are ignored
-        self.left: deque[tuple[str, int]] = deque()
+        self.left: deque[tuple[str, int]] = deque()  # departed lives, oldest first
         self.target_shares: dict[str, dict[str, int]] = {}  # computed at `targets_at`
         self.targets_at = -FOREVER
         self.suspicions: dict[str, set[str]] = {}  # holder -> pilots that it considers dead
@@ -363,7 +375,9 @@
         return Pool(self.plan.leasable(root), FOREVER, self.plan.leasable(root))
 
     def _available(self, now: int, key: Key) -> int:
-        """Return what this account may have at most, within all capacities above it."""
+        """Return the largest amount that this account may be granted within the capacities of all its
+        ancestors.
+        """
         available = FOREVER
         for name in self.plan.ancestors[key[0]]:
             capacity = self.plan.leasable(name)
@@ -420,7 +434,7 @@
         return shares, rows
 
     def leave(self, now: int, holder: str, life: int) -> list[Key]:
-        """Release all that a life holds, as it spends no more; return the keys of its void rows."""
+        """Release the grants of a life that has stopped spending; return the keys of its rows to delete."""
         gone = [key for key in self.accounts if key[1:] == (holder, life)]
         for key in gone:
             self.accounts[key].grants.clear()
@@ -577,9 +591,11 @@
 
 
 class Holder:
-    """The holder's side, for one life. `drift`: by how much one clock may run faster than another, as a
-    fraction. `outstanding(now, budget)`: parts still spent below, floor included; a shrink is claimed only
-    when they are back.
+    """The holder's side, for one life. `floors`: the parts of each budget that it has without asking.
+
+    `drift`: by how much one clock may run faster than another, as a fraction. `outstanding(now, budget)`:
+    parts that are still spent by others on this holder's behalf, floor included; a shrink is claimed only
+    once they fit the smaller share.
     """
 
     def __init__(
@@ -636,7 +652,7 @@
         ]
 
     def _request(self, now: int, name: str, demand: int) -> ShareRequest:
-        """Claim the newest share that covers what is outstanding below."""
+        """Claim the newest share if it covers what is outstanding, otherwise the oldest in force."""
         taken = self.taken[name]
         outstanding = self.outstanding(now, name) if self.outstanding is not None else 0
         while len(taken) > 1 and (
@@ -651,7 +667,7 @@
         )
 
     def on_answer(self, now: int, number: int, era: int, shares: Iterable[Share]) -> bool:
-        """Take in an answer; return False if it is none to an open ask of this era."""
+        """Take the shares of an answer; return False if it does not answer an open ask of this era."""
         asked_at = self.asked.pop(number, None)
         if era != self.era or asked_at is None:
             return False
@@ -675,8 +691,10 @@
 
 
 class Hub:
-    """A pilot: holder towards the store, grantor towards its proxies. What it grants ends no later than its
-    own share, and a shrink is claimed above once what was granted below is back.
+    """A pilot's two roles: holder towards the store, grantor (`giver`) towards its proxies.
+
+    Its grants end no later than its own share, except for the floor, which has no end. A shrink is claimed
+    from the store only once the grants to proxies fit the smaller share.
     """
 
     def __init__(self, plan: Plan, life: int, drift: float, lease: int, now: int) -> None:
@@ -693,7 +711,7 @@
         return self.giver.in_force(now, leaf) + self.held_locally.get(leaf, 0)
 
     def demands(self, now: int) -> dict[str, int]:
-        """Return what all proxies ask for, by leaf."""
+        """Return the sum of the demands of all proxies heard within a lease, by leaf."""
         found = dict.fromkeys(self.holder.floors, 0)
         for (leaf, _, _), account in self.giver.accounts.items():
             if now - account.heard <= self.giver.lease:
--- a/cedarshift/judge/charge.py
+++ b/cedarshift/judge/charge.py
@@ -22,7 +22,11 @@
 
 @dataclass
 class SliceRecord:
-    """The durable state of a slice. `epoch` grows with each assignment, `version` with each write."""
+    """The durable state of a slice. `epoch` grows with each assignment, `version` with each write.
+
+    `pilot` is in charge of the slice ("": none); `owner` is the endpoint that serves it; `levels` are
+    the admission levels set while the slice is being revoked from its owner.
+    """
 
     slice: int
     epoch: int = 0
@@ -34,7 +38,10 @@
 
 @dataclass
 class PilotSession:
-    """A pilot's session, which ends at `until` unless it is renewed."""
+    """A pilot's session, open since `since`, which ends at `until` unless it is renewed (us).
+
+    Number 0 stands for a session from before the start of this process, which may still be in use.
+    """
 
     number: int
     since: int
@@ -42,7 +49,10 @@
 
 
 class AssignmentChanges(NamedTuple):
-    """What a step requires: store `changed` durably first, then tell the pilots of `given` and `taken`."""
+    """What a step requires: store `changed` durably first, then tell the pilots.
+
+    `given` and `taken` are the newly assigned slices and those to be released, by pilot.
+    """
 
     changed: list[SliceRecord]
     given: dict[str, list[SliceRecord]]
@@ -50,7 +60,11 @@
 
 
 class SliceAssignment:
-    """`pilots` in the order of their places; `lease`, `takeover` and `back_after` in microseconds.
+    """The assignment of all slices, from their stored `rows`. Times are microseconds.
+
+    `pilots`: all configured ones; their order determines the home pilots. `lease`: duration of a session.
+    `takeover`: how long a home pilot must be absent before its slices go to others. `back_after`: how long it
+    must be back before they return. `life`: number of this life of the store, from 1.
 
     After a start every pilot that has slices counts as alive for one lease, since its session may still
     stand.
@@ -118,7 +132,7 @@
             self._end_session(now, pilot)
 
     def released(self, pilot: str, slices: Iterable[int]) -> None:
-        """Note that a pilot's proxies were told of these slices: they may be assigned anew."""
+        """Free slices that are leaving a pilot, as its proxies have been told: they may be assigned anew."""
         for number in slices:
             row = self.rows.get(number)
             if row is not None and row.pilot == pilot and number in self.leaving:
@@ -139,7 +153,7 @@
         return self.pilots[slice_id % len(self.pilots)]
 
     def _desired_pilot(self, row: SliceRecord, now: int) -> Optional[str]:
-        """Return who should be in charge; None while the home pilot may still come."""
+        """Return who should be in charge; None if no pilot is live or the home pilot may still return."""
         home = self.home(row.slice)
         holder = self.holders.get(home)
         if holder is not None:
@@ -200,7 +214,7 @@
     # ---- orders
 
     def refusal(self, now: int, pilot: str, session: int, slice_id: int, epoch: int) -> str:
-        """Return why an order is refused; "" if it is accepted."""
+        """Return why a pilot's order to write a slice is refused; "" if it is accepted."""
         row = self.rows.get(slice_id)
         holder = self.holders.get(pilot)
         if row is None:
@@ -216,7 +230,7 @@
         return ""
 
     def write(self, slice_id: int, owner: Optional[str], levels: Optional[list[Any]]) -> SliceRecord:
-        """Apply an order that was not refused."""
+        """Apply an order that `refusal` accepts; None leaves a field as it is. Return the row to store."""
         row = self.rows[slice_id]
         row.version += 1
         if owner is not None:
--- a/cedarshift/judge/claims.py
+++ b/cedarshift/judge/claims.py
@@ -16,8 +16,8 @@
 from hashlib import blake2b
 from typing import Iterable, NamedTuple
 
-MAX_CLAIMS_PER_ASK = 256  # more are claimed as earlier ones become warm
-SILENT_LIFE_LEASES = 16  # leases for which the last ask number of a silent life is kept
+MAX_CLAIMS_PER_ASK = 256  # resources beyond these are left out
+SILENT_LIFE_LEASES = 16  # leases after which a silent holder life is forgotten
 MAX_OPEN_ASKS = 64  # asks of a holder that may still be answered
 
 
@@ -47,8 +47,8 @@
 
 
 class ClaimGrantor:
-    """`lease` in microseconds; `era` identifies this life of the grantor. Nothing new is granted before
-    `recovery_until`.
+    """The grantor's side. `lease` (us): duration of a claim. `era` identifies this life of the grantor; only
+    claims presented as held are granted before `recovery_until`.
     """
 
     def __init__(self, lease: int, era: int, recovery_until: int) -> None:
@@ -64,9 +64,9 @@
     def ask(
         self, now: int, holder: str, life: int, era: int, number: int, requests: Iterable[ClaimRequest]
     ) -> list[Claim]:
-        """Return what this life of the holder has from now on; all else that it had is released.
+        """Return the claims that this life of the holder has from now on; its other ones are released.
 
-        An ask of another era, or one that arrives out of order, gets nothing.
+        An ask of another era, or one that arrives out of order, gets nothing and releases nothing.
         """
         if era != self.era:
             return []
@@ -98,7 +98,7 @@
         return request.held or now >= self.recovery_until
 
     def leave(self, holder: str, life: int) -> None:
-        """Release everything that a life holds; later asks of it are ignored."""
+        """Release all claims of a holder's life; later asks of it are ignored."""
         self._release(holder, life, set())
         self.heard[holder, life] = (1 << 62, self.heard.get((holder, life), (0, 0))[1])
 
@@ -141,8 +141,8 @@
 
     def __init__(self, drift: float) -> None:
         self.drift = drift
-        self.since: dict[str, int] = {}  # resource -> first of its consecutive asks
-        self.until: dict[str, int] = {}
+        self.since: dict[str, int] = {}  # resource -> number of the first of its consecutive asks
+        self.until: dict[str, int] = {}  # resource -> end of its claim (us)
         self.asked: dict[int, int] = {}  # ask number -> when
 
     def ask(self, now: int, number: int, resources: Iterable[str]) -> list[ClaimRequest]:
--- a/cedarshift/judge/detector.py
+++ b/cedarshift/judge/detector.py
@@ -79,8 +79,10 @@
 
 
 class Detector:
-    """`usable()`: the members that may be probed or asked for help, without this one. `vouchers(subject)`:
-    those of them known to hear it; they are asked first.
+    """The failure detector of one member; `period` in microseconds.
+
+    `usable()`: the other members that may be probed or asked for help. `vouchers(subject)`: those of them
+    that are known to hear the subject; they are asked for help first.
     """
 
     def __init__(
@@ -113,7 +115,9 @@
     # ---- subjects
 
     def observe(self, now: int, names: list[str]) -> None:
-        """Set the subjects; the state of those that remain is kept."""
+        """Set the subjects, besides those observed for a while after a missed random probe; the state of
+        those that remain is kept.
+        """
         wanted = dict.fromkeys([*names, *self.extra_subjects])
         for name in [name for name in self.subjects if name not in wanted]:
             del self.subjects[name]
@@ -222,7 +226,7 @@
                 return drawn
 
     def _finish_probe(self, now: int, name: str, subject: Subject, found: list[Reachability]) -> None:
-        """Evaluate the probe of the previous period."""
+        """Count a subject's previous probe as missed if it is unanswered; report the subject once silent."""
         probe = self.probes.get(subject.nonce) if subject.nonce is not None else None
         if probe is None or probe.sent <= subject.heard or now - probe.sent < MIN_PROBE_PERIODS * self.period:
             return
@@ -261,7 +265,7 @@
                 asks.append(ProbeRequest("stream", probe.subject, probe.subject, nonce))
 
     def _expire(self, now: int) -> None:
-        """Drop old probes, and observe members that missed a random probe."""
+        """Drop old probes, and start to observe members that missed a random probe."""
         for nonce in [n for n, p in self.probes.items() if now - p.sent > LATE_ANSWER_PERIODS * self.period]:
             del self.probes[nonce]
         for probe in self.probes.values():
@@ -272,7 +276,7 @@
     # ---- answers
 
     def on_answer(self, now: int, nonce: int) -> Optional[Reachability]:
-        """Handle an answer by any path; return the change if it ends a silence."""
+        """Handle an answer to a probe, direct or indirect; return the change if it ends a silence."""
         probe = self.probes.pop(nonce, None)
         self.last_heard_at = now
         if probe is None:
@@ -289,7 +293,7 @@
         return None
 
     def on_nack(self, nonce: int, helper: str) -> None:
-        """Handle a helper's reply that it had no answer either."""
+        """Note that a helper answered the request, though it had no answer from the subject either."""
         probe = self.probes.get(nonce)
         if probe is not None:
             probe.helpers.discard(helper)
--- a/cedarshift/judge/membership.py
+++ b/cedarshift/judge/membership.py
@@ -44,8 +44,8 @@
 
 
 class MemberEntry(NamedTuple):
-    """A list entry as published. `process` identifies the process; `late`: us for which the change was held
-    back.
+    """A list entry as published. `process` distinguishes successive processes of the endpoint; `late`: us for
+    which a removal was held back.
     """
 
     endpoint: str
@@ -91,8 +91,10 @@
 
 
 class Membership:
-    """`hold_us`: how long a vanished endpoint stays listed. `zone_pools`: whether each zone is a pool of its
-    own.
+    """The endpoint list as published, derived from nodes and op outcomes.
+
+    `hold_us`: how long a vanished endpoint stays listed. `zone_pools`: whether each zone is a pool of its
+    own; otherwise all endpoints are one pool.
     """
 
     def __init__(self, hold_us: int, zone_pools: bool = False) -> None:
@@ -101,7 +103,7 @@
         self.nodes: dict[str, Node] = {}  # by node name
         self.nodes_by_endpoint: dict[str, set[str]] = {}
         self.endpoints: dict[str, EndpointHistory] = {}
-        self.gone: dict[str, VanishedEndpoint] = {}  # held back or retained
+        self.gone: dict[str, VanishedEndpoint] = {}  # vanished, removal not yet published
         self.retained: set[str] = set()  # listed only because their pool would be empty
         self.published: dict[str, MemberEntry] = {}
         self.counts = {"vanished": 0, "returned": 0, "told_gone": 0, "doubted": 0, "restarts": 0}
@@ -119,7 +121,7 @@
             self._update_vanished(now, endpoint)
 
     def on_sums(self, now: int, endpoint: str, tries: int, aborted: int) -> None:
-        """Record op outcomes that proxies reported for an endpoint."""
+        """Record the ops that proxies tried at an endpoint, and how many of them aborted."""
         if endpoint in self.endpoints and tries > 0:
             self.endpoints[endpoint].outcomes.append((now, tries, aborted))
 
@@ -210,7 +212,7 @@
         return MemberEntry(endpoint, node.phase, node.size, node.zone, self.endpoints[endpoint].process)
 
     def mass(self, now: int) -> Optional[MassVanishing]:
-        """Return a mass vanishing to report to operators, if there is one.
+        """Return the number and op outcomes of endpoints that vanished lately, if they are unusually many.
 
         A deploy, a partition between members and servers, and servers that lost all sessions look alike by
         number; op outcomes since then distinguish them.
@@ -231,7 +233,7 @@
     # ---- output
 
     def due(self) -> Optional[int]:
-        """Return when the next hold ends. Retained endpoints are re-checked with each report instead."""
+        """Return when the next hold ends (us); None without one. Retained endpoints have no deadline."""
         return min((one.until for name, one in self.gone.items() if name not in self.retained), default=None)
 
     def take(self, now: int) -> list[MemberEntry]:
--- a/cedarshift/judge/overload.py
+++ b/cedarshift/judge/overload.py
@@ -20,22 +20,22 @@
 TARGET_PRESSURE = 0.3  # endpoints stay busy, with room for slow ops
 ENGAGE_PRESSURE = 0.5  # above it load is shed
 EASE_PRESSURE = 0.2  # below it endpoints run idle and more is admitted
-ENGAGE_STEPS = 2  # consecutive steps
-ENGAGE_STEPS_AT_START = 6  # consecutive steps, before anything was carried
-JOIN_OTHERS_SHARE = 0.9  # below it a pilot joins the others in shedding
+ENGAGE_STEPS = 2  # consecutive steps above ENGAGE_PRESSURE until load is shed
+ENGAGE_STEPS_AT_START = 6  # the same while the capacity is unknown
+JOIN_OTHERS_SHARE = 0.9  # median share of the others below which a pilot sheds load too
 ENGAGE_NOW_PRESSURE = 0.65  # above it a single step is enough
-GAIN_FACTOR = 0.8  # below the stability limit of 1.6 (a quarter turn of lag)
-MAX_GAIN = 1.5
-MAX_PRESSURE_ERROR = 1.0
-RISE_PER_S = 0.25  # of the known capacity
-FITS_SHARE = 0.95  # of the known capacity
+GAIN_FACTOR = 0.8  # below pi/2, the stability limit of an integrator with delay
+MAX_GAIN = 1.5  # of the controller, however fresh the reports
+MAX_PRESSURE_ERROR = 1.0  # excess over TARGET_PRESSURE that the controller acts on at most
+RISE_PER_S = 0.25  # rise of the limit a second, as a share of the known capacity
+FITS_SHARE = 0.95  # of the known capacity; offered work below it fits
 CALM_AFTER_US = 3_000_000  # time for which all load fits before the limit is lifted
 SMOOTHING = 0.5  # weight of the newest sample of acked work
 CAPACITY_DECAY = 0.99  # per step; an outdated capacity is forgotten within a minute
 MIN_SHARE = 0.05  # always admitted, so that recovery is noticed
 FULL_PRESSURE = 1.5  # pressure of an op that an endpoint had no room for
 MAX_PRESSURE = 4.0
-MIN_ACKED = 0.5  # floor of the acked ops in the view
+MIN_ACKED = 0.5  # lower bound on the acked ops by which ops in flight are divided
 FRESH_FOR_US = 2_000_000  # age up to which a report has its full weight
 STALE_AFTER_US = 8_000_000  # age from which a report has no weight
 OUTLIER_FACTOR = 4.0  # times the median; larger figures are clamped
@@ -77,8 +77,9 @@
 
 
 class Flow(NamedTuple):
-    """Rates of one op type, per second. `full`: ops refused by endpoints without room. `took`: mean latency
-    of acked ops (us).
+    """Rates of one op type, per second: first tries (`fresh`), retries by clients (`repeats`), admitted ops
+    (`let_in`), outcomes, and ops refused by endpoints without room (`full`). `took`: mean latency of acked
+    ops (us).
     """
 
     fresh: float = 0.0
@@ -91,8 +92,8 @@
 
 
 class LoadReport(NamedTuple):
-    """What one pilot reports. `at`: when it held, by the receiver's clock (us). `ops`: ops a second behind
-    the pressure. `share`: its answer.
+    """What one pilot reports. `at`: when it was measured, by the receiver's clock (us). `flows`: by op type.
+    `ops`: the ops a second from which `pressure` was computed. `share` and `state`: its own answer.
     """
 
     start: int
@@ -119,8 +120,9 @@
 
 
 class Answer(NamedTuple):
-    """`share` of the offered work is admitted, op types in `order`; `again`: repeats allowed per fresh op;
-    `wait`: delay that rejected clients are asked for (us).
+    """What to admit: `share` of the offered work, op types in `order`; `mix`: each type's part of that work.
+
+    `again`: repeats allowed per fresh op. `wait`: delay that rejected clients are asked for (us).
     """
 
     state: str
@@ -135,7 +137,7 @@
 
 
 def is_plausible(report: LoadReport, kinds: int) -> bool:
-    """Whether a report may be counted: all its figures are finite and within bounds."""
+    """Whether a report has `kinds` flows (one for each op type), and all its figures are within bounds."""
     figures = [value for flow in report.flows for value in flow[:6]] + [report.ops]
     times = [flow.took for flow in report.flows]
     return (
@@ -160,7 +162,7 @@
 
 
 class FleetLoad:
-    """The newest report of each pilot."""
+    """The newest report of each pilot, this one (`me`) included, and the totals computed from them."""
 
     def __init__(self, me: str, op_values: Sequence[OpValue]) -> None:
         self.me = me
@@ -187,8 +189,9 @@
         )
 
     def totals(self, now: int, gone: Iterable[str] = ()) -> Totals:
-        """Return the totals. `gone`: pilots that left or are considered dead; their proxies' ops reach other
-        pilots.
+        """Return the fleet's totals; a report that has lost weight is replaced by the median in proportion.
+
+        `gone`: pilots that left or are considered dead. They are left out, as their proxies move to others.
         """
         left = set(gone) - {self.me}
         weights = {name: self.weight(name, now) for name in self.rows if name not in left}
@@ -269,7 +272,9 @@
         )
 
     def others_share(self, now: int, gone: Iterable[str] = ()) -> Optional[float]:
-        """Return the median of the other pilots' shares, of two the larger; None if no report has weight."""
+        """Return the weighted median of the other pilots' shares, the larger where two qualify; None if no
+        report has weight.
+        """
         left = {*gone, self.me}
         reported = [
             (report.share, self.weight(name, now)) for name, report in self.rows.items() if name not in left
@@ -306,8 +311,8 @@
 
 
 def fair_cap(rates: Sequence[float], share: float) -> float:
-    """Return the rate to cap each at so that `share` of the sum remains (max-min fairness); inf if nothing is
-    capped.
+    """Return the cap on each of `rates` with which `share` of their sum remains (max-min fairness); inf if
+    nothing is capped.
     """
     if share >= 1.0 or not rates:
         return math.inf
@@ -484,7 +489,8 @@
 
 
 class EndpointLoads:
-    """Loads of the endpoints over about the last `window` microseconds. They give the pressure and each
+    """Loads of the endpoints over about the last `window` microseconds; `target`: the tightest target latency
+    (us); `gain`: see `gain_for_delay`. The loads give the pressure and each
     endpoint's own share, since one share for all would overload the slow endpoints and waste the fast ones.
 
     Reports are added as they come and decay only at each step, as a thousand proxies report on hundreds of
@@ -500,7 +506,7 @@
         self.held: dict[str, dict[str, float]] = {}  # reporter -> endpoint -> ops in flight
 
     def met(self, endpoint: str, tries: float, aborted: float, full: float = 0.0) -> None:
-        """Count op outcomes. `full`: of the aborted ops, those that the endpoint had no room for."""
+        """Count the outcomes of ops at an endpoint. `full`: the aborted ones that it had no room for."""
         load = self.lanes[endpoint]
         load.tries += tries
         load.acked += tries - aborted
@@ -541,7 +547,7 @@
         )
 
     def look(self, now: int) -> tuple[float, float]:
-        """Return the pressure and the ops a second behind it.
+        """Return the pressure, and the ops a second from which it was computed.
 
         Endpoints are weighted by their answered ops, so a hung one counts little; if none answers, by ops in
         flight.
--- a/cedarshift/judge/redial.py
+++ b/cedarshift/judge/redial.py
@@ -10,11 +10,14 @@
 from typing import Callable
 
 MAX_REQUESTED_WAIT_US = 10_000_000  # upper bound on a wait requested by a peer
-GROWTH_FACTOR = 3  # times the previous wait; the mean wait doubles
+GROWTH_FACTOR = 3  # upper end of the range, as a multiple of the previous wait
 
 
 class Backoff:
-    """`minimum` and `maximum` bound the wait, in microseconds. `random()` returns a float in [0, 1)."""
+    """Draws the waits between tries, from `minimum` to `maximum` microseconds.
+
+    `random()` returns a float in [0, 1).
+    """
 
     def __init__(self, minimum: int, maximum: int, random: Callable[[], float]) -> None:
         assert 0 < minimum <= maximum, "the wait must be positive and at most the maximum"
@@ -28,8 +31,10 @@
         self.previous = self.minimum
 
     def wait(self, requested: int = 0) -> int:
-        """Return the microseconds until the next try. `requested`: the wait that the other side asked for; it
-        is kept, plus up to half of it as jitter.
+        """Return the microseconds until the next try.
+
+        `requested`: the wait that the other side asked for, 0 if none. Up to MAX_REQUESTED_WAIT_US it is a
+        lower bound, lengthened by up to half of it as jitter.
         """
         upper = min(self.maximum, GROWTH_FACTOR * self.previous)
         self.previous = self.minimum + int(self.random() * (upper - self.minimum))
--- a/cedarshift/judge/roll.py
+++ b/cedarshift/judge/roll.py
@@ -20,7 +20,7 @@
 from hashlib import blake2b
 from typing import Callable, Iterable, NamedTuple, Optional
 
-OBSERVERS_PER_MEMBER = 8  # one or two faulty ones decide nothing
+OBSERVERS_PER_MEMBER = 8  # enough that one or two faulty ones decide nothing
 MIN_REPORTER_SHARE = 0.6  # of a subject's reliable observers that must report it
 BASE_PATIENCE_PERIODS = 1.0  # from the first report to a verdict if all observers report
 EXTRA_PATIENCE_PERIODS = 8.0  # times the share of observers that do not report
@@ -84,7 +84,10 @@
 
 
 class Change(NamedTuple):
-    """A member's new state and its evidence."""
+    """A member's change of state and its evidence.
+
+    `side`: how many members are on the side that found it, of those `configured`.
+    """
 
     name: str
     before: str
@@ -148,7 +151,7 @@
 
 
 class MemberTable:
-    """The table of the member `me`; `period` in microseconds."""
+    """The table of member `me`. `names`: all configured members; `period`: of the failure detector (us)."""
 
     def __init__(self, me: str, names: Iterable[str], period: int) -> None:
         self.me = me
@@ -168,7 +171,7 @@
         self.disputed_members = 0  # members reported without a voucher, as of the last update
         self.majority_since: Optional[int] = None  # since when this side is the majority (us)
         self.needs_update = True  # something was merged since the last update
-        self.look_at = 0
+        self.look_at = 0  # when the next update is due without news (us)
 
     # ---- merging: commutative, associative, idempotent
 
@@ -226,7 +229,7 @@
         return verdict[:2] < (word.start, word.incarnation) or (word.left and verdict.start <= word.start)
 
     def dead(self, name: str) -> Optional[Verdict]:
-        """Return the verdict in force on a member."""
+        """Return the verdict that a member is dead, if one is in force; a majority's takes precedence."""
         word = self.words.get(name)
         for verdict in (self.verdicts.get(name), self.minority_verdicts.get(name)):
             if verdict is not None and word is not None and verdict[:2] == (word.start, word.incarnation):
@@ -254,8 +257,8 @@
         return self.rings.subjects(self.me, self.usable)
 
     def standing(self, subject: str) -> dict[str, Edge]:
-        """Return the edges in force to a subject, by observer: those of its present life and incarnation, by
-        usable observers.
+        """Return the edges to a subject that are in force, by observer: those as of its present life and
+        incarnation, from usable observers.
         """
         word = self.words.get(subject)
         if word is None:
@@ -311,15 +314,15 @@
         vouched = fresh(partitioned)
         unreliable = {
             name
-            for name, observing in silent.items()
+            for name, silent_observers in silent.items()
             if not vouched[name]
-            and len(observing) >= MIN_REPORTERS
+            and len(silent_observers) >= MIN_REPORTERS
             and (
-                2 * len(observing) >= len(self.rings.observers(name, self.usable))
+                2 * len(silent_observers) >= len(self.rings.observers(name, self.usable))
                 or now - self.since.get(name, now) >= UNRELIABLE_AFTER_PERIODS * self.period
             )
         }
-        reported = {name: observing - unreliable for name, observing in silent.items()}
+        reported = {name: silent_observers - unreliable for name, silent_observers in silent.items()}
         # A member reported without a voucher may be beyond a partition that is just being detected.
         side = sum(
             name == self.me or not silent.get(name) or bool(vouched.get(name)) for name in usable_members
@@ -345,8 +348,8 @@
                 self.changed_at[name] = now
         self._drop_outdated_edges()
         self.silence_digest = 0
-        for name, observing in silent.items():
-            for observer in observing:
+        for name, silent_observers in silent.items():
+            for observer in silent_observers:
                 self.silence_digest ^= _hashed(f"{observer} {name} {standing[name][observer][:2]}")
         return [
             Change(
@@ -374,8 +377,9 @@
         partitioned: bool,
         heard: Callable[[str], Optional[int]],
     ) -> None:
-        """Issue a verdict if there are enough reports, for long enough, and no voucher. A minority's verdict
-        is upgraded once its side is the majority.
+        """Issue a verdict on a member if there have been enough reports for long enough and its vouchers have
+        expired; otherwise schedule the next update. A minority's verdict is upgraded once its side is the
+        majority.
         """
         word, dead = self.words[name], self.dead(name)
         agreed = 2 * side > len(self.names)
@@ -501,7 +505,7 @@
     # ---- queries
 
     def side(self) -> int:
-        """Return how many members are on this side."""
+        """Return how many members are usable, including this one."""
         return sum(self.usable(name) or name == self.me for name in self.names)
 
     def view(self) -> dict[str, tuple[str, int, int]]:
--- a/cedarshift/judge/spending.py
+++ b/cedarshift/judge/spending.py
@@ -10,21 +10,25 @@
 
 from collections import deque
 
-PARTS_PER_TOKEN = 1_000  # resolution in which rates are divided
+PARTS_PER_TOKEN = 1_000  # rates are integers, in thousandths of a token a second
 SECOND = 1_000_000  # us
-MAX_SAMPLES = 6
+MAX_SAMPLES = 6  # newest intervals from which the demand is estimated
 MIN_INTERVAL_US = SECOND // 10  # shorter intervals are too noisy
 HEADROOM = 1.25  # times the measured rate, so that demand can grow without refusals
 
 
 class TokenBucket:
-    """`burst` in microseconds of the rate; `drift` is deducted when refilling, as this clock may run fast."""
+    """Token bucket refilled at the rate of the present share.
+
+    `burst`: its capacity, as the microseconds in which the rate fills it (at least one token). `drift`: the
+    fraction by which this clock may run fast; refills are reduced by it.
+    """
 
     def __init__(self, burst: int, drift: float, now: int) -> None:
         self.burst = burst
         self.drift = drift
         self.rate = 0  # parts a second
-        self.until = now
+        self.until = now  # end of the share
         self.updated_at = now
         self.tokens = 0.0
         self.spent = 0
@@ -46,7 +50,10 @@
             self.tokens, self.rate = 0.0, 0
 
     def grant(self, now: int, rate: int, until: int) -> None:
-        """Set the rate to `rate` parts a second until `until`."""
+        """Set the rate to `rate` parts a second until `until`.
+
+        The bucket starts empty if there was no share.
+        """
         self._settle(now)
         if not self.rate:
             self.tokens = 0.0
@@ -91,7 +98,10 @@
             self.since, self.count = now, 0
 
     def rate(self) -> int:
-        """Return the rate to ask for, in parts a second, from the completed intervals."""
+        """Return the rate to ask for, in parts a second; 0 without any request in the completed intervals.
+
+        It is the mean rate, or that of the busier of the last two intervals if higher, with headroom.
+        """
         if not any(requests for _, requests in self.samples):
             return 0
         mean = (
--- a/cedarshift/judge/trials.py
+++ b/cedarshift/judge/trials.py
@@ -1,5 +1,4 @@
-"""Circuit breaker for sick endpoints, shared by the fleet: when one is probed, by whom, and how it recovers.
-No I/O.
+"""Fleet-wide circuit breaker for sick endpoints: when one is probed, by whom, and how it recovers. No I/O.
 
 At sites without slices each proxy picks among all endpoints and avoids those that failed it. Unsupervised, a
 thousand proxies would probe a sick endpoint a thousand times each few seconds, and all return at its first
@@ -22,16 +21,16 @@
 
 MIN_SHUN_SHARE = 0.2  # of the fleet's proxies; fewer may have a network problem of their own
 MIN_SHUNNING_PROXIES = 2
-PROBE_INTERVAL_US = 1_000_000  # for the whole fleet; doubled with each strike
+PROBE_INTERVAL_US = 1_000_000  # between the fleet's probes of an endpoint; doubled with each strike
 MAX_PROBE_INTERVAL_US = 8_000_000
 PROBE_TIMEOUT_US = 3_000_000  # to deliver, make and report a probe
 PROBES_TO_RAMP = 3  # consecutive good probes
 RAMP_INITIAL_SHARE = 1 / 16
 RAMP_INTERVAL_US = 1_000_000  # then the share is doubled
-MIN_RAMP_TRIES = 4  # in a step, before its failures count
-MAX_RAMP_ABORT_SHARE = 0.4
+MIN_RAMP_TRIES = 4  # ops in a ramp step before its failures count
+MAX_RAMP_ABORT_SHARE = 0.4  # of the ops in a ramp step; with more the endpoint is closed again
 STRIKE_MEMORY_US = 60_000_000  # time for which a strike counts after recovery
-MAX_REPORTED_TRIALS = 8
+MAX_REPORTED_TRIALS = 8  # also the most shunned endpoints that a report names
 
 
 @lru_cache(maxsize=1 << 16)
@@ -52,8 +51,12 @@
 
 @dataclass
 class Trial:
-    """A trial of one endpoint. `share` 0: closed and probed; otherwise growing. `prober` was asked to probe
-    at `asked_at` (us).
+    """A trial of one endpoint, from its closing until it is open to all again. Times are microseconds.
+
+    `share`: the part of its usual load that is admitted; 0 while it is closed and probed. `strikes`: how
+    often it was closed again during or soon after a trial. `next_at`: when the next probe or ramp step is
+    due. `prober`: the proxy that was asked to probe at `asked_at`. `tries` and `failed`: ops in this ramp
+    step.
     """
 
     share: float
@@ -93,8 +96,8 @@
         self.reports[pilot] = report
 
     def on_met(self, now: int, proxy: str, endpoint: str, tries: int, aborted: int) -> None:
-        """Count a proxy's ops at an endpoint. While it is closed only its prober counts: other ops began
-        earlier.
+        """Count a proxy's ops at an endpoint on trial. While it is closed, only its prober's ops count, as
+        those of other proxies began earlier.
         """
         trial = self.own_trials.get(endpoint)
         if trial is None or not tries:
@@ -218,8 +221,10 @@
                 self.strikes_until[endpoint] = (trial.strikes, now + STRIKE_MEMORY_US)
 
     def probe(self, now: int, proxy: str) -> Optional[str]:
-        """Return an endpoint that this proxy may probe once now; the proxy is picked at random among those
-        that send heartbeats.
+        """Return a closed endpoint that this proxy is to probe once now, if there is one.
+
+        Called for each heartbeat of a proxy. The prober is picked at random, with a chance of one in the
+        number of proxies at each call; once a probe is overdue by PROBE_INTERVAL_US, the next caller gets it.
         """
         for endpoint, trial in self.own_trials.items():
             if (
--- a/cedarshift/judge/trust.py
+++ b/cedarshift/judge/trust.py
@@ -21,7 +21,7 @@
 UNSOUND_FACTOR = 0.5  # weight kept by good reports of a lender that is cut off
 LIST_STALE_AFTER_US = 6_000_000  # list silence after which a lender counts as cut off
 CLOCK_DRIFT = 0.01  # share by which another clock may run slow or fast
-# Of the listed endpoints; more warnings are ignored, so that a faulty lender cannot empty a pool
+# Of the listed endpoints that are on; above it all warnings are ignored, as a faulty lender may send them
 MAX_WARNED_SHARE = 0.34
 MAX_HOPS = 4  # facts with more hops are dropped
 
@@ -63,7 +63,7 @@
 
 
 def age_of(heard: int, now: int) -> int:
-    """Return the age in microseconds, never negative."""
+    """Return the age (us) of a fact heard at `heard`; 0 if that is in the future."""
     return max(0, now - heard)
 
 
@@ -89,7 +89,7 @@
 
 
 class Lender(NamedTuple):
-    """What a lender states of itself, and when its list had last answered (us, this clock)."""
+    """What a lender states of itself; `list_heard` is when its list last answered it (us, this clock)."""
 
     life: str
     list_heard: int
@@ -137,12 +137,13 @@
         self.sickness[endpoint] = max(sickness, self.sickness.get(endpoint, sickness))
 
     def set_soundness(self, origin: str, lender_soundness: float) -> None:
-        """Store the soundness of the lender that last brought this origin's facts."""
+        """Set the weight factor of good reports from this origin: the soundness of their last lender."""
         self.lender_soundness[origin] = lender_soundness
 
     # ---- evaluation
 
     def good_weight(self, report: PhaseReport, now: int) -> float:
+        """Return the weight of a good report, which depends on its lender's soundness."""
         return weight(
             age_of(report.heard, now),
             report.hops,
@@ -151,6 +152,7 @@
         )
 
     def bad_weight(self, report: PhaseReport, now: int) -> float:
+        """Return the weight of a bad report."""
         return weight(age_of(report.heard, now), report.hops, BAD_HALF_LIFE_US)
 
     def warning(self, endpoint: str, own: Optional[OwnEntry], now: int) -> Optional[PhaseReport]:
