--- a/tests/test_claims.py
+++ b/tests/test_claims.py
@@ -109,7 +109,7 @@
 
 
 def play(seed, holder_class=ClaimHolder, grantor_class=ClaimGrantor):
-    """Simulates three pilots with drifting clocks, message faults, crashes and pauses, and a grantor that restarts.
+    """Simulates three pilots with drifting clocks, message faults, crashes and pauses, and grantor restarts.
 
     Returns (time, resource, holders) of the first claim held twice, or None, and the number of claims.
     """
