--- a/tests/test_trust.py
+++ b/tests/test_trust.py
@@ -21,15 +21,15 @@
     return OwnEntry(phase, start, started, rev, source, NOW - int(confirmed * SECOND))
 
 
-def borrowed(*words, source="list"):
+def borrowed(*reports, source="list"):
     facts = BorrowedFacts()
-    for w in words:
-        facts.merge_phase("e", source, w)
+    for one in reports:
+        facts.merge_phase("e", source, one)
     return facts
 
 
 @pytest.mark.parametrize(
-    "words, entry, source, warned",
+    "reports, entry, source, warned",
     [
         ([report("fading")], None, "list", True),
         (
@@ -68,15 +68,15 @@
         ([report("off", hops=4, age=1)], None, "list", True),
     ],
 )
-def test_which_warnings_stand(words, entry, source, warned):
-    facts = borrowed(*words, source=source if source == "list" else "theirs")
+def test_which_warnings_stand(reports, entry, source, warned):
+    facts = borrowed(*reports, source=source if source == "list" else "theirs")
     if source == "other":
         entry = entry._replace(source="own")
     assert (facts.warning("e", entry, NOW) is not None) is warned
 
 
 @pytest.mark.parametrize(
-    "words, offered",
+    "reports, offered",
     [
         ([report("on", age=1)], True),
         ([report("on", age=30)], False),  # a lender cut off from its list for 30 s
@@ -85,8 +85,8 @@
         ([report("on", age=1, rev=6), report("fading", age=1, rev=5)], True),
     ],
 )
-def test_what_is_offered_to_a_pilot_without_a_list(words, offered):
-    assert ("e" in borrowed(*words).offered(NOW)) is offered
+def test_what_is_offered_to_a_pilot_without_a_list(reports, offered):
+    assert ("e" in borrowed(*reports).offered(NOW)) is offered
 
 
 def test_an_unsound_lenders_good_news_counts_half_and_its_bad_news_in_full():
