--- a/benchmarks/fixtures.py
+++ b/benchmarks/fixtures.py
@@ -1,4 +1,4 @@
-"""What the benchmarks share: a deployment of a stated size in a folder, and agents on one loop that play its proxies."""
+"""Shared fixtures of the benchmarks: a deployment of a given size and agents that act as its proxies."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from cedarshift.deployment import Deployment, load
 from cedarshift.loop import Loop, listen
 
-TEXT = """
+DEPLOYMENT_TEMPLATE = """
 deployment "bench" {{
   slices = {slices}
   zones = ["a", "b", "c", "d"]
@@ -54,14 +54,16 @@
 
 
 def free_ports(loop: Loop, count: int) -> list[int]:
-    doors = [listen(loop, ("127.0.0.1", 0)) for _ in range(count)]
-    ports = [door.address[1] for door in doors]
-    for door in doors:
-        door.close()
+    """Returns `count` TCP ports that were free on loopback."""
+    listeners = [listen(loop, ("127.0.0.1", 0)) for _ in range(count)]
+    ports = [listener.address[1] for listener in listeners]
+    for listener in listeners:
+        listener.close()
     return ports
 
 
 def write_list(folder: str, endpoints: int, fading: tuple[int, ...] = ()) -> None:
+    """Replaces the endpoint list in `folder`; the endpoints numbered in `fading` are draining."""
     rows = [
         {
             "endpoint": f"10.0.0.{n}:7500",
@@ -77,11 +79,12 @@
 
 
 def make_deployment(loop: Loop, folder: str, slices: int, endpoints: int, lines_per_s: int) -> Deployment:
+    """Writes the configuration and endpoint list to `folder` and loads the deployment."""
     pilot, admin, store = free_ports(loop, 3)
     path = os.path.join(folder, "bench.hcl")
     with open(path, "w") as out:
         out.write(
-            TEXT.format(
+            DEPLOYMENT_TEMPLATE.format(
                 slices=slices,
                 pilot=pilot,
                 admin=admin,
@@ -97,14 +100,14 @@
 def make_agents(
     loop: Loop, d: Deployment, count: int, observe: Optional[Callable[..., Any]] = None
 ) -> list[Agent]:
-    """`observe(agent's number, event, **fields)`."""
-    made = []
+    """Starts `count` agents; `observe(agent_number, event, **fields)` receives their events."""
+    agents = []
     for n in range(count):
         tables = Tables(
             d.slices, [OpKind(op.name, op.writes) for op in d.op_types], True, d.proxy.lease, True
         )
-        told = (lambda event, n=n, **fields: observe(n, event, **fields)) if observe else None
-        made.append(
+        observer = (lambda event, n=n, **fields: observe(n, event, **fields)) if observe else None
+        agents.append(
             Agent(
                 loop,
                 Identity("bench", "proxy", f"x{n}", "abcd"[n % 4]),
@@ -112,12 +115,13 @@
                 None,
                 tables,
                 random.Random(n).random,
-                told,
+                observer,
             )
         )
-    return made
+    return agents
 
 
 def percentile(values: list[float], share: float) -> float:
+    """Returns the value at the quantile `share` (0 to 1), or 0.0 if there are none."""
     ordered = sorted(values)
     return ordered[min(len(ordered) - 1, int(len(ordered) * share))] if ordered else 0.0
--- a/benchmarks/generator.py
+++ b/benchmarks/generator.py
@@ -1,7 +1,7 @@
-"""The load generator's own error against its schedule, over loopback: how late it sends at each rate, and at what cost.
+"""Scheduling error of the load generator over loopback: send lateness and cost at each rate.
 
-Against stand-in endpoints that answer at once, two processes of them; then the same with a generator that is held up for two
-seconds (SIGSTOP), which must not be certified.
+Runs against stand-in endpoints that answer at once, then once more with a worker stopped (SIGSTOP) for two
+seconds; that run must not be certified.
 
     python -m benchmarks.generator [--rates 1000,5000,20000] [--workers 4] [--length 5s]
 """
@@ -21,7 +21,7 @@
 from cedarshift.loop.epoll import real_loop
 from cedarshift.rehearsal.fleet import Ports
 
-FILE = """load "bench" {{
+LOAD_TEMPLATE = """load "bench" {{
   targets = [{targets}]
   rate    = {rate}
   length  = "{length}"
@@ -34,8 +34,8 @@
 """
 
 
-def held_up(path: str) -> str:
-    """Plays it in a process of its own and stops one of its workers for two seconds."""
+def run_with_stopped_worker(path: str) -> str:
+    """Runs the load file in a child process, stops one worker for two seconds and returns the output."""
     run = subprocess.Popen(
         [sys.executable, "-m", "cedarshift", "load", path, "--quiet"], stdout=subprocess.PIPE, text=True
     )
@@ -58,45 +58,50 @@
     parser.add_argument("--length", default="5s")
     args = parser.parse_args()
     ports = Ports(real_loop())
-    places = [ports.take() for _ in range(args.endpoints)]
-    running = []
+    addresses = [ports.take() for _ in range(args.endpoints)]
+    endpoint_processes = []
     with tempfile.TemporaryDirectory() as folder:
-        for n, place in enumerate(places):
+        for n, address in enumerate(addresses):
             plan = os.path.join(folder, f"plan-{n}.json")
             with open(plan, "w") as out:
-                json.dump({"name": f"e{n}", "address": place, "cores": 1000, "queue": 100_000}, out)
-            running.append(
+                json.dump({"name": f"e{n}", "address": address, "cores": 1000, "queue": 100_000}, out)
+            endpoint_processes.append(
                 subprocess.Popen([sys.executable, "-m", "cedarshift.standins", "endpoint", plan, os.devnull])
             )
         try:
             time.sleep(0.5)
-            targets = ", ".join(f'"{host}:{port}"' for host, port in places)
+            targets = ", ".join(f'"{host}:{port}"' for host, port in addresses)
             path = os.path.join(folder, "load.hcl")
             print(
-                f"{'asked/s':>8} {'acked/s':>8} {'late p99 ms':>11} {'late max ms':>11} {'busiest worker':>14} {'p50 ms':>7} {'p99 ms':>7}  verdict"
+                f"{'asked/s':>8} {'acked/s':>8} {'late p99 ms':>11} {'late max ms':>11} "
+                f"{'busiest worker':>14} {'p50 ms':>7} {'p99 ms':>7}  verdict"
             )
-            for rate in [int(one) for one in args.rates.split(",")]:
+            for rate in [int(rate_text) for rate_text in args.rates.split(",")]:
                 with open(path, "w") as out:
                     out.write(
-                        FILE.format(targets=targets, rate=rate, length=args.length, workers=args.workers)
+                        LOAD_TEMPLATE.format(
+                            targets=targets, rate=rate, length=args.length, workers=args.workers
+                        )
                     )
-                got = play(path, lambda text: None)
-                acked = sum(counts.get("acked", 0) for counts in got["outcomes"].values())
-                busiest = max((one["busy"] for one in got["workers"]), default=0.0)
-                times = got["latency_ms"].get("tile-fetch", {"p50": 0.0, "p99": 0.0})
+                report = play(path, lambda text: None)
+                acked = sum(counts.get("acked", 0) for counts in report["outcomes"].values())
+                busiest = max((worker["busy"] for worker in report["workers"]), default=0.0)
+                times = report["latency_ms"].get("tile-fetch", {"p50": 0.0, "p99": 0.0})
                 seconds = float(args.length.rstrip("s"))
                 print(
-                    f"{rate:>8} {acked / seconds:>8.0f} {got['late_ms']['p99']:>11.2f} {got['late_ms']['max']:>11.1f} {busiest:>14.2f} "
-                    f"{times['p50']:>7.2f} {times['p99']:>7.2f}  {'certified' if got['certified'] else got['faults'][0]}",
+                    f"{rate:>8} {acked / seconds:>8.0f} {report['late_ms']['p99']:>11.2f} "
+                    f"{report['late_ms']['max']:>11.1f} {busiest:>14.2f} "
+                    f"{times['p50']:>7.2f} {times['p99']:>7.2f}  "
+                    f"{'certified' if report['certified'] else report['faults'][0]}",
                     flush=True,
                 )
             with open(path, "w") as out:
-                out.write(FILE.format(targets=targets, rate=500, length="6s", workers=2))
-            print("one of two workers stopped for 2 s, 500 ops/s for 6 s:\n" + held_up(path))
+                out.write(LOAD_TEMPLATE.format(targets=targets, rate=500, length="6s", workers=2))
+            print("one of two workers stopped for 2 s, 500 ops/s for 6 s:\n" + run_with_stopped_worker(path))
         finally:
-            for one in running:
-                one.kill()
-                one.wait()
+            for process in endpoint_processes:
+                process.kill()
+                process.wait()
             ports.release()
 
 
--- a/benchmarks/lending.py
+++ b/benchmarks/lending.py
@@ -1,7 +1,8 @@
-"""What lending costs the lender: order latency with and without a borrower in one run; bytes a fact, packed or not.
+"""Cost of lending to the lender: order latency with and without a borrower, and bytes per fact.
 
-One process: a pilot with 70 agents and a borrower that asks for everything again and again; endpoints are drained one
-after the other, first with nobody borrowing, then with. 20,000 slices and the 12 endpoints are lent.
+One process runs a pilot, its agents and a borrower that requests all facts repeatedly. Endpoints are drained
+one after the other, first without a borrower, then with one. Facts on 20,000 slices and 12 endpoints are
+lent.
 
     python -m benchmarks.lending [--proxies 70] [--rounds 5]
 """
@@ -41,10 +42,10 @@
         open_store(loop, d)
         pilot = PilotService(loop, listen(loop, d.pilots[0].listen), d, "p0", 1, lambda event, **fields: None)
         agents = make_agents(loop, d, args.proxies)
-        lent = {"chunks": 0, "lendings": 0}
+        counters = {"chunks": 0, "lendings": 0}
 
-        def fill() -> None:
-            """Sums of many slices, as a larger site would have."""
+        def record_stats() -> None:
+            """Records statistics of many slices and of all endpoints."""
             assert pilot.lending is not None
             for n in range(LENT_SLICES):
                 for k in range(4):
@@ -70,13 +71,13 @@
                     assert isinstance(got, m.Facts), got
                     unpack_chunk(got)
                     version, number, chunks = got.version, number + 1, got.chunks
-                    lent["chunks"] += 1
-                lent["lendings"] += 1
+                    counters["chunks"] += 1
+                counters["lendings"] += 1
 
-        def play() -> Any:
+        def drain_endpoints() -> Any:
             while any(not h.owner for a in agents for h in a.tables.held.values()):
                 yield from loop.sleep(50_000)
-            fill()
+            record_stats()
             for name in ("nobody borrows", "lending all the time"):
                 pilot.in_force_us.clear()
                 loop.slowest_step_us = 0
@@ -85,34 +86,39 @@
                     yield from loop.sleep(int(1.6 * d.proxy.in_flight_most))
                 acks = [us / 1000 for us in pilot.in_force_us]
                 print(
-                    f"{name:<22} decided to acked: p50 {percentile(acks, 0.5):.1f} ms, p99 {percentile(acks, 0.99):.1f} ms, "
-                    f"max {max(acks):.1f} ms; longest step {loop.slowest_step_us / 1000:.1f} ms; {lent['chunks']} chunks",
+                    f"{name:<22} decided to acked: p50 {percentile(acks, 0.5):.1f} ms, p99 "
+                    f"{percentile(acks, 0.99):.1f} ms, "
+                    f"max {max(acks):.1f} ms; longest step {loop.slowest_step_us / 1000:.1f} ms; "
+                    f"{counters['chunks']} chunks",
                     flush=True,
                 )
-                if not lent["chunks"]:
+                if not counters["chunks"]:
                     loop.spawn(borrow(), "borrower")
 
         print(
-            f"{args.proxies} proxies, {SLICES} slices ordered, {ENDPOINTS} endpoints and {LENT_SLICES} slices lent, "
+            f"{args.proxies} proxies, {SLICES} slices ordered, {ENDPOINTS} endpoints and {LENT_SLICES} "
+            f"slices lent, "
             f"a lender's share {learn.lend_share:g}"
         )
-        loop.run(loop.spawn(play(), "play"))
+        loop.run(loop.spawn(drain_endpoints(), "play"))
         for packed in (False, True):
             pilot.deployment = dataclasses.replace(d, learn=dataclasses.replace(learn, compress=packed))
             assert pilot.lending is not None
             plan = pilot.lending._get_plan("")
-            begun, size, facts, worst = time.perf_counter(), 0, 0, 0.0
+            started_at, size, facts, longest_s = time.perf_counter(), 0, 0, 0.0
             for number in range(len(plan.parts)):
-                one = time.perf_counter()
+                chunk_started_at = time.perf_counter()
                 chunk = pilot.lending._build_chunk(plan, number)
-                worst = max(worst, time.perf_counter() - one)
+                longest_s = max(longest_s, time.perf_counter() - chunk_started_at)
                 size += len(chunk.payload)
-                held = unpack_chunk(chunk)
-                facts += len(held.endpoints) + len(held.slices)
-            took = time.perf_counter() - begun
+                facts_chunk = unpack_chunk(chunk)
+                facts += len(facts_chunk.endpoints) + len(facts_chunk.slices)
+            elapsed_s = time.perf_counter() - started_at
             print(
-                f"{'zstandard' if packed else 'plain':<10} {facts} facts in {len(plan.parts)} chunks, {size / 1024:.0f} KiB, "
-                f"{size / facts:.0f} bytes a fact; built and read in {took:.2f} s, longest chunk {worst * 1000:.1f} ms"
+                f"{'zstandard' if packed else 'plain':<10} {facts} facts in {len(plan.parts)} chunks, "
+                f"{size / 1024:.0f} KiB, "
+                f"{size / facts:.0f} bytes a fact; built and read in {elapsed_s:.2f} s, longest chunk "
+                f"{longest_s * 1000:.1f} ms"
             )
 
 
--- a/benchmarks/membership.py
+++ b/benchmarks/membership.py
@@ -1,10 +1,11 @@
-"""Membership on a virtual clock: how soon dead ones are found, whom it removes wrongly, and what it costs a member; the product's
-own against three plain ways, on the same days.
+"""Failure detection on a virtual clock: the product's membership against three textbook baselines.
 
-Days: quiet, 1%, 10% and 30% of all datagrams lost, one member paused for 12 periods, a tenth of them slow by six tenths of a period, a one-way
-cut at one member's links to a third of the others, half of them killed. In all but the last some members are killed at the end
-(one of sixteen, one at least). Every row is by the days' seeds; times are in periods. A removal is wrong where a member that was alive and
-not paused, nor cut off as a whole, is held for dead by anyone who is itself sound (for the product also: agreed by most).
+Days: quiet; 1%, 10% and 30% datagram loss; one member paused for 12 periods; a tenth of the members slow by
+0.6 periods; a one-way cut from one member to a third of the others; half of the members killed. On all other
+days one member in 16 (at least one) is killed at the end. Times are in periods.
+
+A removal is wrong if a sound member declares dead a member that was alive and neither paused nor cut off; for
+the product, removals agreed by a majority are counted as well.
 
     python -m benchmarks.membership [--sizes 8,64,256] [--seeds 3] [--plot FILE.png]
 """
@@ -24,18 +25,14 @@
 from cedarshift.judge.roll import DEAD
 from cedarshift.rehearsal.crowd import SECOND, Crowd
 
-WAYS: dict[str, Any] = {"cedarshift": None, "heartbeats": Heartbeats, "phi": Phi, "swim": Swim}
+DETECTORS: dict[str, Any] = {"cedarshift": None, "heartbeats": Heartbeats, "phi": Phi, "swim": Swim}
 DAYS = ("quiet", "loss1", "loss10", "loss30", "paused", "slow", "one-way", "half-killed")
-WARM, QUIET, FAULT, AFTER = (
-    14,
-    20,
-    30,
-    16,
-)  # periods: coming up, measured in peace, under the day's fault, after the deaths
+# Phases of a run in periods: warm-up, measured without faults, under the day's fault, after the kills.
+WARMUP_PERIODS, BASELINE_PERIODS, FAULT_PERIODS, DETECTION_PERIODS = 14, 20, 30, 16
 
 
-def build(way: str, count: int, seed: int) -> Crowd:
-    kind = WAYS[way]
+def build_crowd(detector: str, count: int, seed: int) -> Crowd:
+    kind = DETECTORS[detector]
     return Crowd(
         count,
         seed,
@@ -49,39 +46,40 @@
     )
 
 
-def sums(crowd: Crowd) -> tuple[int, int]:
-    members = [place.member for place in crowd.places.values()]
+def traffic_totals(crowd: Crowd) -> tuple[int, int]:
+    """Returns the total bytes and datagrams sent."""
+    members = [node.member for node in crowd.places.values()]
     return sum(m.counts["bytes_sent"] for m in members), sum(m.counts["datagrams_sent"] for m in members)
 
 
 def play(task: tuple[str, int, str, int]) -> dict[str, Any]:
-    way, count, day, seed = task
-    begun = time.process_time()
-    draw = random.Random(f"{day} {count} {seed}")
-    crowd = build(way, count, seed)
+    """Plays one (detector, size, day, seed) and returns its results."""
+    detector, count, day, seed = task
+    started_at = time.process_time()
+    rng = random.Random(f"{day} {count} {seed}")
+    crowd = build_crowd(detector, count, seed)
     names = sorted(crowd.places)
-    crowd.run_for(WARM)
+    crowd.run_for(WARMUP_PERIODS)
     crowd.links.loss = {"loss1": 0.01, "loss10": 0.1, "loss30": 0.3}.get(day, 0.0)
     crowd.run_for(4)
-    before = sums(crowd)
+    before = traffic_totals(crowd)
     at, cpu = crowd.now, time.process_time()
-    crowd.run_for(QUIET)
+    crowd.run_for(BASELINE_PERIODS)
     cpu = time.process_time() - cpu
-    sent = [(now - was) / QUIET / count for now, was in zip(sums(crowd), before)]
-    # The day's own fault.
+    sent = [(now - was) / BASELINE_PERIODS / count for now, was in zip(traffic_totals(crowd), before)]
     excused: set[str] = set()
     if day == "paused":
-        one = draw.choice(names)
+        one = rng.choice(names)
         excused.add(one)
         crowd.pause(one, 12 * SECOND)
     elif day == "slow":
-        for one in draw.sample(names, max(1, count // 10)):
+        for one in rng.sample(names, max(1, count // 10)):
             crowd.places[one].slow = 600_000
     elif day == "one-way":
-        one = draw.choice(names)
-        some = set(draw.sample([name for name in names if name != one], max(1, count // 3)))
-        crowd.cut("one-way", lambda s, t: s == one and t in some, FAULT * SECOND)
-    crowd.run_for(FAULT)
+        one = rng.choice(names)
+        some = set(rng.sample([name for name in names if name != one], max(1, count // 3)))
+        crowd.cut("one-way", lambda s, t: s == one and t in some, FAULT_PERIODS * SECOND)
+    crowd.run_for(FAULT_PERIODS)
     wrong = [
         (when, who, change.name)
         for when, who, change in crowd.changes
@@ -92,8 +90,8 @@
         and who != change.name
     ]
     agreed = (
-        [one for when, who, one in wrong if way != "cedarshift"]
-        if way != "cedarshift"
+        [one for when, who, one in wrong if detector != "cedarshift"]
+        if detector != "cedarshift"
         else [
             change.name
             for when, who, change in crowd.changes
@@ -105,47 +103,48 @@
             and who != change.name
         ]
     )
-    # The deaths.
-    some = draw.sample(names, count // 2 if day == "half-killed" else max(1, count // 16))
-    died, mark = crowd.now, len(crowd.changes)
+    some = rng.sample(names, count // 2 if day == "half-killed" else max(1, count // 16))
+    killed_at, first_change = crowd.now, len(crowd.changes)
     already = {
         (who, one) for who in names for one in some if crowd.places[who].member.table.states[one] == DEAD
     }
     for one in some:
         crowd.kill(one)
-    crowd.run_for(AFTER)
-    rest = [name for name in names if name not in some]
+    crowd.run_for(DETECTION_PERIODS)
+    survivors = [name for name in names if name not in some]
     first: dict[tuple[str, str], float] = {}
-    for when, who, change in crowd.changes[mark:]:
-        if change.after == DEAD and change.name in some and who in rest:
-            first.setdefault((who, change.name), (when - died) / SECOND)
-    found = sorted(first.values())
-    missing = len(rest) * len(some) - len(first) - len([pair for pair in already if pair not in first])
+    for when, who, change in crowd.changes[first_change:]:
+        if change.after == DEAD and change.name in some and who in survivors:
+            first.setdefault((who, change.name), (when - killed_at) / SECOND)
+    detection_times = sorted(first.values())
+    missing = len(survivors) * len(some) - len(first) - len([pair for pair in already if pair not in first])
     return {
-        "way": way,
+        "way": detector,
         "size": count,
         "day": day,
         "seed": seed,
         "bytes": sent[0],
         "datagrams": sent[1],
-        "cpu_us": cpu * 1e6 / QUIET / count,
+        "cpu_us": cpu * 1e6 / BASELINE_PERIODS / count,
         "wrong": len({(who, one) for _, who, one in wrong}),
         "agreed": len(set(agreed)),
-        "found": found,
-        "agreement": max(found, default=0.0),
+        "found": detection_times,
+        "agreement": max(detection_times, default=0.0),
         "missing": missing,
-        "real_s": time.process_time() - begun,
+        "real_s": time.process_time() - started_at,
     }
 
 
-def heal(task: tuple[int, int]) -> tuple[int, int, Optional[float]]:
-    """Size, seed, and periods from the heal of two halves, cut off from each other for 15 periods, until all views are true and
-    alike; None where that took over 60."""
+def measure_heal_time(task: tuple[int, int]) -> tuple[int, int, Optional[float]]:
+    """Measures the time until all views agree after a partition into halves of 15 periods is healed.
+
+    Returns (size, seed, periods), with None for periods if it takes more than 60.
+    """
     count, seed = task
     crowd = Crowd(count, seed)
     names = sorted(crowd.places)
     half = set(random.Random(f"halves {count} {seed}").sample(names, count // 2))
-    crowd.run_for(WARM + 4)
+    crowd.run_for(WARMUP_PERIODS + 4)
     crowd.cut("halves", lambda s, t: (s in half) != (t in half), 15 * SECOND, tuple(names))
     crowd.run_for(15)
     healed = crowd.now
@@ -156,21 +155,24 @@
     return count, seed, None
 
 
-def line(rows: list[dict[str, Any]]) -> str:
+def format_row(rows: list[dict[str, Any]]) -> str:
     one = rows[0]
-    found = sorted(t for row in rows for t in row["found"])
-    hours = len(rows) * (QUIET + FAULT) / 3600
+    detection_times = sorted(t for row in rows for t in row["found"])
+    hours = len(rows) * (BASELINE_PERIODS + FAULT_PERIODS) / 3600
     return (
-        f"{one['size']:>5} {one['day']:<12} {one['way']:<11} p50 {percentile(found, 0.5):5.1f}  p99 {percentile(found, 0.99):5.1f}  "
-        f"max {max(found, default=0):5.1f}  missing {sum(row['missing'] for row in rows):>5}  "
-        f"wrong {sum(row['wrong'] for row in rows):>6} ({sum(row['agreed'] for row in rows)} members agreed; in {hours:.2f} h)  "
-        f"bytes {sum(row['bytes'] for row in rows) / len(rows):8.0f}  datagrams {sum(row['datagrams'] for row in rows) / len(rows):6.1f}  "
+        f"{one['size']:>5} {one['day']:<12} {one['way']:<11} p50 {percentile(detection_times, 0.5):5.1f}  "
+        f"p99 {percentile(detection_times, 0.99):5.1f}  "
+        f"max {max(detection_times, default=0):5.1f}  missing {sum(row['missing'] for row in rows):>5}  "
+        f"wrong {sum(row['wrong'] for row in rows):>6} ({sum(row['agreed'] for row in rows)} members "
+        f"agreed; in {hours:.2f} h)  "
+        f"bytes {sum(row['bytes'] for row in rows) / len(rows):8.0f}  datagrams "
+        f"{sum(row['datagrams'] for row in rows) / len(rows):6.1f}  "
         f"cpu {sum(row['cpu_us'] for row in rows) / len(rows):6.0f} us"
     )
 
 
 def plot(rows: list[dict[str, Any]], path: str) -> None:
-    """Detection (p99) and bytes by size, one line a way, one column a day."""
+    """Plots detection time (p99), wrong removals and bytes by size, with one column per day."""
     import matplotlib
 
     matplotlib.use("Agg")
@@ -182,16 +184,16 @@
         3, len(days), figsize=(3 * len(days), 8), squeeze=False, sharey="row", sharex=True
     )
     for column, day in enumerate(days):
-        for way in WAYS:
+        for detector in DETECTORS:
             series: list[list[Optional[float]]] = [[], [], []]
             for size in sizes:
-                got = [row for row in rows if (row["way"], row["day"], row["size"]) == (way, day, size)]
-                found = sorted(t for row in got for t in row["found"])
-                series[0].append(percentile(found, 0.99) if found else None)
+                got = [row for row in rows if (row["way"], row["day"], row["size"]) == (detector, day, size)]
+                detection_times = sorted(t for row in got for t in row["found"])
+                series[0].append(percentile(detection_times, 0.99) if detection_times else None)
                 series[1].append(sum(row["wrong"] for row in got) + 0.5 if got else None)
                 series[2].append(sum(row["bytes"] for row in got) / len(got) if got else None)
             for at in range(3):
-                axes[at][column].plot(sizes, series[at], marker="o", label=way)
+                axes[at][column].plot(sizes, series[at], marker="o", label=detector)
         axes[0][column].set_title(day)
         axes[1][column].set_yscale("log")
         axes[2][column].set_yscale("log")
@@ -210,7 +212,7 @@
     parser = argparse.ArgumentParser()
     parser.add_argument("--sizes", default="8,64,256")
     parser.add_argument("--days", default=",".join(DAYS))
-    parser.add_argument("--ways", default=",".join(WAYS))
+    parser.add_argument("--ways", default=",".join(DETECTORS))
     parser.add_argument("--seeds", type=int, default=3)
     parser.add_argument(
         "--heals", action="store_true", help="the time to equal views after a heal, and nothing else"
@@ -220,16 +222,16 @@
     parser.add_argument("--plot", default="")
     args = parser.parse_args()
     tasks = [
-        (way, int(size), day, seed)
+        (detector, int(size), day, seed)
         for size in args.sizes.split(",")
         for day in args.days.split(",")
-        for way in args.ways.split(",")
+        for detector in args.ways.split(",")
         for seed in range(1, args.seeds + 1)
     ]
     if args.heals:
         with multiprocessing.Pool(args.jobs) as pool:
             for size, seed, took in pool.imap_unordered(
-                heal,
+                measure_heal_time,
                 [(int(size), seed) for size in args.sizes.split(",") for seed in range(1, args.seeds + 1)],
                 1,
             ):
@@ -241,13 +243,13 @@
     with multiprocessing.Pool(args.jobs) as pool:
         for row in pool.imap(play, tasks, 1):
             rows.append(row)
-            same = [
+            matching = [
                 one
                 for one in rows
                 if (one["way"], one["size"], one["day"]) == (row["way"], row["size"], row["day"])
             ]
-            if len(same) == args.seeds:
-                print(line(same), flush=True)
+            if len(matching) == args.seeds:
+                print(format_row(matching), flush=True)
     if args.json:
         with open(args.json, "w") as out:
             json.dump(rows, out)
--- a/benchmarks/overload.py
+++ b/benchmarks/overload.py
@@ -1,16 +1,15 @@
-"""Overload by ways of answering it, on a virtual clock: the whole program, stand-in endpoints that can carry some 120 ops a second,
-asked for half to four times that.
+"""Comparison of overload controls on a virtual clock, at loads from half to four times the capacity.
 
-    fleet      the answer of the fleet (block overload)
-    alone      each pilot by itself: the module's level, as without the block
-    none       no levels at all
-    throttle   adaptive throttling by each proxy alone
-    oracle     proxies that know the capacity from the start, and let in 0.95 of it, the best first
+    fleet      fleet-wide control (block overload)
+    alone      each pilot sets its own level, as without the block
+    none       no admission levels
+    throttle   adaptive throttling by each proxy on its own
+    oracle     proxies that know the capacity and admit 0.95 of it, highest value first
 
     python -m benchmarks.overload [--loads 0.5,1,1.5,2,3,4] [--seeds 10] [--plot FILE.png] [--json FILE]
 
-Each figure is a mean over the seeds with its 95% interval (Student's t). Goodput: ops acked in time, a second, once the load has stood
-for six seconds.
+Each figure is a mean over the seeds with its 95% confidence interval (Student's t). Goodput is the rate of
+ops acked within their target latency, measured once the load has been applied for six seconds.
 """
 
 from __future__ import annotations
@@ -31,41 +30,59 @@
 from cedarshift.rehearsal.evidence import read_records
 from cedarshift.rehearsal.run import play
 
-WAYS = ("fleet", "alone", "none", "throttle", "oracle")
-CAN = 120.0  # ops a second of nine endpoints with four cores and 0.3 s an op
-BASE = 60.0  # before the load comes
-BEGIN, STANDS, END = 5, 11, 27  # s: the load comes; it has stood; it ends
-ORACLE = 0.95
-T_95 = {2: 12.71, 3: 4.30, 4: 3.18, 5: 2.78, 6: 2.57, 7: 2.45, 8: 2.36, 9: 2.31, 10: 2.26}
+VARIANTS = ("fleet", "alone", "none", "throttle", "oracle")
+CAPACITY_OPS_PER_S = 120.0  # nine endpoints with four cores each, 0.3 s per op
+BASE_OPS_PER_S = 60.0  # rate before the overload
+LOAD_START_S, STEADY_FROM_S, LOAD_END_S = 5, 11, 27
+ORACLE_ADMITTED_SHARE = 0.95
+# Quantiles of Student's t for two-sided 95% intervals, by sample size.
+STUDENT_T_95 = {2: 12.71, 3: 4.30, 4: 3.18, 5: 2.78, 6: 2.57, 7: 2.45, 8: 2.36, 9: 2.31, 10: 2.26}
 
 
-def day_for(way: str, times: float) -> Day:
+def day_for(variant: str, load_factor: float) -> Day:
+    """Returns the day for a variant at `load_factor` times the capacity."""
     day = load_day("surge-quiet")
-    rate = times * CAN
-    burst = Fault("burst", BEGIN * 1_000_000, {"for": (END - BEGIN) * 1_000_000, "times": rate / BASE}, 0)
+    rate = load_factor * CAPACITY_OPS_PER_S
+    burst = Fault(
+        "burst",
+        LOAD_START_S * 1_000_000,
+        {"for": (LOAD_END_S - LOAD_START_S) * 1_000_000, "times": rate / BASE_OPS_PER_S},
+        0,
+    )
     deployment = day.deployment
     changes: dict[str, Any] = {}
-    if way != "fleet":
+    if variant != "fleet":
         deployment = dataclasses.replace(deployment, overload=None)
-    if way in ("none", "throttle", "oracle"):
+    if variant in ("none", "throttle", "oracle"):
         deployment = dataclasses.replace(deployment, levels="none")
-    if way == "throttle":
+    if variant == "throttle":
         changes["proxy_kind"] = "throttle"
-    if way == "oracle":
-        worths = [OpValue(op.name, op.earnings, 1.0) for op in deployment.op_types]
-        whole = sum(day.shares.values())
-        mix = [day.shares[op.name] / whole for op in deployment.op_types]
+    if variant == "oracle":
+        op_values = [OpValue(op.name, op.earnings, 1.0) for op in deployment.op_types]
+        total_share = sum(day.shares.values())
+        mix = [day.shares[op.name] / total_share for op in deployment.op_types]
         changes.update(
-            proxy_kind="fixed", let_in=tuple(shares(min(1.0, ORACLE * CAN / rate), merit_order(worths), mix))
+            proxy_kind="fixed",
+            let_in=tuple(
+                shares(
+                    min(1.0, ORACLE_ADMITTED_SHARE * CAPACITY_OPS_PER_S / rate), merit_order(op_values), mix
+                )
+            ),
         )
     return dataclasses.replace(
-        day, rate=BASE, length=END * 1_000_000, faults=(burst,), deployment=deployment, **changes
+        day,
+        rate=BASE_OPS_PER_S,
+        length=LOAD_END_S * 1_000_000,
+        faults=(burst,),
+        deployment=deployment,
+        **changes,
     )
 
 
-def one(task: tuple[str, float, int]) -> dict[str, Any]:
-    way, times, seed = task
-    day, folder = day_for(way, times), tempfile.mkdtemp(prefix="overload-")
+def run_variant(task: tuple[str, float, int]) -> dict[str, Any]:
+    """Plays one (variant, load, seed) and returns its results."""
+    variant, load_factor, seed = task
+    day, folder = day_for(variant, load_factor), tempfile.mkdtemp(prefix="overload-")
     try:
         report = play(day, folder, seed, None, virtual=True, page=False)
         rows = read_records(folder)
@@ -74,54 +91,62 @@
     ops = {op.name: op for op in day.deployment.op_types}
     begin = min(row.told[3] for row in rows if row.what == "op")
     intended: dict[str, tuple[str, int]] = {}
-    asked: Counter[str] = Counter()
+    requested: Counter[str] = Counter()
     in_time: Counter[str] = Counter()
     tries: Counter[str] = Counter()
-    took = []
+    latencies = []
     for row in rows:
-        if row.what == "op" and STANDS <= (row.told[3] - begin) / 1e6 < END - 1:
+        if row.what == "op" and STEADY_FROM_S <= (row.told[3] - begin) / 1e6 < LOAD_END_S - 1:
             intended[row.told[0]] = (row.told[1], row.told[3])
-            asked[row.told[1]] += 1
+            requested[row.told[1]] += 1
         elif row.what == "send" and row.told[0] in intended:
             tries[row.told[0]] += 1
         elif row.what == "done" and row.told[0] in intended and row.told[1] == "acked":
             name, _ = intended[row.told[0]]
-            took.append(row.told[2])
+            latencies.append(row.told[2])
             in_time[name] += row.told[2] <= ops[name].target_latency
-    span, earned = END - 1 - STANDS, sum(ops[name].earnings * count for name, count in in_time.items())
-    took.sort()
+    duration_s, earned = (
+        LOAD_END_S - 1 - STEADY_FROM_S,
+        sum(ops[name].earnings * count for name, count in in_time.items()),
+    )
+    latencies.sort()
     return {
-        "way": way,
-        "times": times,
+        "way": variant,
+        "times": load_factor,
         "seed": seed,
-        "goodput": sum(in_time.values()) / span,
-        "earned": earned / span,
-        "by_type": {name: in_time[name] / max(1, asked[name]) for name in ops},
-        "repeats": sum(count - 1 for count in tries.values()) / max(1, sum(asked.values())),
-        "p99_ms": took[int(len(took) * 0.99)] / 1000 if took else 0.0,
+        "goodput": sum(in_time.values()) / duration_s,
+        "earned": earned / duration_s,
+        "by_type": {name: in_time[name] / max(1, requested[name]) for name in ops},
+        "repeats": sum(count - 1 for count in tries.values()) / max(1, sum(requested.values())),
+        "p99_ms": latencies[int(len(latencies) * 0.99)] / 1000 if latencies else 0.0,
         "broken": [
             rule["rule"] for rule in report["rules"] if not rule["held"] and rule["rule"] != "overload"
         ],
     }
 
 
-def with_interval(values: list[float]) -> tuple[float, float]:
+def mean_with_interval(values: list[float]) -> tuple[float, float]:
+    """Returns the mean and the half-width of its 95% confidence interval."""
     mean = statistics.mean(values)
-    return mean, T_95.get(len(values), 2.0) * statistics.stdev(values) / len(values) ** 0.5 if len(
+    return mean, STUDENT_T_95.get(len(values), 2.0) * statistics.stdev(values) / len(values) ** 0.5 if len(
         values
     ) > 1 else 0.0
 
 
-def line(rows: list[dict[str, Any]]) -> str:
+def format_row(rows: list[dict[str, Any]]) -> str:
     figures = {
-        key: with_interval([row[key] for row in rows]) for key in ("goodput", "earned", "repeats", "p99_ms")
+        key: mean_with_interval([row[key] for row in rows])
+        for key in ("goodput", "earned", "repeats", "p99_ms")
+    }
+    type_intervals = {
+        name: mean_with_interval([row["by_type"][name] for row in rows]) for name in rows[0]["by_type"]
     }
-    kinds = {name: with_interval([row["by_type"][name] for row in rows]) for name in rows[0]["by_type"]}
     broken = Counter(rule for row in rows for rule in row["broken"])
     return (
-        f"{rows[0]['times']:>4}x {rows[0]['way']:<9} goodput {figures['goodput'][0]:6.1f} ±{figures['goodput'][1]:5.1f}  "
+        f"{rows[0]['times']:>4}x {rows[0]['way']:<9} goodput {figures['goodput'][0]:6.1f} "
+        f"±{figures['goodput'][1]:5.1f}  "
         f"earned {figures['earned'][0]:6.1f} ±{figures['earned'][1]:5.1f}  "
-        + "  ".join(f"{name} {mean:.3f} ±{half:.3f}" for name, (mean, half) in kinds.items())
+        + "  ".join(f"{name} {mean:.3f} ±{half:.3f}" for name, (mean, half) in type_intervals.items())
         + f"  repeats {figures['repeats'][0]:.3f}  p99 {figures['p99_ms'][0]:5.0f} ms"
         + (f"  BROKEN {dict(broken)}" if broken else "")
     )
@@ -140,20 +165,21 @@
         ("goodput", "earned", "repeats"),
         ("acked in time, ops a second", "earned a second", "repeats for each op"),
     ):
-        for way in WAYS:
-            found = [
-                with_interval(
-                    [row[key] for row in rows if (row["way"], row["times"]) == (way, times)] or [0.0]
+        for variant in VARIANTS:
+            points = [
+                mean_with_interval(
+                    [row[key] for row in rows if (row["way"], row["times"]) == (variant, load_factor)]
+                    or [0.0]
                 )
-                for times in loads
+                for load_factor in loads
             ]
             axis.errorbar(
                 loads,
-                [mean for mean, _ in found],
-                [half for _, half in found],
+                [mean for mean, _ in points],
+                [half for _, half in points],
                 marker="o",
                 capsize=3,
-                label=way,
+                label=variant,
             )
         axis.set_title(title)
         axis.set_xlabel("load, of what can be carried")
@@ -165,25 +191,27 @@
 def main() -> int:
     parser = argparse.ArgumentParser()
     parser.add_argument("--loads", default="0.5,1,1.5,2,3,4")
-    parser.add_argument("--ways", default=",".join(WAYS))
+    parser.add_argument("--ways", default=",".join(VARIANTS))
     parser.add_argument("--seeds", type=int, default=10)
     parser.add_argument("--jobs", type=int, default=None)
     parser.add_argument("--plot", default="")
     parser.add_argument("--json", default="")
     args = parser.parse_args()
     tasks = [
-        (way, float(times), seed)
-        for times in args.loads.split(",")
-        for way in args.ways.split(",")
+        (variant, float(load_factor), seed)
+        for load_factor in args.loads.split(",")
+        for variant in args.ways.split(",")
         for seed in range(1, args.seeds + 1)
     ]
     rows: list[dict[str, Any]] = []
     with multiprocessing.Pool(args.jobs) as pool:
-        for row in pool.imap(one, tasks, 1):
+        for row in pool.imap(run_variant, tasks, 1):
             rows.append(row)
-            same = [other for other in rows if (other["way"], other["times"]) == (row["way"], row["times"])]
-            if len(same) == args.seeds:
-                print(line(same), flush=True)
+            matching = [
+                other for other in rows if (other["way"], other["times"]) == (row["way"], row["times"])
+            ]
+            if len(matching) == args.seeds:
+                print(format_row(matching), flush=True)
     if args.json:
         with open(args.json, "w") as out:
             json.dump(rows, out)
--- a/benchmarks/turns.py
+++ b/benchmarks/turns.py
@@ -1,15 +1,16 @@
-"""The module alone at fleets of several sizes: how long its turns take while a fifth of the endpoints drains at once.
+"""CPU cost of the decision module's turns at several fleet sizes while a fifth of the endpoints drains.
 
-A made-up fleet tells a `Pilot` what a real one would hear: a list, slices with their owners, proxies that join, their acks
-0.1 to 0.4 s after each turn, and every 2 s the sums of four zones, each zone's in one go. Ten seconds in, a fifth of the
-endpoints drain. Time is made up, cost is measured: each turn's, that of the inputs, and their share of a core at a beat of
-25 ms. With `--former REV` the module of that commit goes through the same inputs in the same run, and all decisions are
-compared, one by one. The machine's own baseline is how long it takes for a fixed piece of Python.
+A synthetic fleet feeds a `Pilot` with an endpoint list, slice owners, joining proxies, acks 0.1 to 0.4 s
+after each turn, and the statistics of four zones every 2 s. The endpoints drain after ten seconds. Time is
+simulated, cost is measured: of each turn, of the inputs, and as a share of a core. With `--former REV` the
+module of that commit receives the same inputs in the same run and all decisions are compared. A fixed
+computation serves as a baseline of the machine.
 
-    python -m benchmarks.turns [--former REV] [--sizes 300x2100x200,1000x10000x500,2000x20000x500] [--seconds 30]
+    python -m benchmarks.turns [--former REV] [--seconds 30]
+        [--sizes 300x2100x200,1000x10000x500,2000x20000x500]
 
-With `--rough SEEDS` (such as 1-200) it compares decisions alone: small fleets in which endpoints, proxies, slices, lists, ways
-and sums fail as the seed says.
+`--rough SEEDS` (such as 1-200) compares decisions only, on small fleets with seeded failures of endpoints,
+proxies, slices, lists, paths and reports.
 
     python -m benchmarks.turns --former REV --rough 1-200
 """
@@ -37,14 +38,14 @@
 
 SECOND = 10_000  # tenths of a millisecond
 ZONES = ("a", "b", "c", "d")
-BEGIN = 100_000 * SECOND  # the day's begin: clocks of machines do not start at nought
-DRAIN_AT = BEGIN + 10 * SECOND
-PERIOD = 2 * SECOND  # between two sums of a zone
-OPS_A_SLICE = 6  # ops of a slice in a period, on average
+START_AT = 100_000 * SECOND  # not zero, as on a real clock
+DRAIN_AT = START_AT + 10 * SECOND
+REPORT_PERIOD = 2 * SECOND  # between two reports of a zone
+OPS_PER_SLICE = 6  # average per report period
 
 
-def terms(slices: int, proxies: int) -> DecisionConfig:
-    """Of the first users' platform, with a channel that grows with the proxies: heads fill 0.3 of it, as theirs do."""
+def make_config(slices: int, proxies: int) -> DecisionConfig:
+    """Returns the configuration for a fleet; the channel rate grows with the number of proxies."""
     lines_per_s = 40.0 * proxies
     return DecisionConfig(
         op_types=(
@@ -60,7 +61,7 @@
         lines_per_s=lines_per_s,
         transit_most=5_000,
         connect_most=2_000,
-        report_period=PERIOD,
+        report_period=REPORT_PERIOD,
         lease=8_000,
         in_flight_most=30_000,
         drain_grace=80_000,
@@ -71,139 +72,145 @@
 
 
 class Day:
-    """Inputs from a seed, the same whatever module hears them as long as it decides the same."""
+    """Seeded inputs for one module; equal for modules that make equal decisions."""
 
     def __init__(self, module: ModuleType, endpoints: int, slices: int, proxies: int) -> None:
-        self.chance = random.Random(11)
+        self.rng = random.Random(11)
         self.endpoints, self.slices, self.proxies = endpoints, slices, proxies
-        self.pilot = module.Pilot(terms(slices, proxies))
+        self.pilot = module.Pilot(make_config(slices, proxies))
         self.owner = {n: f"e{n % endpoints:05d}" for n in range(slices)}
-        self.due: list[tuple[int, int, str, Any]] = []  # (at, number, kind, what)
-        self.drawn = 0
+        self.event_queue: list[tuple[int, int, str, Any]] = []  # (time, number, kind, payload)
+        self.event_number = 0
         self.digest = hashlib.blake2b(digest_size=16)
         self.decided = 0
-        self.turns: list[float] = []  # s; the cost of each pull of all decisions
-        self.inputs: list[float] = []  # s; the cost of all that was told at one time
+        self.turns: list[float] = []  # s per turn, for pulling all decisions
+        self.inputs: list[float] = []  # s per turn, for processing the inputs
 
-    def at(self, when: int, kind: str, what: Any) -> None:
-        self.drawn += 1
-        heapq.heappush(self.due, (when, self.drawn, kind, what))
+    def schedule(self, when: int, kind: str, what: Any) -> None:
+        self.event_number += 1
+        heapq.heappush(self.event_queue, (when, self.event_number, kind, what))
 
     def begin(self) -> None:
         pilot = self.pilot
-        pilot.on_list(BEGIN, "replace", [self.entry(n, "on") for n in range(self.endpoints)])
+        pilot.on_list(START_AT, "replace", [self.entry(n, "on") for n in range(self.endpoints)])
         for n, owner in self.owner.items():
-            pilot.on_slice_assigned(BEGIN, n, True)
-            pilot.on_stored_owner(BEGIN, n, owner)
+            pilot.on_slice_assigned(START_AT, n, True)
+            pilot.on_stored_owner(START_AT, n, owner)
         for n in range(self.proxies):
-            pilot.on_join(BEGIN, n, ZONES[n % 4])
+            pilot.on_join(START_AT, n, ZONES[n % 4])
         for n, zone in enumerate(ZONES):
-            self.at(BEGIN + SECOND // 2 + n * PERIOD // 4, "sums", zone)
-        self.at(DRAIN_AT, "drain", None)
-        self.at(BEGIN, "beat", 0)
+            self.schedule(START_AT + SECOND // 2 + n * REPORT_PERIOD // 4, "sums", zone)
+        self.schedule(DRAIN_AT, "drain", None)
+        self.schedule(START_AT, "beat", 0)
 
     def entry(self, n: int, phase: str) -> Entry:
         return Entry(f"e{n:05d}", phase, 1.0, ZONES[n % 4], None)
 
     def play(self, seconds: int) -> None:
         self.begin()
-        while self.due[0][0] < BEGIN + seconds * SECOND:
-            now = self.due[0][0]
-            begun = time.perf_counter()
-            while self.due[0][0] == now:
-                _, _, kind, what = heapq.heappop(self.due)
+        while self.event_queue[0][0] < START_AT + seconds * SECOND:
+            now = self.event_queue[0][0]
+            started_at = time.perf_counter()
+            while self.event_queue[0][0] == now:
+                _, _, kind, what = heapq.heappop(self.event_queue)
                 if kind == "sums":
-                    begun += self.sums(now, what)
+                    started_at += self.report_statistics(now, what)
                 elif kind == "drain":
                     self.pilot.on_list(
                         now, "changes", [self.entry(n, "fading") for n in range(0, self.endpoints, 5)]
                     )
                 elif kind == "trouble":
-                    self.trouble(now)
+                    self.inject_fault(now)
                 elif kind == "acks":
                     for proxy, mark, took in what:
                         self.pilot.on_ack(now, proxy, mark, took)
                 else:
                     self.pilot.on_alarm(now, what)
-                if not self.due:
+                if not self.event_queue:
                     break
-            told = time.perf_counter()
+            inputs_done_at = time.perf_counter()
             decided = []
             while (decision := self.pilot.next_decision(now)) is not None:
                 decided.append(decision)
-            self.turns.append(time.perf_counter() - told)
-            self.inputs.append(told - begun)
-            self.carry_out(now, decided)
-
-    def trouble(self, now: int) -> None:
-        raise NotImplementedError("a plain day has no troubles")
-
-    def sums(self, now: int, zone: str) -> float:
-        """Tells a zone's sums, a quarter of the slices' with each; returns the cost of making them up (s), which is not the
-        module's."""
-        begun = time.perf_counter()
-        met, heat = [], []
+            self.turns.append(time.perf_counter() - inputs_done_at)
+            self.inputs.append(inputs_done_at - started_at)
+            self.apply_decisions(now, decided)
+
+    def inject_fault(self, now: int) -> None:
+        raise NotImplementedError("this day has no faults")
+
+    def report_statistics(self, now: int, zone: str) -> float:
+        """Reports a zone's statistics, with those of a quarter of the slices.
+
+        Returns the seconds spent on generating them, which are not part of the module's cost.
+        """
+        started_at = time.perf_counter()
+        endpoint_reports, slice_reports = [], []
         for n in range(self.endpoints):
-            tries = self.chance.randrange(5, 30)
+            tries = self.rng.randrange(5, 30)
             slow = 6.0 if n % 37 == 3 else 1.0
-            met.append(
+            endpoint_reports.append(
                 (
                     f"e{n:05d}",
                     tries,
-                    self.chance.randrange(3) if slow > 1 else 0,
-                    int(slow * self.chance.randrange(1_500, 4_500)),
+                    self.rng.randrange(3) if slow > 1 else 0,
+                    int(slow * self.rng.randrange(1_500, 4_500)),
                 )
             )
         for n in range(ZONES.index(zone), self.slices, 4):
             for op_type in ("fetch", "order"):
-                heat.append((n, op_type, self.chance.randrange(2 * OPS_A_SLICE)))
-        made = time.perf_counter() - begun
-        for name, tries, aborted, took in met:
-            self.pilot.on_endpoint_report(now, name, zone, tries, aborted, took, PERIOD)
-        for number, op_type, ops in heat:
-            self.pilot.on_slice_report(now, number, op_type, ops, 0, PERIOD)
-        self.at(now + PERIOD, "sums", zone)
-        return made
-
-    def carry_out(self, now: int, decided: list[tuple]) -> None:
+                slice_reports.append((n, op_type, self.rng.randrange(2 * OPS_PER_SLICE)))
+        generation_s = time.perf_counter() - started_at
+        for name, tries, aborted, took in endpoint_reports:
+            self.pilot.on_endpoint_report(now, name, zone, tries, aborted, took, REPORT_PERIOD)
+        for number, op_type, ops in slice_reports:
+            self.pilot.on_slice_report(now, number, op_type, ops, 0, REPORT_PERIOD)
+        self.schedule(now + REPORT_PERIOD, "sums", zone)
+        return generation_s
+
+    def apply_decisions(self, now: int, decided: list[tuple]) -> None:
         for decision in decided:
             self.digest.update(repr((now, decision)).encode())
             self.decided += 1
             if decision[0] == "wake":
-                self.at(now + decision[1], "beat", decision[2])
+                self.schedule(now + decision[1], "beat", decision[2])
             elif decision[0] == "mark":
                 acks: dict[int, list[tuple[int, int, int]]] = {}
                 for proxy in range(self.proxies):
-                    took = self.chance.randrange(1_000, 4_000) // 50 * 50
+                    took = self.rng.randrange(1_000, 4_000) // 50 * 50
                     acks.setdefault(now + took, []).append((proxy, decision[1], took))
                 for when, some in acks.items():
-                    self.at(when, "acks", some)
+                    self.schedule(when, "acks", some)
 
 
-class RoughDay(Day):
-    """A small fleet in which everything fails, as its seed says."""
+class FaultyDay(Day):
+    """A small fleet with seeded failures of all kinds."""
 
     def __init__(self, module: ModuleType, seed: int) -> None:
-        draw = random.Random(seed)
-        super().__init__(module, draw.randrange(2, 24), draw.randrange(4, 90), draw.randrange(1, 20))
-        self.chance = draw
-        pilots = draw.randrange(1, 4)
+        seeded_rng = random.Random(seed)
+        super().__init__(
+            module, seeded_rng.randrange(2, 24), seeded_rng.randrange(4, 90), seeded_rng.randrange(1, 20)
+        )
+        self.rng = seeded_rng
+        pilots = seeded_rng.randrange(1, 4)
         self.pilot = module.Pilot(
             dataclasses.replace(
-                terms(self.slices, self.proxies),
+                make_config(self.slices, self.proxies),
                 pilots=pilots,
-                pilot_index=draw.randrange(pilots),
+                pilot_index=seeded_rng.randrange(pilots),
                 seed=seed,
-                gone_binds=draw.random() < 0.5,
-                asks_list=draw.random() < 0.5,
-                levels=draw.choice(("fraction", "none")),
-                single_owner=draw.random() < 0.8,
-                report_period=draw.choice((5_000, PERIOD, 50_000)),
-                lines_waiting_most=draw.choice((25, 60, 400)) * self.proxies,
+                gone_binds=seeded_rng.random() < 0.5,
+                asks_list=seeded_rng.random() < 0.5,
+                levels=seeded_rng.choice(("fraction", "none")),
+                single_owner=seeded_rng.random() < 0.8,
+                report_period=seeded_rng.choice((5_000, REPORT_PERIOD, 50_000)),
+                lines_waiting_most=seeded_rng.choice((25, 60, 400)) * self.proxies,
                 ask_within=100_000,
             )
         )
-        self.lossy = {(draw.choice(ZONES), draw.choice(ZONES)) for _ in range(draw.randrange(3))}
+        self.lossy = {
+            (seeded_rng.choice(ZONES), seeded_rng.choice(ZONES)) for _ in range(seeded_rng.randrange(3))
+        }
         self.failing: set[int] = set()
         self.joined = set(range(self.proxies))
         self.starts: dict[int, int] = {}
@@ -212,72 +219,77 @@
     def begin(self) -> None:
         super().begin()
         for n in range(120):
-            self.at(BEGIN + self.chance.randrange(400_000), "trouble", None)
+            self.schedule(START_AT + self.rng.randrange(400_000), "trouble", None)
 
     def entry(self, n: int, phase: str) -> Entry:
         return Entry(f"e{n:05d}", phase, 0.5 + n % 3, ZONES[n % 4], self.starts.get(n), n % 5 * 100)
 
-    def trouble(self, now: int) -> None:
-        draw, pilot = self.chance, self.pilot
-        kind, n = draw.randrange(10), draw.randrange(self.endpoints)
+    def inject_fault(self, now: int) -> None:
+        seeded_rng, pilot = self.rng, self.pilot
+        kind, n = seeded_rng.randrange(10), seeded_rng.randrange(self.endpoints)
         if kind <= 2:
-            some = {n, *(draw.randrange(self.endpoints) for _ in range(draw.randrange(3)))}
+            some = {n, *(seeded_rng.randrange(self.endpoints) for _ in range(seeded_rng.randrange(3)))}
             for one in some:
-                self.phases[one] = draw.choice(("on", "on", "fading", "off"))
-                if self.phases[one] == "on" and draw.random() < 0.6:
-                    self.starts[one] = now - draw.randrange(20_000)
+                self.phases[one] = seeded_rng.choice(("on", "on", "fading", "off"))
+                if self.phases[one] == "on" and seeded_rng.random() < 0.6:
+                    self.starts[one] = now - seeded_rng.randrange(20_000)
             pilot.on_list(now, "update", [self.entry(one, self.phases[one]) for one in sorted(some)])
         elif kind == 3:
-            named = [one for one in range(self.endpoints) if draw.random() < 0.8]
+            named = [one for one in range(self.endpoints) if seeded_rng.random() < 0.8]
             pilot.on_list(
-                now, draw.choice(("replace", "unavailable")), [self.entry(one, "on") for one in named]
+                now, seeded_rng.choice(("replace", "unavailable")), [self.entry(one, "on") for one in named]
             )
         elif kind == 4:
             self.failing ^= {n}
         elif kind == 5:
-            self.lossy ^= {(draw.choice(ZONES), draw.choice(ZONES))}
+            self.lossy ^= {(seeded_rng.choice(ZONES), seeded_rng.choice(ZONES))}
         elif kind == 6:
-            proxy = draw.randrange(self.proxies)
+            proxy = seeded_rng.randrange(self.proxies)
             if proxy in self.joined:
                 pilot.on_leave(now, proxy)
             else:
                 pilot.on_join(now, proxy, ZONES[proxy % 4])
             self.joined ^= {proxy}
         elif kind == 7:
-            number = draw.randrange(self.slices)
-            pilot.on_slice_assigned(now, number, draw.random() < 0.7)
-            if draw.random() < 0.6:
+            number = seeded_rng.randrange(self.slices)
+            pilot.on_slice_assigned(now, number, seeded_rng.random() < 0.7)
+            if seeded_rng.random() < 0.6:
                 pilot.on_stored_owner(now, number, f"e{n:05d}")
         elif kind == 8:
-            pilot.on_sick_warning(now, f"e{n:05d}", now + draw.randrange(100_000))
+            pilot.on_sick_warning(now, f"e{n:05d}", now + seeded_rng.randrange(100_000))
 
-    def sums(self, now: int, zone: str) -> float:
-        draw = self.chance
+    def report_statistics(self, now: int, zone: str) -> float:
+        seeded_rng = self.rng
         for n in range(self.endpoints):
-            if draw.random() < 0.1:
+            if seeded_rng.random() < 0.1:
                 continue
-            tries = draw.randrange(1, 60)
+            tries = seeded_rng.randrange(1, 60)
             lost = 0.5 if (zone, ZONES[n % 4]) in self.lossy else 1.0 if n in self.failing else 0.01
-            aborted = sum(draw.random() < lost for _ in range(tries))
-            took = 0 if aborted == tries else draw.randrange(300, 9_000) * (3 if n % 5 == 1 else 1)
-            self.pilot.on_endpoint_report(now, f"e{n:05d}", zone, tries, aborted, took, PERIOD)
+            aborted = sum(seeded_rng.random() < lost for _ in range(tries))
+            took = 0 if aborted == tries else seeded_rng.randrange(300, 9_000) * (3 if n % 5 == 1 else 1)
+            self.pilot.on_endpoint_report(now, f"e{n:05d}", zone, tries, aborted, took, REPORT_PERIOD)
         for n in range(self.slices):
-            if draw.random() < 0.3:
+            if seeded_rng.random() < 0.3:
                 self.pilot.on_slice_report(
-                    now, n, draw.choice(("fetch", "order")), draw.randrange(80), draw.randrange(5), PERIOD
+                    now,
+                    n,
+                    seeded_rng.choice(("fetch", "order")),
+                    seeded_rng.randrange(80),
+                    seeded_rng.randrange(5),
+                    REPORT_PERIOD,
                 )
-        self.at(now + PERIOD, "sums", zone)
+        self.schedule(now + REPORT_PERIOD, "sums", zone)
         return 0.0
 
 
-def rough(seeds: str, former_module: ModuleType) -> int:
-    """How many seeds decide otherwise."""
+def compare_faulty_days(seeds: str, former_module: ModuleType) -> int:
+    """Compares both modules over `seeds` and returns the number of seeds with different decisions."""
     first, _, last = seeds.partition("-")
     differing, decided = [], 0
     for seed in range(int(first), int(last or first) + 1):
         found = []
         for module in (cedarshift.brain, former_module):
-            day = RoughDay(module, seed)
+            day = FaultyDay(module, seed)
             day.play(40)
             found.append(day.digest.digest())
             decided += day.decided
@@ -287,8 +299,8 @@
     return len(differing)
 
 
-def former(rev: str) -> ModuleType:
-    """The module as it was at a commit."""
+def load_former_module(rev: str) -> ModuleType:
+    """Loads the decision module of commit `rev`."""
     text = subprocess.run(
         ["git", "show", f"{rev}:cedarshift/brain.py"], check=True, capture_output=True
     ).stdout
@@ -304,10 +316,11 @@
     return module
 
 
-def baseline() -> float:
-    begun = time.perf_counter()
+def measure_baseline() -> float:
+    """Returns the seconds that a fixed computation takes on this machine."""
+    started_at = time.perf_counter()
     sum(n * n % 7 for n in range(3_000_000))
-    return time.perf_counter() - begun
+    return time.perf_counter() - started_at
 
 
 def measure(name: str, module: ModuleType, size: tuple[int, int, int], seconds: int) -> tuple[str, int]:
@@ -335,19 +348,24 @@
     parser.add_argument("--rough", default="")
     args = parser.parse_args(arguments)
     if args.rough:
-        return 1 if rough(args.rough, former(args.former)) else 0
-    print(f"baseline: {baseline():.3f} s for the fixed piece of Python")
-    alike = True
+        return 1 if compare_faulty_days(args.rough, load_former_module(args.former)) else 0
+    print(f"baseline: {measure_baseline():.3f} s for the fixed piece of Python")
+    all_equal = True
     for text in args.sizes.split(","):
         endpoints, slices, proxies = (int(part) for part in text.split("x"))
         found = [measure("now", cedarshift.brain, (endpoints, slices, proxies), args.seconds)]
         if args.former:
             found.append(
-                measure(args.former[:10], former(args.former), (endpoints, slices, proxies), args.seconds)
+                measure(
+                    args.former[:10],
+                    load_former_module(args.former),
+                    (endpoints, slices, proxies),
+                    args.seconds,
+                )
             )
-            alike = alike and found[0] == found[1]
+            all_equal = all_equal and found[0] == found[1]
             print(f"{'':>10} decisions {'alike, one by one' if found[0] == found[1] else 'DIFFER'}")
-    return 0 if alike else 1
+    return 0 if all_equal else 1
 
 
 if __name__ == "__main__":
