--- a/cedarshift/standins/ensemble.py
+++ b/cedarshift/standins/ensemble.py
@@ -562,7 +562,7 @@
             raise ZooKeeperError(Code.NO_AUTH)
 
     def write(self, connection: Connection, op: int, body: Any) -> tuple[int, Any]:
-        """Returns (zxid, answer). Raises ZooError."""
+        """Returns (zxid, answer). Raises ZooKeeperError."""
         if op == r.MULTI:
             return self._multi(connection, body)
         change, answer = self._validate(connection, op, body, self.tree)
@@ -603,7 +603,7 @@
     def _validate(
         self, connection: Connection, op: int, body: Any, tree: Tree
     ) -> tuple[Optional[tuple], str]:
-        """Returns (change, path) of an operation. Raises ZooError if it is not allowed."""
+        """Returns (change, path) of an operation. Raises ZooKeeperError if it is not allowed."""
         if op in (r.CREATE_CONTAINER, r.CREATE_TTL) or (
             op in (r.CREATE, r.CREATE2) and body.flags not in range(4)
         ):
