--- a/cedarshift/sim/scenario.py
+++ b/cedarshift/sim/scenario.py
@@ -78,8 +78,8 @@
     """The input of a run, stored as JSON.
 
     `rate`: ops per second of a proxy; `chunks`: maximum number of pieces that a stream write arrives in;
-    `delay_most`: maximum network delay in us; `ages`: whether the list reports ages; `rates` and `offsets`: of
-    the clocks, by host; `length`: in us.
+    `delay_most`: maximum network delay in us; `ages`: whether the list reports ages; `rates` and `offsets`:
+    of the clocks, by host; `length`: in us.
     """
 
     seed: int
--- a/tests/test_ensemble_outside.py
+++ b/tests/test_ensemble_outside.py
@@ -23,7 +23,7 @@
 
 @pytest.fixture
 def ensemble(tmp_path):
-    """Starts three servers in a process; yields their addresses and a function that sends control commands."""
+    """Starts three servers in a process; yields their addresses and a sender of control commands."""
     ports = Ports(real_loop())
     addresses = [ports.take() for _ in range(3)]
     control = ports.take()
