--- a/cedarshift/__main__.py
+++ b/cedarshift/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m cedarshift` is the `cedarshift` command."""
+"""Runs the `cedarshift` command for `python -m cedarshift`."""
 
 from cedarshift.cli.main import main
 
--- a/cedarshift/cli/__init__.py
+++ b/cedarshift/cli/__init__.py
@@ -1,1 +1,1 @@
-"""The command line: sub-commands, logging, and the processes that they run."""
+"""The command line: sub-commands, logging and the processes they run."""
--- a/cedarshift/cli/budgets.py
+++ b/cedarshift/cli/budgets.py
@@ -1,4 +1,4 @@
-"""`cedarshift budgets`: the store's ledger, a pilot's part, and a plan without anybody running."""
+"""`cedarshift budgets`: the shares in the store's ledger, those of a pilot, and a plan from the file."""
 
 from __future__ import annotations
 
@@ -16,22 +16,22 @@
 from cedarshift.loop.core import Coroutine
 from cedarshift.loop.epoll import fresh_bytes, real_loop
 
-TIMEOUT = 5_000_000  # us
-ASKS_AS = "operator"  # the role under which the store is read
+TIMEOUT_US = 5_000_000
+OPERATOR_ROLE = "operator"  # the role in which the store is read
 
 
-def ask_store(deployment: Deployment) -> bytes:
-    """What the store's ledger holds, as JSON. Raises OSError where it does not answer."""
+def fetch_store_status(deployment: Deployment) -> bytes:
+    """Fetches the state of the store's ledger as JSON. Raises OSError if the store does not answer."""
     assert deployment.store is not None
     loop, address = real_loop(), deployment.store.listen
-    badge = Badge(deployment.name, ASKS_AS, ASKS_AS, "", deployment.secret)
+    badge = Badge(deployment.name, OPERATOR_ROLE, OPERATOR_ROLE, "", deployment.secret)
 
     def main() -> Coroutine:
         try:
-            link, _ = yield from connect(loop, address, Session(badge, challenge=fresh_bytes(16)), TIMEOUT)
+            link, _ = yield from connect(loop, address, Session(badge, challenge=fresh_bytes(16)), TIMEOUT_US)
             link.send(m.ReadBudgets(1))
             while True:
-                for message in (yield from link.receive(loop.now() + TIMEOUT)):
+                for message in (yield from link.receive(loop.now() + TIMEOUT_US)):
                     if isinstance(message, m.BudgetsHeld):
                         link.close("done", "read")
                         return message.payload
@@ -41,16 +41,17 @@
     held = loop.run(loop.spawn(main(), "ask"))
     loop.network.epoll.close()  # type: ignore[attr-defined]
     if not held:
-        raise OSError("it was started without the block budgets")
+        raise OSError("the store runs without a block budgets")
     return held
 
 
 def _tokens(count: int, held: bool = False) -> str:
+    """Formats a number of units held at a time, or a rate in parts of a token per second."""
     return f"{count} at a time" if held else f"{count / PARTS:g}/s"
 
 
 def _held(deployment: Deployment) -> set[str]:
-    """Budgets of so many at a time."""
+    """Returns the names of budgets that limit how many units are held at a time."""
     return (
         {name for name, budget in deployment.budgets.named.items() if budget.held}
         if deployment.budgets is not None
@@ -58,91 +59,111 @@
     )
 
 
-def shown_store(raw: bytes, deployment: Deployment) -> str:
-    held: dict[str, Any] = msgspec.json.decode(raw)
-    out = [f"store of {deployment.name}, leases of {held['lease_us'] / 1e6:g} s"]
-    for budget in held["budgets"]:
+def format_store(raw: bytes, deployment: Deployment) -> str:
+    """Formats the state of the store's ledger."""
+    state: dict[str, Any] = msgspec.json.decode(raw)
+    lines = [f"store of {deployment.name}, leases of {state['lease_us'] / 1e6:g} s"]
+    for budget in state["budgets"]:
         within = f", within {budget['within']}" if budget["within"] else ""
-        quiet = (
-            f"; nothing new for {budget['quiet_us'] / 1e6:.1f} s after its start"
+        recovery = (
+            f"; no new shares for {budget['quiet_us'] / 1e6:.1f} s after its start"
             if budget["quiet_us"]
             else ""
         )
-        held_ones = budget["budget"] in _held(deployment)
-        out.append(
-            f"{budget['budget']}: whole {_tokens(budget['whole'], held_ones)}{within}, set aside {_tokens(budget['floors'], held_ones)}, "
-            f"given {_tokens(budget['given'], held_ones)}{quiet}"
+        is_held = budget["budget"] in _held(deployment)
+        lines.append(
+            f"{budget['budget']}: whole {_tokens(budget['whole'], is_held)}{within}, "
+            f"set aside {_tokens(budget['floors'], is_held)}, given {_tokens(budget['given'], is_held)}"
+            f"{recovery}"
         )
-        out += [
-            f"  {one['holder']:<16} given {_tokens(one['given'], held_ones):>10}  asked {_tokens(one['demand'], held_ones):>10}  "
-            f"ends in {max(0, one['ends_in_us']) / 1e6:5.1f} s  heard {one['heard_us_ago'] / 1e6:5.1f} s ago"
-            for one in budget["holders"]
+        lines += [
+            f"  {holder['holder']:<16} given {_tokens(holder['given'], is_held):>10}  "
+            f"asked {_tokens(holder['demand'], is_held):>10}  "
+            f"ends in {max(0, holder['ends_in_us']) / 1e6:5.1f} s  "
+            f"last seen {holder['heard_us_ago'] / 1e6:5.1f} s ago"
+            for holder in budget["holders"]
         ]
-    out += [
-        f"cold endpoint {one['thing']} is {one['holder']}'s to warm, ends in {one['ends_in_us'] / 1e6:.1f} s"
-        for one in held["claims"]
+    lines += [
+        f"cold endpoint {claim['thing']} is claimed by {claim['holder']}, "
+        f"ends in {claim['ends_in_us'] / 1e6:.1f} s"
+        for claim in state["claims"]
     ]
-    return "\n".join(out)
-
-
-def shown_pilot(raw: bytes) -> str:
-    held: dict[str, Any] = msgspec.json.decode(raw)
-    if not held:
-        return "no budgets: the pilot was started without the block"
-    out = ["the store answers" if held["store"] else "NO STORE: floors alone, and what has not ended yet"]
-    for one in held["budgets"]:
-        spent = "" if one["spent"] is None else f", spent {one['spent']}, refused {one['refused']}"
-        kind = one["held"]
-        used = f"under way {one['in_hand']}" if kind else f"handed on {_tokens(one['handed_on'])}"
-        out.append(
-            f"{one['budget']}: right {_tokens(one['right'], kind)} (floor {_tokens(one['floor'], kind)}), "
-            f"ends in {(one['ends_in_us'] or 0) / 1e6:.1f} s, asked {_tokens(one['asked'], kind)}, {used}{spent}"
+    return "\n".join(lines)
+
+
+def format_pilot(raw: bytes) -> str:
+    """Formats the budget shares of a pilot."""
+    state: dict[str, Any] = msgspec.json.decode(raw)
+    if not state:
+        return "this pilot runs without a block budgets"
+    lines = ["the store answers" if state["store"] else "NO STORE: only floors and unexpired shares"]
+    for budget in state["budgets"]:
+        spent = "" if budget["spent"] is None else f", spent {budget['spent']}, refused {budget['refused']}"
+        is_held = budget["held"]
+        used = (
+            f"in use {budget['in_hand']}" if is_held else f"granted to proxies {_tokens(budget['handed_on'])}"
+        )
+        lines.append(
+            f"{budget['budget']}: share {_tokens(budget['right'], is_held)} "
+            f"(floor {_tokens(budget['floor'], is_held)}), "
+            f"ends in {(budget['ends_in_us'] or 0) / 1e6:.1f} s, "
+            f"asked {_tokens(budget['asked'], is_held)}, {used}{spent}"
         )
-        out += [
-            f"  {p['proxy']:<16} has {_tokens(p['given']):>10}  asked {_tokens(p['asked']):>10}"
-            for p in held["proxies"]
-            if p["budget"] == one["budget"]
+        lines += [
+            f"  {share['proxy']:<16} has {_tokens(share['given']):>10}  asked {_tokens(share['asked']):>10}"
+            for share in state["proxies"]
+            if share["budget"] == budget["budget"]
         ]
-    out += [f"cold endpoint {name} is this pilot's to warm" for name in held["claims"]]
-    return "\n".join(out)
+    lines += [f"cold endpoint {name} is claimed by this pilot" for name in state["claims"]]
+    return "\n".join(lines)
 
 
-def planned(deployment: Deployment, down: Iterable[str], demand: Iterable[str]) -> str:
-    """The division as the store would make it. Raises ValueError where a name or a figure can't be."""
+def format_plan(deployment: Deployment, down: Iterable[str], demand: Iterable[str]) -> str:
+    """Formats the shares that the store would grant. Raises ValueError for a bad name or number."""
     terms = deployment.budgets
     assert terms is not None
-    pilots, plan = [place.name for place in deployment.pilots], plan_of(terms.named, len(deployment.pilots))
+    pilots, plan = (
+        [settings.name for settings in deployment.pilots],
+        plan_of(terms.named, len(deployment.pilots)),
+    )
     for name in down:
         if name not in pilots:
             raise ValueError(f"--down {name}: pilots are {', '.join(pilots)}")
-    living = [name for name in pilots if name not in set(down)]
-    demands = {leaf: dict.fromkeys(living, plan.budgets[leaf].whole) for leaf in plan.leaves}
+    live_pilots = [name for name in pilots if name not in set(down)]
+    demands = {leaf: dict.fromkeys(live_pilots, plan.budgets[leaf].whole) for leaf in plan.leaves}
     for text in demand:
-        place, _, tokens = text.partition("=")
-        leaf, _, pilot = place.partition(":")
+        target, _, tokens = text.partition("=")
+        leaf, _, pilot = target.partition(":")
         if leaf not in plan.leaves or pilot not in pilots:
             raise ValueError(
-                f'--demand {text!r}: "BUDGET:PILOT=TOKENS" with budgets {", ".join(plan.leaves)} and pilots {", ".join(pilots)}'
+                f'--demand {text!r}: "BUDGET:PILOT=TOKENS" with budgets {", ".join(plan.leaves)} '
+                f"and pilots {', '.join(pilots)}"
             )
         try:
-            wanted = float(tokens)
+            requested = float(tokens)
         except ValueError:
             raise ValueError(f"--demand {text!r}: {tokens!r} is no number") from None
         if pilot in demands[leaf]:
-            units = int(wanted) if leaf in _held(deployment) else parts(wanted)
+            units = int(requested) if leaf in _held(deployment) else parts(requested)
             demands[leaf][pilot] = max(0, units - plan.budgets[leaf].floor)
     targets = plan.targets(demands, {root: plan.leased(root) for root in plan.roots})
-    out = [
-        f"{deployment.name}, were all to ask for {'what is stated' if demand else 'all'}"
+    lines = [
+        f"{deployment.name}, if every pilot asks for {'its demand' if demand else 'everything'}"
         + (f", without {', '.join(down)}" if down else "")
     ]
-    for leaf, found in targets.items():
-        floor, kind = plan.budgets[leaf].floor, leaf in _held(deployment)
-        whole = sum(found.values()) + floor * len(living)
-        out.append(f"{leaf}: {_tokens(whole, kind)} of {_tokens(plan.budgets[leaf].whole, kind)} in use")
-        out += [
-            f"  {name:<16} {_tokens(found.get(name, 0) + floor if name in living else 0, kind):>10}"
-            + ("" if name in living else f"  down; its floor of {_tokens(floor, kind)} is kept")
+    for leaf, shares in targets.items():
+        floor, is_held = plan.budgets[leaf].floor, leaf in _held(deployment)
+        total = sum(shares.values()) + floor * len(live_pilots)
+        lines.append(
+            f"{leaf}: {_tokens(total, is_held)} of {_tokens(plan.budgets[leaf].whole, is_held)} in use"
+        )
+        lines += [
+            f"  {name:<16} {_tokens(shares.get(name, 0) + floor if name in live_pilots else 0, is_held):>10}"
+            + (
+                ""
+                if name in live_pilots
+                else f"  down; its floor of {_tokens(floor, is_held)} stays reserved"
+            )
             for name in pilots
         ]
-    return "\n".join(out)
+    return "\n".join(lines)
--- a/cedarshift/cli/daemons.py
+++ b/cedarshift/cli/daemons.py
@@ -1,4 +1,4 @@
-"""The pilot and the store as processes: started, reloaded and stopped by signals."""
+"""Runs the pilot, the store and registrations as processes that are reloaded and stopped by signals."""
 
 from __future__ import annotations
 
@@ -29,61 +29,67 @@
 from cedarshift.web import serve_http
 
 Report = Callable[..., None]
-LAST_WORDS = 300_000  # us for the last frames to leave after a stop
-CHALLENGE = 16  # bytes
+FLUSH_TIME_US = 300_000  # time for the last frames to be sent after a stop
+CHALLENGE_BYTES = 16
 
 
 def open_store(loop: Loop, deployment: Deployment) -> StoreService:
-    """Raises DamagedLedgerError if the file can't be trusted, OSError if the address is taken."""
-    place = deployment.store
-    if place is None:
+    """Opens the store. Raises DamagedLedgerError if its file is damaged, OSError if the address is in use."""
+    settings = deployment.store
+    if settings is None:
         raise ValueError(f"{deployment.file} has no block store")
-    ledger = Ledger(deployment.resolve_path(place.path), deployment.name, deployment.slices)
+    ledger = Ledger(deployment.resolve_path(settings.path), deployment.name, deployment.slices)
     badge = Badge(deployment.name, "store", "store", "", deployment.secret)
     return StoreService(
         loop,
-        listen(loop, place.listen),
+        listen(loop, settings.listen),
         ledger,
         badge,
-        [p.name for p in deployment.pilots],
-        place.session_lease,
-        place.takeover,
-        place.back_after,
-        lambda: fresh_bytes(CHALLENGE),
-        share_desk(loop, deployment),
+        [pilot.name for pilot in deployment.pilots],
+        settings.session_lease,
+        settings.takeover,
+        settings.back_after,
+        lambda: fresh_bytes(CHALLENGE_BYTES),
+        open_share_desk(loop, deployment),
     )
 
 
-def fresh_life() -> int:
-    """Names one life of a process; 52 bits, so that it travels as a count."""
+def new_incarnation() -> int:
+    """Returns a random incarnation of a process, of 52 bits so that it fits an integer on the wire."""
     return 1 + (int.from_bytes(fresh_bytes(8), "big") >> 12)
 
 
-def share_desk(loop: Loop, deployment: Deployment) -> Optional[ShareDesk]:
-    """None where the deployment has no budgets. Its file lies beside the store's. Raises DamagedLedgerError."""
+def open_share_desk(loop: Loop, deployment: Deployment) -> Optional[ShareDesk]:
+    """Opens the budget shares, in a file next to the store's; None if the deployment has no budgets.
+
+    Raises DamagedLedgerError.
+    """
     if deployment.budgets is None or deployment.store is None:
         return None
     return open_desk(
         loop,
         deployment.budgets,
         len(deployment.pilots),
-        fresh_life(),
+        new_incarnation(),
         ShareLedger(deployment.resolve_path(deployment.store.path) + "-shares"),
     )
 
 
-def held_for_dead(service: PilotService) -> list[str]:
-    """By most of the pilots, where they keep a roll."""
+def dead_pilots(service: PilotService) -> list[str]:
+    """Returns the pilots that a majority declares dead; empty without a block membership."""
     if service.membership is None:
         return []
     roll = service.membership.member.roll
     return [name for name in roll.names if name in roll.verdicts and roll.states[name] == DEAD]
 
 
-def _until_stopped(
+def _run_until_stopped(
     loop: Loop, signals: Signals, reload: Callable[[], None], fatal: Optional[Task]
 ) -> Coroutine:
-    """SIGHUP reloads; SIGTERM and SIGINT stop; a store that can't write stops too, since its memory is ahead of its disk."""
+    """Waits for SIGTERM or SIGINT, reloading on SIGHUP; returns the exit code.
+
+    A failed write of the store also stops the process, because its memory is then ahead of its disk.
+    """
 
     def watch_fatal() -> Coroutine:
         assert fatal is not None
@@ -100,101 +106,120 @@
     if fatal is not None:
         loop.spawn(watch_fatal(), "store watch")
     while True:
-        number = yield from signals.next()
-        if number != signal.SIGHUP:
+        received = yield from signals.next()
+        if received != signal.SIGHUP:
             return 1 if failed else 0
         reload()
 
 
 def run_store(deployment: Deployment, report: Report) -> int:
+    """Serves the store until stopped and returns the exit code."""
     loop = real_loop(report)
     signals = Signals(loop, loop.network, [signal.SIGTERM, signal.SIGINT, signal.SIGHUP])  # type: ignore[arg-type]
     service = open_store(loop, deployment)
     report("store_serves", address=service.listener.address, slices=deployment.slices)
 
     def main() -> Coroutine:
-        code = yield from _until_stopped(
+        code = yield from _run_until_stopped(
             loop,
             signals,
-            lambda: report("reload_refused", reason="a store has nothing that may change while it runs"),
+            lambda: report("reload_refused", reason="a store has no settings that can be reloaded"),
             service.tasks[0],
         )
         service.stop()
-        yield from loop.sleep(LAST_WORDS // 3)
+        yield from loop.sleep(FLUSH_TIME_US // 3)
         return code
 
     return loop.run(loop.spawn(main(), "main"))
 
 
-def reloaded(deployment: Deployment, report: Report) -> Optional[Deployment]:
-    """The deployment as its file says now; None, with the reason told, where it may not be taken over."""
+def reload_deployment(deployment: Deployment, report: Report) -> Optional[Deployment]:
+    """Reads the deployment file again; if it can't be applied, logs the reason and returns None."""
     try:
-        new = load(deployment.file)
+        new_deployment = load(deployment.file)
     except (OSError, InvalidFile) as error:
         report("reload_refused", reason=str(error))
         return None
-    may, must_not = diff_settings(deployment, new)
-    if must_not:
-        report("reload_refused", reason=f"{', '.join(must_not)} can't change while a pilot runs; restart it")
+    changed, unchangeable = diff_settings(deployment, new_deployment)
+    if unchangeable:
+        report(
+            "reload_refused",
+            reason=f"{', '.join(unchangeable)} can't change while a pilot runs; restart the pilot",
+        )
         return None
-    report("reloaded", changed=may)
-    return new
+    report("reloaded", changed=changed)
+    return new_deployment
 
 
 def open_membership(loop: Loop, deployment: Deployment, name: str, report: Report) -> Optional[Membership]:
-    """None where the deployment has no block membership. A life's start is the wall clock at its begin with some chance, so that
-    two of one name differ; where the clock has gone back, the later life takes a higher one from what the others tell."""
-    plan = deployment.membership
-    if plan is None:
+    """Starts membership tracking; None if the deployment has no block membership.
+
+    The incarnation is the wall clock with random low bits, so that two processes of one name differ. If the
+    clock has gone back, the later process takes a higher incarnation from what the other pilots report.
+    """
+    settings = deployment.membership
+    if settings is None:
         return None
-    addresses = {place.name: place.gossip for place in deployment.pilots if place.gossip is not None}
-    drawn = int.from_bytes(fresh_bytes(8), "big")
-    start = wall_clock() // 1000 << 20 | drawn & 0xFFFFF
+    addresses = {pilot.name: pilot.gossip for pilot in deployment.pilots if pilot.gossip is not None}
+    random_bits = int.from_bytes(fresh_bytes(8), "big")
+    incarnation = wall_clock() // 1000 << 20 | random_bits & 0xFFFFF
     return Membership(
         loop,
-        MembershipTerms(plan.period, addresses),
+        MembershipTerms(settings.period, addresses),
         name,
         deployment.name,
         deployment.secret,
-        start,
-        drawn,
+        incarnation,
+        random_bits,
         report,
     )
 
 
 def run_pilot(deployment: Deployment, name: str, report: Report) -> int:
+    """Runs a pilot until stopped, with the store if it is embedded, and returns the exit code."""
     loop = real_loop(report)
     signals = Signals(loop, loop.network, [signal.SIGTERM, signal.SIGINT, signal.SIGHUP])  # type: ignore[arg-type]
-    place = deployment.pilot(name)
+    settings = deployment.pilot(name)
     embedded = deployment.store is not None and deployment.store.embedded
     store = open_store(loop, deployment) if embedded else None
     seed = int.from_bytes(fresh_bytes(8), "big")
     service = PilotService(
-        loop, listen(loop, place.listen), deployment, name, seed, report, lambda: fresh_bytes(CHALLENGE)
+        loop,
+        listen(loop, settings.listen),
+        deployment,
+        name,
+        seed,
+        report,
+        lambda: fresh_bytes(CHALLENGE_BYTES),
     )
     service.membership = open_membership(loop, deployment, name, report)
     service.budgets = open_budgets(
-        loop, deployment.budgets, len(deployment.pilots), fresh_life(), report, lambda: held_for_dead(service)
+        loop,
+        deployment.budgets,
+        len(deployment.pilots),
+        new_incarnation(),
+        report,
+        lambda: dead_pilots(service),
     )
     attach_claims(service)
-    service.overload = open_overload(loop, deployment, service, fresh_life(), report)
-    if place.admin is not None:
-        loop.spawn(serve_http(loop, listen(loop, place.admin), admin_handler(service)), "admin")
-    report("pilot_serves", address=place.listen, proxies_most=deployment.proxies_most)
+    service.overload = open_overload(loop, deployment, service, new_incarnation(), report)
+    if settings.admin is not None:
+        loop.spawn(serve_http(loop, listen(loop, settings.admin), admin_handler(service)), "admin")
+    report("pilot_serves", address=settings.listen, proxies_most=deployment.proxies_most)
 
     def reload() -> None:
-        new = reloaded(service.deployment, report)
-        if new is not None:
-            service.reload(new)
+        new_deployment = reload_deployment(service.deployment, report)
+        if new_deployment is not None:
+            service.reload(new_deployment)
 
     def main() -> Coroutine:
-        code = yield from _until_stopped(loop, signals, reload, store.tasks[0] if store else None)
+        code = yield from _run_until_stopped(loop, signals, reload, store.tasks[0] if store else None)
         if service.membership is not None:
             service.membership.leave()
         if service.budgets is not None:
             yield from service.budgets.leave()
         service.stop()
-        yield from loop.sleep(LAST_WORDS)
+        yield from loop.sleep(FLUSH_TIME_US)
         if store is not None:
             store.stop()
         report("pilot_stopped")
@@ -204,25 +229,25 @@
 
 
 def run_registration(deployment: Deployment, member: Member, drain: int, report: Report) -> int:
-    """Registered until SIGTERM or SIGINT; then it drains for a while and leaves."""
+    """Keeps a member registered until SIGTERM or SIGINT, then drains it for `drain` us and removes it."""
     nodes = deployment.listed.nodes
     assert nodes is not None
     loop = real_loop(report)
     signals = Signals(loop, loop.network, [signal.SIGTERM, signal.SIGINT])  # type: ignore[arg-type]
-    chance = random.Random(fresh_bytes(8))
+    rng = random.Random(fresh_bytes(8))
     if not member.start:
         member = member._replace(start=fresh_bytes(6).hex())
     terms = RegisterTerms(
         nodes.servers, nodes.path, nodes.session_timeout, nodes.format, deployment.name, nodes.auth
     )
-    kept = Registration(loop, terms, member, chance.random, report)
+    registration = Registration(loop, terms, member, rng.random, report)
 
     def main() -> Coroutine:
         yield from signals.next()
         report("draining", endpoint=member.endpoint, for_s=drain / 1e6)
-        kept.drain()
+        registration.drain()
         yield from loop.sleep(drain)
-        yield from kept.leave()
+        yield from registration.leave()
         return 0
 
     return loop.run(loop.spawn(main(), "main"))
--- a/cedarshift/cli/log.py
+++ b/cedarshift/cli/log.py
@@ -1,4 +1,4 @@
-"""Structured logging, JSON a line or coloured for a console; always to standard error."""
+"""Structured logging to standard error, as JSON lines or as coloured text."""
 
 from __future__ import annotations
 
@@ -9,6 +9,7 @@
 
 from cedarshift.log_output import LogOutput
 
+# Events logged at level warning; all others are logged at level info.
 WARNINGS = {
     "task_failed",
     "slow_step",
@@ -35,7 +36,10 @@
 
 
 def make_report(form: str, **always: Any) -> Callable[..., None]:
-    """`report(event, **fields)` as the loop and the services take it. `form`: "json" or "console"."""
+    """Returns the function `report(event, **fields)` that the loop and the services log with.
+
+    `form`: "json" or "console"; `always`: fields added to each event.
+    """
     output: Any = LogOutput()
     renderer: Any = (
         structlog.processors.JSONRenderer()
--- a/cedarshift/cli/main.py
+++ b/cedarshift/cli/main.py
@@ -1,4 +1,4 @@
-"""`cedarshift`: the sub-commands."""
+"""The `cedarshift` command and its sub-commands."""
 
 from __future__ import annotations
 
@@ -17,13 +17,14 @@
 VERSION = "0.2.0"
 
 
-def _report(form: str, **always: Any) -> Callable[..., None]:
+def _make_report(form: str, **always: Any) -> Callable[..., None]:
     from cedarshift.cli.log import make_report
 
     return make_report(form, **always)
 
 
 def _load(path: str) -> Deployment:
+    """Loads a deployment file; errors become click errors."""
     from cedarshift.deployment import load as load_deployment
 
     try:
@@ -32,8 +33,8 @@
         raise click.ClickException(str(error)) from None
 
 
-class Simulation(click.Group):
-    """Its commands are looked up when asked for: the platform's installation has none of the libraries that they need."""
+class LazySimulationGroup(click.Group):
+    """Imports its commands on use, because the platform's installation lacks the libraries they need."""
 
     def get_command(self, ctx: click.Context, cmd_name: str) -> Optional[click.Command]:
         from cedarshift.cli.sim import sim as loaded
@@ -48,11 +49,11 @@
 
 @click.group()
 @click.option(
-    "--log", type=click.Choice(["console", "json"]), default="console", help="Form of the log lines."
+    "--log", type=click.Choice(["console", "json"]), default="console", help="Format of the log lines."
 )
 @click.pass_context
 def main(context: click.Context, log: str) -> None:
-    """A control service: publishes to plain proxies which endpoint owns which slice, and keeps doing so while things fail."""
+    """A control service that publishes to plain proxies which endpoint owns which slice."""
     context.obj = log
 
 
@@ -61,14 +62,14 @@
 @click.argument("name")
 @click.pass_context
 def pilot(context: click.Context, file: str, name: str) -> None:
-    """Run the pilot NAME of a deployment FILE. SIGTERM stops it, SIGHUP reloads what may change."""
+    """Run the pilot NAME of a deployment FILE. SIGTERM stops it, SIGHUP reloads its settings."""
     from cedarshift.cli.daemons import run_pilot
     from cedarshift.store.ledger import DamagedLedgerError
 
     deployment = _load(file)
     try:
         deployment.pilot(name)
-        sys.exit(run_pilot(deployment, name, _report(context.obj, pilot=name)))
+        sys.exit(run_pilot(deployment, name, _make_report(context.obj, pilot=name)))
     except KeyError as error:
         raise click.ClickException(error.args[0]) from None
     except (OSError, DamagedLedgerError) as error:
@@ -77,7 +78,10 @@
 
 @main.command()
 def platform() -> None:
-    """Run the pilot that the RELAY_ variables name, on the platform's protocol. SIGTERM stops it, SIGHUP reads its file anew."""
+    """Run the pilot named by the RELAY_ variables on the platform's protocol.
+
+    SIGTERM stops it, SIGHUP reads its file again.
+    """
     from cedarshift.platform.start import run
 
     sys.exit(run(os.environ))
@@ -97,7 +101,7 @@
     from cedarshift.store.ledger import DamagedLedgerError
 
     try:
-        sys.exit(run_store(_load(file), _report(context.obj, store=True)))
+        sys.exit(run_store(_load(file), _make_report(context.obj, store=True)))
     except (OSError, ValueError, DamagedLedgerError) as error:
         raise click.ClickException(str(error)) from None
 
@@ -112,7 +116,7 @@
 @click.argument("file", type=click.Path())
 @click.argument("target", type=click.Path())
 def backup(file: str, target: str) -> None:
-    """Copy the store's file to TARGET, whole, while the store goes on."""
+    """Copy the store's file to TARGET while the store runs."""
     from cedarshift.store.ledger import DamagedLedgerError, Ledger
 
     deployment = _load(file)
@@ -130,22 +134,22 @@
 @click.argument("file", type=click.Path())
 @click.option("--from", "source", required=True, type=click.Path(exists=True), help="A backup.")
 def restore(file: str, source: str) -> None:
-    """Put a backup in the place of a damaged store file. No owner is taken over: the pilots find them anew."""
+    """Replace a damaged store file by a backup. Owners are not restored: the pilots assign them again."""
     from cedarshift.store.ledger import DamagedLedgerError
-    from cedarshift.store.ledger import restore as put_back
+    from cedarshift.store.ledger import restore as restore_ledger
 
     deployment = _load(file)
     try:
-        count = put_back(_ledger_path(deployment), source, deployment.name, deployment.slices)
+        count = restore_ledger(_ledger_path(deployment), source, deployment.name, deployment.slices)
     except (OSError, DamagedLedgerError) as error:
         raise click.ClickException(str(error)) from None
-    click.echo(f"{count} slices restored without owners; the file of before is kept beside it as .damaged")
+    click.echo(f"{count} slices restored without owners; the previous file is kept as .damaged")
 
 
 @main.command()
 @click.argument("file", type=click.Path())
 def check(file: str) -> None:
-    """Check a deployment FILE, or a rehearsal's; every error is told with its line and with what is allowed."""
+    """Check a deployment or rehearsal FILE and print each error with its line and what is allowed."""
     from cedarshift.deployment import load as load_deployment
     from cedarshift.rehearsal.day import load_day
 
@@ -172,27 +176,27 @@
     "--out",
     type=click.Path(),
     default="",
-    help="Folder for records and report; default: rehearsals/NAME-TIME.",
+    help="Directory for records and report; default: rehearsals/NAME-TIME.",
 )
-@click.option("--seed", type=int, default=None, help="In place of the day's own.")
+@click.option("--seed", type=int, default=None, help="Overrides the seed of the day.")
 @click.option("--quiet", is_flag=True, help="No progress.")
 @click.option(
     "--virtual",
     is_flag=True,
-    help="In this process on a virtual clock: quick, and the same run for the same seed.",
+    help="Run in this process on a virtual clock: fast, and the same for the same seed.",
 )
 def rehearse(name: str, out: str, seed: Optional[int], quiet: bool, virtual: bool) -> None:
-    """Play the scripted day NAME (or a file) on loopback and check the rules from what passed."""
+    """Run the scripted day NAME (or a file) on loopback and check the rules on the recorded traffic."""
     from cedarshift.rehearsal.day import load_day
 
     try:
         day = load_day(name)
     except (OSError, InvalidFile) as error:
         raise click.ClickException(str(error)) from None
-    _play(day, out, seed, quiet, virtual)
+    _run_rehearsal(day, out, seed, quiet, virtual)
 
 
-def _play(day: Any, out: str, seed: Optional[int], quiet: bool, virtual: bool = False) -> None:
+def _run_rehearsal(day: Any, out: str, seed: Optional[int], quiet: bool, virtual: bool = False) -> None:
     from cedarshift.rehearsal.report import as_text
     from cedarshift.rehearsal.run import play
 
@@ -207,16 +211,16 @@
 @main.command()
 @click.argument("name")
 @click.option("--seeds", default="1-20", help='Such as "1-200" or "7".')
-@click.option("--jobs", type=click.IntRange(1, 256), default=None, help="Processes; default: one a core.")
+@click.option("--jobs", type=click.IntRange(1, 256), default=None, help="Processes; default: one per core.")
 @click.option(
     "--out",
     type=click.Path(),
     default="",
-    help="Folder for the seeds that break something; default: hunts/NAME.",
+    help="Directory for the seeds that break a rule; default: hunts/NAME.",
 )
 @click.option("--quiet", is_flag=True, help="No progress.")
 def hunt(name: str, seeds: str, jobs: Optional[int], out: str, quiet: bool) -> None:
-    """Play many seeds of the day NAME (or a file) on a virtual clock; 1 if any breaks a rule that was to hold."""
+    """Run many seeds of the day NAME (or a file) on a virtual clock; exit code 1 if any breaks a rule."""
     from cedarshift.rehearsal import hunt as hunting
     from cedarshift.rehearsal.day import load_day
 
@@ -228,46 +232,47 @@
         day = load_day(name)
     except (OSError, InvalidFile) as error:
         raise click.ClickException(str(error)) from None
-    found = hunting.hunt(
+    summary = hunting.hunt(
         name,
         list(range(int(first), int(last) + 1)),
         jobs or os.cpu_count() or 1,
         out or os.path.join("hunts", day.name),
         lambda text: None if quiet else click.echo(text, err=True),
     )
-    earned = found["earned"]
+    earned = summary["earned"]
     click.echo(
-        f"{day.name}: {found['seeds']} seeds, {len(found['bad'])} broke something; earned {earned['mean']:.4f} "
-        f"({earned['least']:.3f} with seed {found['worst_seed']} to {earned['most']:.3f})"
+        f"{day.name}: {summary['seeds']} seeds, {len(summary['bad'])} broke a rule; "
+        f"earned {earned['mean']:.4f} "
+        f"({earned['least']:.3f} with seed {summary['worst_seed']} to {earned['most']:.3f})"
     )
-    for again in found["again"]:
-        click.echo(f"  again: {again}")
-    sys.exit(1 if found["bad"] else 0)
+    for again in summary["again"]:
+        click.echo(f"  repeat: {again}")
+    sys.exit(1 if summary["bad"] else 0)
 
 
 @main.command()
 @click.argument("dayfile", type=click.Path(exists=True))
-@click.option("--out", type=click.Path(), default="", help="Folder for records and report.")
+@click.option("--out", type=click.Path(), default="", help="Directory for records and report.")
 @click.option(
     "--scale",
     type=float,
     default=0.0,
-    help="Share of the day's fleet and load; default: what one machine holds.",
+    help="Fraction of the day's fleet and load; default: what one machine can run.",
 )
-@click.option("--only-map", is_flag=True, help="Say what would be played, and play nothing.")
+@click.option("--only-map", is_flag=True, help="Print what would be run, without running it.")
 @click.option("--quiet", is_flag=True, help="No progress.")
 def replay(dayfile: str, out: str, scale: float, only_map: bool, quiet: bool) -> None:
-    """Play the troubles of a bench day, as `lbsim draw` prints it, through the real pilot."""
+    """Run the faults of a bench day, as printed by `lbsim draw`, against the real pilot."""
     from cedarshift.rehearsal.bench_day import map_day
 
     try:
-        day, said = map_day(dayfile, scale)
+        day, notes = map_day(dayfile, scale)
     except (OSError, InvalidFile, ValueError) as error:
         raise click.ClickException(str(error)) from None
-    for line in said:
+    for line in notes:
         click.echo(line, err=True)
     if not only_map:
-        _play(day, out, None, quiet)
+        _run_rehearsal(day, out, None, quiet)
 
 
 @main.command()
@@ -277,37 +282,37 @@
 @click.option(
     "--facts",
     is_flag=True,
-    help="What it has borrowed from other pilots: origin, age and weight of each fact.",
+    help="Facts learnt from other pilots: origin, age and weight of each.",
 )
 def tables(file: str, name: str, as_json: bool, facts: bool) -> None:
-    """What the running pilot NAME of a deployment FILE holds."""
-    from cedarshift.cli.tables import fetch, shown, shown_facts
+    """Show the tables of the running pilot NAME of a deployment FILE."""
+    from cedarshift.cli.tables import fetch, format_facts, format_tables
 
     click.echo(
-        _asked(
+        _fetch_page(
             file,
             name,
             fetch,
             "/facts" if facts else "/tables",
-            None if as_json else shown_facts if facts else shown,
+            None if as_json else format_facts if facts else format_tables,
         )
     )
 
 
-def _asked(file: str, name: str, fetch: Any, target: str, show: Any) -> str:
-    """A page of the running pilot NAME, as text where `show` makes one of it."""
+def _fetch_page(file: str, name: str, fetch: Any, target: str, formatter: Any) -> str:
+    """Fetches a status page of the running pilot NAME and formats it with `formatter`, if given."""
     deployment = _load(file)
     try:
-        place = deployment.pilot(name)
+        settings = deployment.pilot(name)
     except KeyError as error:
         raise click.ClickException(error.args[0]) from None
-    if place.admin is None:
+    if settings.admin is None:
         raise click.ClickException(f"pilot {name} has no admin address in {file}")
     try:
-        held = fetch(place.admin, target)
+        page = fetch(settings.admin, target)
     except OSError as error:
         raise click.ClickException(f"pilot {name}: {error}") from None
-    return show(held) if show is not None else held.decode()
+    return formatter(page) if formatter is not None else page.decode()
 
 
 @main.command()
@@ -317,19 +322,19 @@
 @click.option(
     "--pilots",
     is_flag=True,
-    help="The roll of the pilots in its place: who is alive, since when, who hears whom.",
+    help="The membership of the pilots instead: which are alive, since when, and who hears whom.",
 )
 def members(file: str, name: str, as_json: bool, pilots: bool) -> None:
-    """Where the running pilot NAME has its list from, what it sees there, and how old that is."""
-    from cedarshift.cli.tables import fetch, shown_members, shown_pilots
+    """Show the endpoint list of the running pilot NAME: its source, content and age."""
+    from cedarshift.cli.tables import fetch, format_members, format_pilots
 
     click.echo(
-        _asked(
+        _fetch_page(
             file,
             name,
             fetch,
             "/pilots" if pilots else "/members",
-            None if as_json else shown_pilots if pilots else shown_members,
+            None if as_json else format_pilots if pilots else format_members,
         )
     )
 
@@ -341,16 +346,20 @@
     "--pilot",
     "name",
     default="",
-    help="What this pilot has, and hands on to its proxies, in the place of the store's ledger.",
+    help="Show the shares of this pilot and its proxies instead of the store's ledger.",
+)
+@click.option(
+    "--plan",
+    is_flag=True,
+    help="Compute the shares if every pilot asked for everything, without a running fleet.",
 )
-@click.option("--plan", is_flag=True, help="Ask nobody: who would have what, were all to ask for all.")
-@click.option("--down", multiple=True, help="With --plan: a pilot that is gone; may be given several times.")
-@click.option("--demand", multiple=True, help='With --plan: "BUDGET:PILOT=TOKENS", in the place of all.')
+@click.option("--down", multiple=True, help="With --plan: a pilot that is down; may be repeated.")
+@click.option("--demand", multiple=True, help='With --plan: "BUDGET:PILOT=TOKENS" instead of everything.')
 def budgets(
     file: str, as_json: bool, name: str, plan: bool, down: tuple[str, ...], demand: tuple[str, ...]
 ) -> None:
-    """Who has what of the fleet's budgets: the whole, what is set aside, given and asked for, by pilot, and until when."""
-    from cedarshift.cli.budgets import ask_store, planned, shown_pilot, shown_store
+    """Show the fleet's budgets: total, reserved, granted and requested amounts by pilot, and expiry."""
+    from cedarshift.cli.budgets import fetch_store_status, format_pilot, format_plan, format_store
     from cedarshift.cli.tables import fetch
 
     deployment = _load(file)
@@ -360,17 +369,17 @@
         raise click.UsageError("--down and --demand go with --plan")
     if plan:
         try:
-            click.echo(planned(deployment, down, demand))
+            click.echo(format_plan(deployment, down, demand))
         except ValueError as error:
             raise click.ClickException(str(error)) from None
     elif name:
-        click.echo(_asked(file, name, fetch, "/budgets", None if as_json else shown_pilot))
+        click.echo(_fetch_page(file, name, fetch, "/budgets", None if as_json else format_pilot))
     else:
         try:
-            held = ask_store(deployment)
+            status = fetch_store_status(deployment)
         except OSError as error:
             raise click.ClickException(f"store: {error}") from None
-        click.echo(held.decode() if as_json else shown_store(held, deployment))
+        click.echo(status.decode() if as_json else format_store(status, deployment))
 
 
 @main.command()
@@ -378,26 +387,29 @@
 @click.argument("name")
 @click.option("--json", "as_json", is_flag=True, help="As JSON.")
 def overload(file: str, name: str, as_json: bool) -> None:
-    """What the running pilot NAME lets in and why: offered, fresh, acked and rejected by op type and pilot, and endpoints of their own."""
-    from cedarshift.cli.overload import shown_overload
+    """Show the overload control of the running pilot NAME.
+
+    Prints the offered, admitted and acked load by pilot and op type, and the shares of endpoints.
+    """
+    from cedarshift.cli.overload import format_overload
     from cedarshift.cli.tables import fetch
 
     if _load(file).overload is None:
         raise click.ClickException(f"{file} has no block overload")
-    click.echo(_asked(file, name, fetch, "/overload", None if as_json else shown_overload))
+    click.echo(_fetch_page(file, name, fetch, "/overload", None if as_json else format_overload))
 
 
 @main.command()
 @click.argument("file", type=click.Path())
-@click.option("--endpoint", required=True, help="host:port, as proxies are to reach it.")
+@click.option("--endpoint", required=True, help="host:port at which proxies reach it.")
 @click.option(
     "--size",
     type=click.FloatRange(min=0, min_open=True),
     default=1.0,
-    help="What it can do against the others.",
+    help="Capacity relative to the other endpoints.",
 )
 @click.option("--zone", default="", help="One of the deployment's zones.")
-@click.option("--start", default="", help="Names the process; default: drawn anew at each start.")
+@click.option("--start", default="", help="Identifies the process; default: random at each start.")
 @click.option(
     "--drain", default="8s", help='How long it is announced as draining before it leaves, such as "8s".'
 )
@@ -405,7 +417,7 @@
 def register(
     ctx: click.Context, file: str, endpoint: str, size: float, zone: str, start: str, drain: str
 ) -> None:
-    """Keep an endpoint's ephemeral node alive, as the roster of a deployment FILE says; SIGTERM drains it, then it leaves."""
+    """Keep an endpoint registered in the roster of a deployment FILE. SIGTERM drains and removes it."""
     from cedarshift.cli.daemons import run_registration
     from cedarshift.deployment import hcl
     from cedarshift.roster.formats import Member
@@ -413,8 +425,8 @@
     deployment = _load(file)
     if deployment.listed.nodes is None:
         raise click.ClickException(f"{file} has no block roster: there is nowhere to register")
-    place, allowed = hcl.address(endpoint)
-    if place is None:
+    address, allowed = hcl.address(endpoint)
+    if address is None:
         raise click.BadParameter(f"{endpoint!r}: {allowed} is allowed", param_hint="--endpoint")
     if zone and zone not in deployment.zones:
         raise click.BadParameter(
@@ -428,37 +440,42 @@
             deployment,
             Member(endpoint, "on", size, zone, start),
             duration,
-            _report(ctx.obj, endpoint=endpoint),
+            _make_report(ctx.obj, endpoint=endpoint),
         )
     )
 
 
 @main.command()
 @click.argument("file", type=click.Path())
-@click.option("--out", type=click.Path(), default="", help="The whole report with its histograms, as JSON.")
+@click.option(
+    "--out", type=click.Path(), default="", help="File for the full report with its histograms, as JSON."
+)
 @click.option("--quiet", is_flag=True, help="No progress.")
 def load(file: str, out: str, quiet: bool) -> None:
-    """Send the load of FILE to its targets, on time whatever is answered; 1 if the generator itself was the bottleneck."""
+    """Send the load of FILE to its targets on schedule, whatever they answer.
+
+    Exit code 1 if the generator itself was the bottleneck.
+    """
     from cedarshift.load.run import as_text, play
     from cedarshift.load.trace import TraceRefused
 
     try:
-        found = play(file, lambda text: None if quiet else click.echo(text, err=True))
+        result = play(file, lambda text: None if quiet else click.echo(text, err=True))
     except (OSError, InvalidFile, TraceRefused) as error:
         raise click.ClickException(str(error)) from None
     if out:
         with open(out, "w", encoding="utf-8") as report:
-            json.dump(found, report, indent=2)
-    click.echo(as_text(found))
-    sys.exit(0 if found["certified"] else 1)
+            json.dump(result, report, indent=2)
+    click.echo(as_text(result))
+    sys.exit(0 if result["certified"] else 1)
 
 
-@main.group(cls=Simulation)
+@main.group(cls=LazySimulationGroup)
 def sim() -> None:
-    """The program itself on a virtual clock, under faults drawn from a seed, checked at every step."""
+    """Simulate the program on a virtual clock with random faults, checking every step."""
 
 
 @main.command()
 def version() -> None:
-    """The version."""
+    """Print the version."""
     click.echo(f"cedarshift {VERSION}")
--- a/cedarshift/cli/sim.py
+++ b/cedarshift/cli/sim.py
@@ -1,4 +1,4 @@
-"""`cedarshift sim`: runs of the whole program on a virtual clock under drawn faults."""
+"""`cedarshift sim`: simulates the whole program on a virtual clock with random faults."""
 
 from __future__ import annotations
 
@@ -11,78 +11,80 @@
 from cedarshift.sim.scenario import Scenario, draw, from_json
 
 
-def seeds_of(text: str) -> list[int]:
-    """ "7" or "1-10000". Raises click.BadParameter."""
+def parse_seeds(text: str) -> list[int]:
+    """Parses a seed or a range such as "7" or "1-10000". Raises click.BadParameter."""
     first, _, last = text.partition("-")
     if not first.isdigit() or (last and not last.isdigit()) or (last and int(last) < int(first)):
         raise click.BadParameter(f'{text!r}: "7" or "1-10000" is wanted')
     return list(range(int(first), int(last or first) + 1))
 
 
-def read(path: str) -> Scenario:
-    """Raises click.ClickException with the place of what is wrong."""
+def read_scenario(path: str) -> Scenario:
+    """Reads a scenario. Raises click.ClickException with the position of an error."""
     try:
         with open(path, "rb") as source:
             return from_json(source.read())
-    except (OSError, ValueError) as error:  # msgspec's errors are ValueErrors too
+    except (OSError, ValueError) as error:  # msgspec's errors are ValueErrors
         raise click.ClickException(f"{path}: {error}") from None
 
 
-def show(scenario: Scenario, trace: bool, plot: str) -> int:
+def run_scenario(scenario: Scenario, trace: bool, plot: str) -> int:
+    """Runs a scenario, prints the result and returns the exit code."""
     from cedarshift.sim.trace import as_plot, as_text, traced
 
-    played, events = traced(scenario)
+    result, events = traced(scenario)
     if trace:
-        click.echo(as_text(scenario, played, events))
+        click.echo(as_text(scenario, result, events))
     else:
-        for one in played.broken:
-            click.echo(f"{one.what} at {one.at / 1e6:.4f} s: {one.how}")
+        for violation in result.broken:
+            click.echo(f"{violation.what} at {violation.at / 1e6:.4f} s: {violation.how}")
         click.echo(
-            f"{'BROKEN' if played.broken else 'held'}: {played.steps} steps, {played.virtual_s:.1f} virtual seconds, {played.acked} of {played.ops} "
-            f"ops acked, digest {played.digest}"
+            f"{'BROKEN' if result.broken else 'held'}: {result.steps} steps, "
+            f"{result.virtual_s:.1f} virtual seconds, "
+            f"{result.acked} of {result.ops} ops acked, digest {result.digest}"
         )
     if plot:
-        as_plot(scenario, played, events, plot)
-    return 1 if played.broken else 0
+        as_plot(scenario, result, events, plot)
+    return 1 if result.broken else 0
 
 
 @click.group()
 def sim() -> None:
-    """The program itself on a virtual clock, under faults drawn from a seed, checked at every step."""
+    """Simulate the program on a virtual clock with random faults, checking every step."""
 
 
 @sim.command()
 @click.option("--seed", type=int, required=True)
-@click.option("--trace", is_flag=True, help="What happened, a lane a program.")
-@click.option("--plot", type=click.Path(), default="", help="The same as a picture.")
+@click.option("--trace", is_flag=True, help="Print the events, with a column per process.")
+@click.option("--plot", type=click.Path(), default="", help="Write the events as a plot.")
 def run(seed: int, trace: bool, plot: str) -> None:
-    """Play one seed; 1 if anything breaks."""
-    raise SystemExit(show(draw(seed), trace, plot))
+    """Run one seed; exit code 1 if an invariant breaks."""
+    raise SystemExit(run_scenario(draw(seed), trace, plot))
 
 
 @sim.command()
 @click.argument("file", type=click.Path())
-@click.option("--trace", is_flag=True, help="What happened, a lane a program.")
-@click.option("--plot", type=click.Path(), default="", help="The same as a picture.")
+@click.option("--trace", is_flag=True, help="Print the events, with a column per process.")
+@click.option("--plot", type=click.Path(), default="", help="Write the events as a plot.")
 def replay(file: str, trace: bool, plot: str) -> None:
-    """Play a scenario from a file, the same steps to the last one."""
-    raise SystemExit(show(read(file), trace, plot))
+    """Run a scenario from a file, with the same steps each time."""
+    raise SystemExit(run_scenario(read_scenario(file), trace, plot))
 
 
 @sim.command()
 @click.option("--seeds", default="1-1000", help='Such as "1-10000".')
-@click.option("--jobs", type=click.IntRange(1, 256), default=None, help="Processes; default: one a core.")
+@click.option("--jobs", type=click.IntRange(1, 256), default=None, help="Processes; default: one per core.")
 @click.option(
-    "--out", type=click.Path(), default="hunts/sim", help="Folder for scenarios that break something."
+    "--out", type=click.Path(), default="hunts/sim", help="Directory for scenarios that break an invariant."
 )
-@click.option("--guided", is_flag=True, help="Go on from runs that reached something new.")
+@click.option("--guided", is_flag=True, help="Mutate scenarios that reached new states.")
 @click.option("--quiet", is_flag=True, help="No progress.")
 def hunt(seeds: str, jobs: Optional[int], out: str, guided: bool, quiet: bool) -> None:
-    """Play many seeds; 1 if any breaks something. Prints a JSON report."""
+    """Run many seeds and print a JSON report; exit code 1 if any breaks an invariant."""
     from cedarshift.sim.hunt import hunt as hunting
 
     found = hunting(
-        seeds_of(seeds),
+        parse_seeds(seeds),
         jobs or os.cpu_count() or 1,
         out,
         lambda text: None if quiet else click.echo(text, err=True),
@@ -94,16 +96,16 @@
 
 @sim.command()
 @click.argument("file", type=click.Path())
-@click.option("--out", type=click.Path(), required=True, help="Where the smaller scenario goes.")
+@click.option("--out", type=click.Path(), required=True, help="File for the reduced scenario.")
 def shrink(file: str, out: str) -> None:
-    """Cut a scenario down to what still breaks the same."""
+    """Reduce a scenario while it still breaks the same invariant."""
     from cedarshift.sim.play import play
     from cedarshift.sim.shrink import shrink as smaller
 
-    scenario = read(file)
+    scenario = read_scenario(file)
     broken = play(scenario).broken
     if not broken:
-        raise click.ClickException(f"{file}: nothing breaks")
+        raise click.ClickException(f"{file}: no invariant breaks")
     best = smaller(scenario, broken[0].what, lambda text: click.echo(text, err=True))
     with open(out, "wb") as target:
         target.write(best.to_json())
--- a/cedarshift/cli/tables.py
+++ b/cedarshift/cli/tables.py
@@ -1,4 +1,4 @@
-"""Asks a pilot's page what it holds, and shows it as text."""
+"""Fetches the status pages of a pilot and formats them as text."""
 
 from __future__ import annotations
 
@@ -11,17 +11,17 @@
 from cedarshift.loop.epoll import real_loop
 from cedarshift.web import Pool
 
-TIMEOUT = 5_000_000  # us
+TIMEOUT_US = 5_000_000
 
 
 def fetch(address: tuple[str, int], target: str = "/tables", method: str = "GET", body: bytes = b"") -> bytes:
-    """One request. Raises OSError where nobody answers, or not with 200."""
+    """Sends one request. Raises OSError without an answer or for a status other than 200."""
     loop = real_loop()
-    pool = Pool(loop, TIMEOUT)
+    pool = Pool(loop, TIMEOUT_US)
 
     def main() -> Coroutine:
         try:
-            return (yield from pool.request(address, method, target, [], body, loop.now() + TIMEOUT))
+            return (yield from pool.request(address, method, target, [], body, loop.now() + TIMEOUT_US))
         except (StreamBroken, TimedOut) as error:
             raise OSError(str(error) or "no answer in time") from None
 
@@ -33,126 +33,133 @@
     return reply.body
 
 
-def shown(raw: bytes) -> str:
-    held: dict[str, Any] = msgspec.json.decode(raw)
-    out = [
-        f"pilot {held['pilot']} of {held['deployment']}, {'in charge' if held['in_charge'] else 'NOT in charge'}",
-        f"proxies joined: {len(held['proxies'])}; endpoints listed: {len(held['endpoints'])}; "
-        f"slices: {len(held['slices'])}",
-        "channel: {waiting:.0f} lines wait, {peak:.0f} at most so far, {most:.0f} allowed".format(
-            **held["channel"]
+def format_tables(raw: bytes) -> str:
+    """Formats the page /tables."""
+    page: dict[str, Any] = msgspec.json.decode(raw)
+    lines = [
+        f"pilot {page['pilot']} of {page['deployment']}, "
+        f"{'in charge' if page['in_charge'] else 'NOT in charge'}",
+        f"proxies joined: {len(page['proxies'])}; endpoints listed: {len(page['endpoints'])}; "
+        f"slices: {len(page['slices'])}",
+        "channel: {waiting:.0f} lines waiting, {peak:.0f} at peak, {most:.0f} allowed".format(
+            **page["channel"]
         ),
         "",
     ]
-    if held["slices"]:
-        out.append(f"{'slice':>6} {'epoch':>6} {'version':>8}  {'state':<9} owner")
-    for row in held["slices"]:
+    if page["slices"]:
+        lines.append(f"{'slice':>6} {'epoch':>6} {'version':>8}  {'state':<9} owner")
+    for row in page["slices"]:
         closed = " (writes closed)" if any(lv["share"] == 0 for lv in row["levels"]) else ""
-        out.append(
-            f"{row['slice']:>6} {row['epoch']:>6} {row['version']:>8}  {row['state']:<9} {row['owner'] or '-'}{closed}"
+        lines.append(
+            f"{row['slice']:>6} {row['epoch']:>6} {row['version']:>8}  "
+            f"{row['state']:<9} {row['owner'] or '-'}{closed}"
         )
-    for number, lines in held["tables"].items():
-        out.append(
-            f"table {number}: " + ", ".join(f"{end} x{weight:g}" for end, weight in sorted(lines.items()))
+    for number, weights in page["tables"].items():
+        lines.append(
+            f"table {number}: " + ", ".join(f"{end} x{weight:g}" for end, weight in sorted(weights.items()))
         )
-    return "\n".join(out)
-
-
-def shown_facts(raw: bytes) -> str:
-    held: dict[str, Any] = msgspec.json.decode(raw)
-    if not held:
-        return "nothing is borrowed: the deployment has no block learn"
-    out = ["lenders:"] + [
-        f"  {one['origin']}: its list answered {one['list_age_s']:.1f} s ago, "
-        f"{'in charge' if one['in_charge'] else 'not in charge'}, soundness {one['soundness']:g}"
-        for one in held["lenders"]
+    return "\n".join(lines)
+
+
+def format_facts(raw: bytes) -> str:
+    """Formats the page /facts: what the pilot has learnt from other pilots."""
+    page: dict[str, Any] = msgspec.json.decode(raw)
+    if not page:
+        return "no facts from other pilots: the deployment has no block learn"
+    lines = ["lenders:"] + [
+        f"  {lender['origin']}: its list answered {lender['list_age_s']:.1f} s ago, "
+        f"{'in charge' if lender['in_charge'] else 'not in charge'}, soundness {lender['soundness']:g}"
+        for lender in page["lenders"]
     ]
-    out.append(f"{'endpoint':<24} {'phase':<8} {'age s':>7} {'weight':>7} {'hops':>5}  origin, source")
-    out += [
-        f"{one['endpoint']:<24} {one['phase']:<8} {one['age_s']:>7.1f} {one['weight']:>7.3f} {one['hops']:>5}  "
-        f"{one['origin']}, {one['source']} rev {one['rev']}"
-        for one in held["phases"]
+    lines.append(f"{'endpoint':<24} {'phase':<8} {'age s':>7} {'weight':>7} {'hops':>5}  origin, source")
+    lines += [
+        f"{fact['endpoint']:<24} {fact['phase']:<8} {fact['age_s']:>7.1f} {fact['weight']:>7.3f} "
+        f"{fact['hops']:>5}  {fact['origin']}, {fact['source']} rev {fact['rev']}"
+        for fact in page["phases"]
     ]
-    out += [f"{one['endpoint']:<24} started {one['age_s']:.1f} s ago" for one in held["starts"]]
-    out += [
-        f"{one['endpoint']:<24} found sick, {one['left_s']:.1f} s left, by {one['origin']}"
-        for one in held["sick"]
+    lines += [f"{fact['endpoint']:<24} started {fact['age_s']:.1f} s ago" for fact in page["starts"]]
+    lines += [
+        f"{fact['endpoint']:<24} found sick, {fact['left_s']:.1f} s left, by {fact['origin']}"
+        for fact in page["sick"]
     ]
-    out.append(", ".join(f"{name} {count}" for name, count in held["counts"].items()))
-    return "\n".join(out)
+    lines.append(", ".join(f"{name} {count}" for name, count in page["counts"].items()))
+    return "\n".join(lines)
 
 
-def shown_pilots(raw: bytes) -> str:
-    """The roll of the pilots as one of them holds it."""
-    held: dict[str, Any] = msgspec.json.decode(raw)
-    if not held:
-        return "the pilots keep no roll of each other: the deployment has no block membership"
-    out = [
-        f"pilot {held['me']}, {held['side']} of {held['configured']} configured pilots on its side"
+def format_pilots(raw: bytes) -> str:
+    """Formats the page /pilots: the state of each pilot as this one sees it."""
+    page: dict[str, Any] = msgspec.json.decode(raw)
+    if not page:
+        return "no membership among pilots: the deployment has no block membership"
+    lines = [
+        f"pilot {page['me']}, {page['side']} of {page['configured']} configured pilots on its side"
         + (
             ""
-            if 2 * held["side"] > held["configured"]
-            else " (NOT MOST: what it holds for dead may live elsewhere)"
+            if 2 * page["side"] > page["configured"]
+            else " (NO MAJORITY: a pilot it considers dead may be alive elsewhere)"
         ),
-        f"period {held['period_s']:g} s, own health {held['health']} (0 is well)"
-        + (", SUPERSEDED by a later life of its name" if held["superseded"] else ""),
+        f"period {page['period_s']:g} s, own health {page['health']} (0 is healthy)"
+        + (", SUPERSEDED by a later process of its name" if page["superseded"] else ""),
         "",
         f"{'pilot':<16} {'state':<8} {'for s':>8} {'incarnation':>11}  silent to / heard by",
     ]
-    for row in held["members"]:
+    for row in page["members"]:
         since = f"{row['since_s']:.1f}" if row["since_s"] is not None else "-"
         edges = "; ".join(
-            f"{word} {', '.join(row[key])}"
-            for word, key in (("silent to", "silent_to"), ("heard by", "heard_by"))
+            f"{label} {', '.join(row[key])}"
+            for label, key in (("silent to", "silent_to"), ("heard by", "heard_by"))
             if row[key]
         )
-        out.append(f"{row['name']:<16} {row['state']:<8} {since:>8} {row['incarnation']:>11}  {edges}")
-    dropped = {name: count for name, count in held["counts"].items() if name.startswith("dropped_") and count}
-    out += [
+        lines.append(f"{row['name']:<16} {row['state']:<8} {since:>8} {row['incarnation']:>11}  {edges}")
+    dropped = {name: count for name, count in page["counts"].items() if name.startswith("dropped_") and count}
+    lines += [
         "",
-        "datagrams sent {datagrams_sent}, heard {datagrams_heard}, held back by the cap {capped}".format(
-            **held["counts"]
+        "datagrams sent {datagrams_sent}, received {datagrams_heard}, limited by the cap {capped}".format(
+            **page["counts"]
         ),
     ]
     if dropped:
-        out.append("dropped: " + ", ".join(f"{name[8:]} {count}" for name, count in dropped.items()))
-    return "\n".join(out)
+        lines.append("dropped: " + ", ".join(f"{name[8:]} {count}" for name, count in dropped.items()))
+    return "\n".join(lines)
 
 
-def shown_members(raw: bytes) -> str:
-    """The source of the list, its nodes, and what the module was told."""
-    held: dict[str, Any] = msgspec.json.decode(raw)
-    heard = held.get("heard_s")
-    out = [
-        f"pilot {held['pilot']}, source {held['source']}, heard "
-        + ("never" if heard is None else f"{heard:.1f} s ago")
+def format_members(raw: bytes) -> str:
+    """Formats the page /members: the source of the list, its nodes and the listed endpoints."""
+    page: dict[str, Any] = msgspec.json.decode(raw)
+    last_contact = page.get("heard_s")
+    lines = [
+        f"pilot {page['pilot']}, source {page['source']}, last contact "
+        + ("never" if last_contact is None else f"{last_contact:.1f} s ago")
     ]
-    if "state" in held:
-        out += [
-            f"{held['state']} for {held['state_since_s']:.0f} s"
-            + (f" at {held['server']}" if held["server"] else ""),
-            f"session {held['session']}, time-out {held['timeout_ms']} ms, zxid {held['zxid']}, {held['watch']} watch",
+    if "state" in page:
+        lines += [
+            f"{page['state']} for {page['state_since_s']:.0f} s"
+            + (f" at {page['server']}" if page["server"] else ""),
+            f"session {page['session']}, timeout {page['timeout_ms']} ms, zxid {page['zxid']}, "
+            f"{page['watch']} watch",
         ]
-        if held["denied"]:
-            out.append(f"NOT READ: {held['denied']}")
-        out += [
+        if page["denied"]:
+            lines.append(f"NOT READ: {page['denied']}")
+        lines += [
             "",
-            f"{'node':<28} {'endpoint':<22} {'phase':<7} {'size':>6} {'zone':<10} {'start':<10} {'session':<14} {'read':>8}",
+            f"{'node':<28} {'endpoint':<22} {'phase':<7} {'size':>6} {'zone':<10} "
+            f"{'start':<10} {'session':<14} {'read':>8}",
         ]
-        out += [
-            f"{m['node']:<28} {m['endpoint']:<22} {m['phase']:<7} {m['size']:>6g} {m['zone']:<10} {m['start']:<10} "
-            f"{m['session']:<14} {m['age_s']:>6.0f} s"
-            for m in held["members"]
+        lines += [
+            f"{member['node']:<28} {member['endpoint']:<22} {member['phase']:<7} {member['size']:>6g} "
+            f"{member['zone']:<10} {member['start']:<10} {member['session']:<14} {member['age_s']:>6.0f} s"
+            for member in page["members"]
         ]
-        out += [
-            f"vanished {v['since_s']:.1f} s ago, {'stands in doubt' if v['in_doubt'] else 'held back'}: {v['endpoint']}"
-            for v in held["vanished"]
+        lines += [
+            f"vanished {endpoint['since_s']:.1f} s ago, "
+            f"{'retained' if endpoint['in_doubt'] else 'held back'}: {endpoint['endpoint']}"
+            for endpoint in page["vanished"]
         ]
-        out += [f"NOT UNDERSTOOD: {one['node']}: {one['reason']}" for one in held["refused"]]
-    out += ["", f"{'listed':<22} {'phase':<7} {'size':>6} {'zone':<10} started"]
-    out += [
-        f"{e['endpoint']:<22} {e['phase']:<7} {e['size']:>6g} {e['zone']:<10} "
-        + ("long ago" if e["start_s"] is None else f"{e['start_s']:.0f} s ago")
-        for e in held["listed"]
+        lines += [f"INVALID: {node['node']}: {node['reason']}" for node in page["refused"]]
+    lines += ["", f"{'listed':<22} {'phase':<7} {'size':>6} {'zone':<10} started"]
+    lines += [
+        f"{entry['endpoint']:<22} {entry['phase']:<7} {entry['size']:>6g} {entry['zone']:<10} "
+        + ("long ago" if entry["start_s"] is None else f"{entry['start_s']:.0f} s ago")
+        for entry in page["listed"]
     ]
-    return "\n".join(out)
+    return "\n".join(lines)
